--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -10,11 +10,11 @@
 #include <cstdio>
 #include <vector>
 
-#include "identity/gate.h"
-#include "issuer.h"
+#include "identity/token_verifier.h"
+#include "support/token_issuer.h"
 #include "net/socket.h"
 #include "net/tls.h"
-#include "signer.h"
+#include "support/token_signer.h"
 
 namespace {
 
@@ -23,7 +23,7 @@
 
 constexpr int kRuns = 1000;
 constexpr int kOpen = 200;
-constexpr core::Micros kNow = 1'800'000'000'000'000;
+constexpr coordinator::Micros kNow = 1'800'000'000'000'000;
 
 template <typename Work>
 double Spent(Work work) {
--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -1,5 +1,5 @@
 // Drives the decision module with a random but repeatable world and prints a digest of all its actions, so
-// that two versions of src/rules.cpp can be compared: same seeds, same digests, or the decisions differ. The
+// that two versions of the decision module can be compared: same seeds, same digests, or the decisions differ. The
 // world reacts to the actions (holders queue, fail, fall silent, drain, restart, are replaced), so a single
 // different action shows in all that follows. Only fields that every version has are looked at.
 //
@@ -12,11 +12,11 @@
 #include <random>
 #include <set>
 
-#include "tinsail/tinsail.h"
+#include "routing/router.h"
 
 namespace {
 
-using namespace tinsail;
+using namespace liftrudder::routing;
 
 struct World {
   World(std::uint64_t seed, Micros length)
--- a/sim/codec.cpp
+++ b/simulator/codec.cpp
@@ -1,10 +1,14 @@
-#include "codec.h"
+#include "simulator/codec.h"
+
+#include "config/routing_settings.h"
 
 #include <bit>
 #include <concepts>
 #include <optional>
 
-namespace tinsail::sim {
+namespace liftrudder::simulator {
+
+using namespace routing;
 namespace {
 
 // Event codes.
@@ -249,8 +253,8 @@
         created.seed = in.U64("nonce64");
         std::uint32_t length = in.U32("conf");
         try {
-          created.settings = ParseSettings(in.Bytes(length, "conf"));
-        } catch (const WireError& error) {
+          created.settings = config::ParseRoutingSettings(in.Bytes(length, "conf"));
+        } catch (const config::SettingsError& error) {
           in.Complain(error.what());
         }
         event.what = std::move(created);
@@ -328,4 +332,4 @@
   return frame;
 }
 
-}  // namespace tinsail::sim
+}  // namespace liftrudder::simulator
--- a/sim/host.h
+++ b/simulator/host.h
@@ -1,15 +1,15 @@
 // The instances of one process, one module each; they share nothing but the decoder's numbered lists.
-#ifndef TINSAIL_SIM_HOST_H_
-#define TINSAIL_SIM_HOST_H_
+#ifndef LIFTRUDDER_SIMULATOR_HOST_H_
+#define LIFTRUDDER_SIMULATOR_HOST_H_
 
 #include <cstdio>
 #include <map>
 #include <string>
 #include <string_view>
 
-#include "codec.h"
+#include "simulator/codec.h"
 
-namespace tinsail::sim {
+namespace liftrudder::simulator {
 
 // Reads one frame without its leading length. False at the end of input; WireError when it ends midway.
 bool ReadFrame(std::FILE* input, std::string& frame);
@@ -22,9 +22,9 @@
  private:
   Decoder decoder_;
   Encoder encoder_;
-  std::map<int, Aggregator> instances_;
+  std::map<int, routing::Aggregator> instances_;
 };
 
-}  // namespace tinsail::sim
+}  // namespace liftrudder::simulator
 
-#endif  // TINSAIL_SIM_HOST_H_
+#endif  // LIFTRUDDER_SIMULATOR_HOST_H_
--- a/src/app/manage.cpp
+++ b/src/app/admin_handler.cpp
@@ -1,4 +1,4 @@
-#include "app/manage.h"
+#include "app/admin_handler.h"
 
 #include <string_view>
 
--- a/src/app/manage.h
+++ b/src/app/admin_handler.h
@@ -1,8 +1,8 @@
 // What operators' tools ask of a gatherer at its second address: is it ready, its figures, take it out of
 // service and back. Decides only which call is which; it waits for nothing, so it may run on the thread of
 // the calls. Never on a client's.
-#ifndef LIFTRUDDER_APP_MANAGE_H_
-#define LIFTRUDDER_APP_MANAGE_H_
+#ifndef LIFTRUDDER_APP_ADMIN_HANDLER_H_
+#define LIFTRUDDER_APP_ADMIN_HANDLER_H_
 
 #include <functional>
 #include <mutex>
@@ -34,4 +34,4 @@
 
 }  // namespace liftrudder::app
 
-#endif  // LIFTRUDDER_APP_MANAGE_H_
+#endif  // LIFTRUDDER_APP_ADMIN_HANDLER_H_
--- a/src/app/why_command.cpp
+++ b/src/app/explain_command.cpp
@@ -1,4 +1,4 @@
-#include "app/why_command.h"
+#include "app/explain_command.h"
 
 #include <fmt/format.h>
 
@@ -10,12 +10,12 @@
 
 #include "net/http.h"
 #include "net/socket.h"
-#include "why/desk.h"
+#include "decision_log/explain_service.h"
 
 namespace liftrudder::app {
 namespace {
 
-constexpr core::Micros kPatience = 10'000'000;
+constexpr coordinator::Micros kPatience = 10'000'000;
 constexpr std::size_t kMostAnswer = 4 * 1024 * 1024;
 
 struct Options {
@@ -24,8 +24,8 @@
   int limit = 20;
   bool summary = false, json = false;
 
-  why::Parameters Parameters() const {
-    why::Parameters out;
+  decision_log::Parameters Parameters() const {
+    decision_log::Parameters out;
     auto add = [&out](const char* name, const std::string& value) {
       if (!value.empty()) out.emplace_back(name, value);
     };
@@ -68,9 +68,9 @@
   std::int64_t now_us = std::chrono::duration_cast<std::chrono::microseconds>(
                             std::chrono::system_clock::now().time_since_epoch())
                             .count();
-  auto question = why::ReadQuestion(options.Parameters(), now_us);
+  auto question = decision_log::ReadQuestion(options.Parameters(), now_us);
   if (const auto* wrong = std::get_if<std::string>(&question)) return Print(400, *wrong);
-  why::Reply reply = why::AnswerFrom(why::Arena::Open(options.file), std::get<why::Question>(question));
+  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::Arena::Open(options.file), std::get<decision_log::Question>(question));
   return Print(reply.status, reply.body);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
--- a/src/app/why_command.h
+++ b/src/app/explain_command.h
@@ -1,7 +1,7 @@
 // `liftrudder why ...`: asks a running gatherer, or the file that one left, why queries went where they went.
 // Prints to standard output and ends; serves nothing.
-#ifndef LIFTRUDDER_APP_WHY_COMMAND_H_
-#define LIFTRUDDER_APP_WHY_COMMAND_H_
+#ifndef LIFTRUDDER_APP_EXPLAIN_COMMAND_H_
+#define LIFTRUDDER_APP_EXPLAIN_COMMAND_H_
 
 #include <functional>
 
@@ -22,4 +22,4 @@
 
 }  // namespace liftrudder::app
 
-#endif  // LIFTRUDDER_APP_WHY_COMMAND_H_
+#endif  // LIFTRUDDER_APP_EXPLAIN_COMMAND_H_
--- a/src/app/identity_files.h
+++ b/src/app/identity_files.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "app/files.h"
-#include "identity/callers.h"
+#include "identity/authenticator.h"
 
 namespace liftrudder::app {
 
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 
 #include "config/config.h"
-#include "identity/members.h"
+#include "identity/json_members.h"
 #include "identity/strict_json.h"
 #include "log/log.h"
 #include "net/json.h"
@@ -27,7 +27,7 @@
 }  // namespace
 
 std::unique_ptr<TlsFiles> TlsFiles::Open(const std::string& operator_file, std::string_view text,
-                                         const core::Clock& clock) {
+                                         const coordinator::Clock& clock) {
   std::string_view member = net::json::Get(text, "tls");
   if (member.empty()) return nullptr;
   std::unique_ptr<TlsFiles> out(new TlsFiles(operator_file, clock));
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -18,7 +18,7 @@
  public:
   // Null where the operator's file has no member "tls". Throws std::runtime_error saying what is wrong.
   static std::unique_ptr<TlsFiles> Open(const std::string& operator_file, std::string_view text,
-                                        const core::Clock& clock);
+                                        const coordinator::Clock& clock);
 
   const net::TlsSource& source() const { return source_; }
   void Look();
@@ -31,14 +31,14 @@
     bool required = false;
   };
 
-  TlsFiles(std::string operator_file, const core::Clock& clock)
+  TlsFiles(std::string operator_file, const coordinator::Clock& clock)
       : operator_file_(std::move(operator_file)), clock_(clock) {}
   Names ReadNames(std::string_view text) const;
   std::vector<std::pair<std::string, FileStamp>> Stamps() const;
   void Take();  // throws
 
   const std::string operator_file_;
-  const core::Clock& clock_;
+  const coordinator::Clock& clock_;
   Names names_;
   std::vector<std::pair<std::string, FileStamp>> seen_;
   net::TlsSource source_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -8,8 +8,8 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "codec.h"
-#include "net/calls.h"
+#include "config/routing_settings.h"
+#include "net/admin_server.h"
 #include "net/json.h"
 
 namespace liftrudder::config {
@@ -42,17 +42,17 @@
   return found == names.end() ? 0 : static_cast<int>(found - names.begin());
 }
 
-tinsail::Availability State(std::string_view value) {
+routing::Availability State(std::string_view value) {
   std::string_view state = json::RawString(value).value_or("");
-  if (state == "ready") return tinsail::Availability::kReady;
-  if (state == "draining") return tinsail::Availability::kDraining;
-  if (state == "gone") return tinsail::Availability::kGone;
+  if (state == "ready") return routing::Availability::kReady;
+  if (state == "draining") return routing::Availability::kDraining;
+  if (state == "gone") return routing::Availability::kGone;
   throw std::runtime_error(fmt::format("unknown state {}", value));
 }
 
 // In one pass: a list of a thousand is read while a drain runs, on a share of a core.
-core::HolderEntry Entry(std::string_view text, const Config& config) {
-  core::HolderEntry entry;
+coordinator::HolderEntry Entry(std::string_view text, const Config& config) {
+  coordinator::HolderEntry entry;
   bool stated = false;
   bool ok = json::Members(text, [&](std::string_view key, std::string_view value) {
     auto name = [&value] { return json::String(value).value_or(""); };
@@ -109,8 +109,8 @@
 
 }  // namespace
 
-core::HolderList ParseHolders(std::string_view text, const Config& config) {
-  core::HolderList list;
+coordinator::HolderList ParseHolders(std::string_view text, const Config& config) {
+  coordinator::HolderList list;
   std::optional<std::int64_t> version;
   std::optional<bool> full;
   std::string_view servers;
@@ -123,7 +123,7 @@
   if (!ok || !version || *version < 0 || !full)
     throw std::runtime_error("holder list: no version, or not said whether full");
   list.version = static_cast<std::uint64_t>(*version);
-  list.kind = *full ? tinsail::ListKind::kFull : tinsail::ListKind::kDelta;
+  list.kind = *full ? routing::ListKind::kFull : routing::ListKind::kDelta;
   ok = json::Elements(servers, [&](std::string_view entry) {
     try {
       list.entries.push_back(Entry(entry, config));
@@ -179,7 +179,7 @@
   std::string seed = Text(text, "seed");
   std::from_chars(seed.data(), seed.data() + seed.size(), out.seed, 16);
   std::string_view settings = json::Get(text, "settings");
-  out.settings = tinsail::sim::ParseSettings(settings);
+  out.settings = ParseRoutingSettings(settings);
   json::Elements(json::Get(settings, "grades"), [&out](std::string_view grade) {
     out.classes.push_back(Text(grade, "name"));
     return true;
@@ -198,7 +198,7 @@
   out.cores = json::Number(json::Get(limits, "cores")).value_or(out.cores);
   std::string_view known = json::Get(text, "known");
   if (!known.empty()) out.known = ParseHolders(known, out);
-  out.known.kind = tinsail::ListKind::kCached;
+  out.known.kind = routing::ListKind::kCached;
   // The list may be short or old: there is a holder for each cell at least.
   int holders = std::max(static_cast<int>(out.known.entries.size()), out.settings.cells);
   out.sockets = static_cast<int>(IntegerOr(limits, "sockets", out.sockets));
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "core/directory.h"
-#include "tinsail/tinsail.h"
+#include "coordinator/endpoint_registry.h"
+#include "routing/router.h"
 
 namespace liftrudder::config {
 
@@ -29,13 +29,13 @@
   std::string name, listen, discovery;
   std::string mgmt;  // where operators' tools call; empty: nowhere
   std::uint64_t seed = 0;
-  tinsail::Settings settings;
+  routing::Settings settings;
   std::vector<std::string> classes, zones, kinds, load_names;
-  tinsail::Micros connect_timeout_us = 250'000;
-  tinsail::Micros idle_close_us = 30'000'000;
+  routing::Micros connect_timeout_us = 250'000;
+  routing::Micros idle_close_us = 30'000'000;
   int streams_per_connection = 100;
   double cores = 1;
-  core::HolderList known;
+  coordinator::HolderList known;
   int sockets = 1024, memory_mb = 192;  // the limits, of the memory what the record leaves
   Budget budget;                        // for the holders known at the start
   WhyOptions why;
@@ -48,7 +48,7 @@
 std::string ReadFile(const std::string& path);
 
 // A list in discovery's form; throws std::runtime_error when it is not one.
-core::HolderList ParseHolders(std::string_view text, const Config& config);
+coordinator::HolderList ParseHolders(std::string_view text, const Config& config);
 
 // How many connections of either side fit the limits; holders' share is kept back from clients, and holds one
 // for each of `holders` where that leaves clients enough.
--- a/sim/settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -1,17 +1,22 @@
 // The JSON settings of an instance, read into the plain types of the interface. No key has a default that
 // matters: a key that must be there and is not is an error; a key that is not known is skipped.
-#include <nlohmann/json.hpp>
+#include "config/routing_settings.h"
 
-#include "codec.h"
+#include <nlohmann/json.hpp>
 
-namespace tinsail::sim {
+namespace liftrudder::config {
 namespace {
 
+using routing::CheckSettings;
+using routing::ClassSettings;
+using routing::Effect;
+using routing::Micros;
+using routing::Settings;
 using Json = nlohmann::json;
 
 const Json& Need(const Json& object, const char* key) {
   auto found = object.find(key);
-  if (found == object.end()) throw WireError(std::string("settings: '") + key + "' is missing");
+  if (found == object.end()) throw SettingsError(std::string("settings: '") + key + "' is missing");
   return *found;
 }
 
@@ -20,7 +25,7 @@
   try {
     return Need(object, key).get<T>();
   } catch (const Json::exception&) {
-    throw WireError(std::string("settings: '") + key + "' has the wrong type");
+    throw SettingsError(std::string("settings: '") + key + "' has the wrong type");
   }
 }
 
@@ -33,7 +38,7 @@
   if (name == "idempotent") return Effect::kIdempotent;
   if (name == "deduplicated") return Effect::kDeduplicated;
   if (name == "at_most_once") return Effect::kAtMostOnce;
-  throw WireError("settings: 'effect' is '" + name + "', which is unknown");
+  throw SettingsError("settings: 'effect' is '" + name + "', which is unknown");
 }
 
 Settings Read(const Json& conf) {
@@ -44,10 +49,10 @@
   auto wholes = Get<std::vector<double>>(info, "wholeAt");
   auto incomplete = Get<std::vector<double>>(info, "incompleteWorth");
   auto fetches = Get<std::vector<int>>(info, "classFetch");
-  if (!grades.is_array()) throw WireError("settings: 'grades' has the wrong type");
+  if (!grades.is_array()) throw SettingsError("settings: 'grades' has the wrong type");
   for (std::size_t i = 0; i < grades.size(); ++i) {
     if (i >= floors.size() || i >= wholes.size() || i >= incomplete.size() || i >= fetches.size()) {
-      throw WireError("settings: 'familyInfo' has no figures for class " + std::to_string(i));
+      throw SettingsError("settings: 'familyInfo' has no figures for class " + std::to_string(i));
     }
     const Json& grade = grades[i];
     ClassSettings cls;
@@ -107,17 +112,17 @@
 
 }  // namespace
 
-Settings ParseSettings(std::string_view text) {
+Settings ParseRoutingSettings(std::string_view text) {
   Json conf = Json::parse(text, nullptr, false);
-  if (conf.is_discarded() || !conf.is_object()) throw WireError("settings: not a JSON object");
+  if (conf.is_discarded() || !conf.is_object()) throw SettingsError("settings: not a JSON object");
   Settings settings;
   try {
     settings = Read(conf);
   } catch (const Json::exception& error) {
-    throw WireError(std::string("settings: ") + error.what());
+    throw SettingsError(std::string("settings: ") + error.what());
   }
-  if (auto problem = CheckSettings(settings)) throw WireError("settings: " + *problem);
+  if (auto problem = CheckSettings(settings)) throw SettingsError("settings: " + *problem);
   return settings;
 }
 
-}  // namespace tinsail::sim
+}  // namespace liftrudder::config
--- a/src/core/route.cpp
+++ b/src/coordinator/action_dispatch.cpp
@@ -1,9 +1,9 @@
 // Stages route and send: an attempt the module decided on is entered in the book and given to the transport.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
-void Core::Act(const tinsail::Send& send) {
+void Core::Act(const routing::Send& send) {
   OpenPart* part = book_.Part(send.part);
   if (part == nullptr) return;
   OpenAttempt attempt{send.replica, now_, now_ + send.timeout_us, true};
@@ -21,7 +21,7 @@
   transport_->Start(std::move(order));
 }
 
-void Core::Act(const tinsail::Cancel& cancel) {
+void Core::Act(const routing::Cancel& cancel) {
   OpenPart* part = book_.Part(cancel.part);
   auto index = static_cast<std::size_t>(cancel.attempt);
   if (part == nullptr || index >= part->attempts.size() || !part->attempts[index].out) return;
@@ -29,15 +29,15 @@
     recorder_->Cancelled(part->query, static_cast<int>(cancel.part - part->query - 1), cancel);
   // Guards against a second copy where none is allowed: what the module sends elsewhere when this has ended
   // must wait until its holder is known to be done with it. A query that is over sends nothing more.
-  bool moves = cancel.why == tinsail::CancelWhy::kLooksSick || cancel.why == tinsail::CancelWhy::kDeadConnection;
-  core::AttemptKey key{cancel.part, cancel.attempt};
+  bool moves = cancel.why == routing::CancelWhy::kLooksSick || cancel.why == routing::CancelWhy::kDeadConnection;
+  coordinator::AttemptKey key{cancel.part, cancel.attempt};
   if (moves && !settings_.may_copy) return transport_->CallOff(key);
   transport_->Withdraw(key, part->attempts[index].holder, Cause::kWithdrawn);
 }
 
-void Core::Act(const tinsail::Close& close) {
+void Core::Act(const routing::Close& close) {
   if (recorder_ != nullptr) recorder_->Closed(close);
   transport_->CloseIdle(close.replica);
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/admit.cpp
+++ b/src/coordinator/admission.cpp
@@ -1,7 +1,7 @@
 // Stage admit: on the client's own thread, before the core is bothered.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 namespace {
 
 constexpr int kMostOpen = 8192;  // our own cap, where the settings state none or a larger one
@@ -15,7 +15,7 @@
     open_.fetch_sub(size);
     counters_.turned_away.Add();
     // Under the name that its client knows.
-    NoteDoor(why::Door::kTooManyOpen, request.front, request.class_index, 503,
+    NoteDoor(decision_log::Door::kTooManyOpen, request.front, request.class_index, 503,
              request.label.empty() ? request.payload->call_id : request.label, open_.load() + size, most);
     return std::nullopt;
   }
@@ -26,4 +26,4 @@
   return id;
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/core.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -1,10 +1,10 @@
 // The core's loop: batches, the call of the module, and where its actions go.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 namespace {
 
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Core::Core(const tinsail::Settings& settings, std::uint64_t seed, const Clock& clock,
+Core::Core(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
            const HolderDirectory& directory, metrics::Counters& counters)
     : settings_(settings),
       aggregator_(settings, seed),
@@ -79,7 +79,7 @@
 }
 
 void Core::Run() {
-  std::vector<tinsail::Action> actions;
+  std::vector<routing::Action> actions;
   while (true) {
     std::uint64_t freshen = 0;
     std::vector<Input> batch = NextBatch(freshen);
@@ -99,7 +99,7 @@
       counters_.rounds.Add();
       avoided_ = aggregator_.Avoided();
       RecordHeld();
-      for (const tinsail::Action& action : actions)
+      for (const routing::Action& action : actions)
         std::visit([this](const auto& what) { Act(what); }, action);
       transport_->EndRound();
     }
@@ -110,12 +110,12 @@
 
 void Core::TakeDue() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
-    events_.push_back(tinsail::TimerFired{timers_.begin()->second});
+    events_.push_back(routing::TimerFired{timers_.begin()->second});
     timers_.erase(timers_.begin());
   }
   for (const auto& [key, holder] : book_.Expired(now_)) transport_->Withdraw(key, holder, Cause::kExpired);
 }
 
-void Core::Act(const tinsail::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
+void Core::Act(const routing::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/core.h
+++ b/src/coordinator/coordinator.h
@@ -1,6 +1,6 @@
 // The one thread that owns the module and the book. Everything reaches it through a bounded queue.
-#ifndef LIFTRUDDER_CORE_CORE_H_
-#define LIFTRUDDER_CORE_CORE_H_
+#ifndef LIFTRUDDER_COORDINATOR_COORDINATOR_H_
+#define LIFTRUDDER_COORDINATOR_COORDINATOR_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -11,13 +11,13 @@
 #include <set>
 #include <variant>
 
-#include "core/book.h"
-#include "core/pace.h"
-#include "core/ports.h"
+#include "coordinator/in_flight_table.h"
+#include "coordinator/round_pacer.h"
+#include "coordinator/interfaces.h"
 #include "metrics/metrics.h"
-#include "why/recorder.h"
+#include "decision_log/recorder.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 struct Arrival {
   Id id = 0;
@@ -26,20 +26,20 @@
 };
 struct Hangup {
   Id id = 0;
-  why::Door door = why::Door::kLeft;  // why its front waits no longer
+  decision_log::Door door = decision_log::Door::kLeft;  // why its front waits no longer
 };
-using Input = std::variant<Arrival, Hangup, AttemptResult, tinsail::ListNews>;
+using Input = std::variant<Arrival, Hangup, AttemptResult, routing::ListNews>;
 
 class Core {
  public:
-  Core(const tinsail::Settings& settings, std::uint64_t seed, const Clock& clock,
+  Core(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
        const HolderDirectory& directory, metrics::Counters& counters);
 
   void Attach(HolderTransport& transport) { transport_ = &transport; }
   // Before Run: called on the core's thread after each list, which may be longer than those before.
   void OnList(std::function<void()> on_list) { on_list_ = std::move(on_list); }
   // Before Run; without one nothing is recorded.
-  void Attach(why::Recorder& recorder) { recorder_ = &recorder; }
+  void Attach(decision_log::Recorder& recorder) { recorder_ = &recorder; }
 
   // Stage admit. The query's id, or nothing when a cap or the list of what may be open turns it away.
   std::optional<Id> Admit(QueryRequest request, std::shared_ptr<ClientReply> reply);
@@ -47,7 +47,7 @@
   void Post(Input input);
 
   // From a front's thread: what the record is to know of a client. Waits for nobody.
-  void NoteDoor(why::Door door, why::FrontKind front, int class_index, int status, std::string_view call_id,
+  void NoteDoor(decision_log::Door door, decision_log::FrontKind front, int class_index, int status, std::string_view call_id,
                 double figure = 0, double bound = 0);
   void NoteGiven(const std::vector<Served>& served, int status, std::size_t bytes, bool whole);
   // Has the record made readable up to now; waits a fifth of a second at most, on the caller's thread.
@@ -69,37 +69,37 @@
   void Take(Arrival& arrival);
   void Take(Hangup& hangup);
   void Take(AttemptResult& result);
-  void Take(tinsail::ListNews& news);
+  void Take(routing::ListNews& news);
   void TakeDue();
 
   // Stages route and send.
-  void Act(const tinsail::Send& send);
-  void Act(const tinsail::Cancel& cancel);
-  void Act(const tinsail::Close& close);
-  void Act(const tinsail::SetTimer& timer);
-  void Act(const tinsail::Subscribe&) {}  // the watch is always open
+  void Act(const routing::Send& send);
+  void Act(const routing::Cancel& cancel);
+  void Act(const routing::Close& close);
+  void Act(const routing::SetTimer& timer);
+  void Act(const routing::Subscribe&) {}  // the watch is always open
 
   // Stage relay.
-  void Act(const tinsail::Answer& answer);
-  void Act(const tinsail::Refuse& refuse);
-  void Act(const tinsail::Fail& fail);
-  void Finish(Id query, FinalAnswer answer, const tinsail::EndWhy& why);
+  void Act(const routing::Answer& answer);
+  void Act(const routing::Refuse& refuse);
+  void Act(const routing::Fail& fail);
+  void Finish(Id query, FinalAnswer answer, const routing::EndWhy& why);
   void CloseQuery(Id query, int parts);
 
   // What the record is told of; nothing when there is none.
-  void Note(const why::Note& note);
+  void Note(const decision_log::Note& note);
   void RecordOpen(const Arrival& arrival);
   void RecordHeld();
-  void RecordEnd(Id query, const FinalAnswer& answer, const tinsail::EndWhy& why, int pieces);
+  void RecordEnd(Id query, const FinalAnswer& answer, const routing::EndWhy& why, int pieces);
   void EndRound(std::uint64_t freshen);
 
-  const tinsail::Settings settings_;
-  tinsail::Aggregator aggregator_;
+  const routing::Settings settings_;
+  routing::Aggregator aggregator_;
   const Clock& clock_;
   const HolderDirectory& directory_;
   metrics::Counters& counters_;
   HolderTransport* transport_ = nullptr;
-  why::Recorder* recorder_ = nullptr;
+  decision_log::Recorder* recorder_ = nullptr;
   std::function<void()> on_list_;
 
   std::mutex mutex_;
@@ -119,13 +119,13 @@
   // The core's thread alone:
   Book book_;
   std::set<std::pair<Micros, std::uint64_t>> timers_;
-  std::vector<tinsail::Event> events_;
-  std::vector<tinsail::PartHeld> held_;
-  std::vector<why::OpenedPart> opened_parts_;
+  std::vector<routing::Event> events_;
+  std::vector<routing::PartHeld> held_;
+  std::vector<decision_log::OpenedPart> opened_parts_;
   Micros now_ = 0;
   std::int64_t number_ = 0;
 };
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
 
-#endif  // LIFTRUDDER_CORE_CORE_H_
+#endif  // LIFTRUDDER_COORDINATOR_COORDINATOR_H_
--- a/src/core/record.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -1,16 +1,16 @@
 // What the stages tell the record of decisions. Nothing here is read by a decision.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
-void Core::Note(const why::Note& note) {
+void Core::Note(const decision_log::Note& note) {
   if (recorder_->Tell(note)) wake_.notify_one();
 }
 
-void Core::NoteDoor(why::Door door, why::FrontKind front, int class_index, int status,
+void Core::NoteDoor(decision_log::Door door, decision_log::FrontKind front, int class_index, int status,
                     std::string_view call_id, double figure, double bound) {
   if (recorder_ == nullptr) return;
-  why::Note note;
+  decision_log::Note note;
   note.door = door;
   note.front = front;
   note.class_index = static_cast<std::uint8_t>(class_index);
@@ -24,7 +24,7 @@
 
 void Core::NoteGiven(const std::vector<Served>& served, int status, std::size_t bytes, bool whole) {
   if (recorder_ == nullptr) return;
-  why::Note note;
+  decision_log::Note note;
   note.bytes = static_cast<std::uint32_t>(bytes);
   note.whole = whole;
   note.at_us = clock_.Now();
@@ -41,7 +41,7 @@
   opened_parts_.clear();
   for (const PartRequest& part : request.parts)
     opened_parts_.push_back({part.shard, part.weight, part.work_us});
-  why::Opened query;
+  decision_log::Opened query;
   query.query = arrival.id;
   query.arrived_us = request.received_us > 0 ? request.received_us : now_;
   query.deadline_us = request.deadline_us;
@@ -55,19 +55,19 @@
 
 // Before the round's actions: the book forgets the parts of a query that these end.
 void Core::RecordHeld() {
-  for (const tinsail::PartHeld& held : held_) {
+  for (const routing::PartHeld& held : held_) {
     const OpenPart* part = book_.Part(held.part);
     if (part != nullptr) recorder_->Held(part->query, static_cast<int>(held.part - part->query - 1), held);
   }
 }
 
-void Core::RecordEnd(Id query, const FinalAnswer& answer, const tinsail::EndWhy& why, int pieces) {
+void Core::RecordEnd(Id query, const FinalAnswer& answer, const routing::EndWhy& why, int pieces) {
   if (recorder_ == nullptr) return;
-  why::Verdict verdict = why::Verdict::kFailed;
+  decision_log::Verdict verdict = decision_log::Verdict::kFailed;
   if (answer.verdict == Verdict::kAnswered)
-    verdict = answer.full ? why::Verdict::kWhole : why::Verdict::kPartial;
-  if (answer.verdict == Verdict::kRefused) verdict = why::Verdict::kRefused;
-  recorder_->Final(query, verdict, why, why::Door::kNone, answer.retry_after_us, pieces);
+    verdict = answer.full ? decision_log::Verdict::kWhole : decision_log::Verdict::kPartial;
+  if (answer.verdict == Verdict::kRefused) verdict = decision_log::Verdict::kRefused;
+  recorder_->Final(query, verdict, why, decision_log::Door::kNone, answer.retry_after_us, pieces);
 }
 
 void Core::EndRound(std::uint64_t freshen) {
@@ -79,4 +79,4 @@
   freshened_.notify_all();
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/directory.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -1,10 +1,10 @@
-#include "core/directory.h"
+#include "coordinator/endpoint_registry.h"
 
 #include <algorithm>
 #include <chrono>
 #include <set>
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 namespace {
 
 constexpr Micros kForget = 30'000'000;  // longer than any query's budget
@@ -19,15 +19,15 @@
   if (holder.stop_sending_us == 0) holder.stop_sending_us = told_us;
 }
 
-std::optional<tinsail::ListNews> Directory::Apply(const HolderList& list, Micros told_us) {
+std::optional<routing::ListNews> Directory::Apply(const HolderList& list, Micros told_us) {
   std::lock_guard lock(mutex_);
-  if (list.kind != tinsail::ListKind::kCached) heard_ = true, told_.notify_all();
+  if (list.kind != routing::ListKind::kCached) heard_ = true, told_.notify_all();
   // A list that came by another way late must not bring a drained holder back.
-  bool whole = list.kind != tinsail::ListKind::kDelta;
+  bool whole = list.kind != routing::ListKind::kDelta;
   if (any_ && (whole ? list.version < version_ : list.version <= version_)) return std::nullopt;
   any_ = true;
   version_ = list.version;
-  tinsail::ListNews news;
+  routing::ListNews news;
   news.kind = list.kind;
   news.version = list.version;
   std::set<ReplicaId> named;
@@ -37,12 +37,12 @@
     HolderAddress& holder = holders_[place->second];
     holder.id = entry.id;
     holder.addr = entry.addr;
-    if (entry.told.availability == tinsail::Availability::kReady) {
+    if (entry.told.availability == routing::Availability::kReady) {
       holder.stop_sending_us = 0;
     } else {
       StopSending(holder, told_us);
     }
-    if (entry.told.availability != tinsail::Availability::kGone) {
+    if (entry.told.availability != routing::Availability::kGone) {
       gone_.erase(place->second);
     } else {
       gone_.try_emplace(place->second, told_us);
@@ -102,4 +102,4 @@
   return version_;
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/directory.h
+++ b/src/coordinator/endpoint_registry.h
@@ -1,6 +1,6 @@
 // The holder list as last told: names to ids, addresses, and until when each may be sent to.
-#ifndef LIFTRUDDER_CORE_DIRECTORY_H_
-#define LIFTRUDDER_CORE_DIRECTORY_H_
+#ifndef LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
+#define LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
 
 #include <condition_variable>
 #include <map>
@@ -9,19 +9,19 @@
 #include <string>
 #include <vector>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 struct HolderEntry {
   std::string id;
   std::string addr;
-  tinsail::Replica told;  // its id is given by the directory
+  routing::Replica told;  // its id is given by the directory
 };
 
 struct HolderList {
   std::uint64_t version = 0;
-  tinsail::ListKind kind = tinsail::ListKind::kFull;
+  routing::ListKind kind = routing::ListKind::kFull;
   std::vector<HolderEntry> entries;
 };
 
@@ -29,7 +29,7 @@
  public:
 
   // What the module is to be told; nothing when the list is older than what is known.
-  std::optional<tinsail::ListNews> Apply(const HolderList& list, Micros told_us);
+  std::optional<routing::ListNews> Apply(const HolderList& list, Micros told_us);
   HolderAddress Find(const ReplicaId& holder) const override;
   std::uint64_t Version() const;
   // Holders that are not gone, those that drain included.
@@ -54,6 +54,6 @@
   std::uint32_t given_ = 0;           // ids so far: none is given twice
 };
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
 
-#endif  // LIFTRUDDER_CORE_DIRECTORY_H_
+#endif  // LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
--- a/src/core/intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -1,11 +1,11 @@
 // Stage intake: what came in becomes the module's events, and the book is opened or closed.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 void Core::Take(Arrival& arrival) {
   const QueryRequest& request = arrival.request;
-  tinsail::QueryArrived query;
+  routing::QueryArrived query;
   query.id = arrival.id;
   query.number = ++number_;
   query.parts = static_cast<int>(request.parts.size());
@@ -16,7 +16,7 @@
   events_.push_back(query);
   for (std::size_t i = 0; i < request.parts.size(); ++i) {
     const PartRequest& part = request.parts[i];
-    events_.push_back(tinsail::PartArrived{arrival.id + 1 + static_cast<Id>(i), number_, part.shard,
+    events_.push_back(routing::PartArrived{arrival.id + 1 + static_cast<Id>(i), number_, part.shard,
                                            part.weight, part.key, part.work_us});
   }
   RecordOpen(arrival);
@@ -28,11 +28,11 @@
   if (query == nullptr) return;
   counters_.gone.Add();
   if (recorder_ != nullptr) {
-    auto verdict = hangup.door == why::Door::kLate ? why::Verdict::kLate : why::Verdict::kGone;
+    auto verdict = hangup.door == decision_log::Door::kLate ? decision_log::Verdict::kLate : decision_log::Verdict::kGone;
     recorder_->Final(hangup.id, verdict, {}, hangup.door, 0, 0);
   }
   CloseQuery(hangup.id, query->parts);
-  events_.push_back(tinsail::ClientGone{hangup.id});
+  events_.push_back(routing::ClientGone{hangup.id});
 }
 
 void Core::Take(AttemptResult& result) {
@@ -51,9 +51,9 @@
   events_.push_back(std::move(*ended));
 }
 
-void Core::Take(tinsail::ListNews& news) {
+void Core::Take(routing::ListNews& news) {
   counters_.lists.Add();
-  for (const tinsail::Replica& replica : news.replicas) {
+  for (const routing::Replica& replica : news.replicas) {
     if (recorder_ == nullptr) break;
     HolderAddress holder = directory_.Find(replica.id);
     recorder_->Holder(replica.id.address, holder.id, holder.addr);
@@ -63,4 +63,4 @@
   if (on_list_) on_list_();
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/book.cpp
+++ b/src/coordinator/in_flight_table.cpp
@@ -1,9 +1,9 @@
-#include "core/book.h"
+#include "coordinator/in_flight_table.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 OutcomeCode OutcomeOf(Progress progress, Cause cause) {
   bool may_have_run = progress >= Progress::kWhollyWritten;
@@ -61,7 +61,7 @@
   return number;
 }
 
-std::optional<tinsail::AttemptEnded> Book::End(AttemptResult result, Micros now) {
+std::optional<routing::AttemptEnded> Book::End(AttemptResult result, Micros now) {
   auto part = parts_.find(result.key.part);
   if (part == parts_.end()) return std::nullopt;
   auto index = static_cast<std::size_t>(result.key.attempt);
@@ -69,7 +69,7 @@
   OpenAttempt& attempt = part->second.attempts[index];
   attempt.out = false;
   expiries_.erase({attempt.wait_until_us, result.key});
-  tinsail::AttemptEnded ended;
+  routing::AttemptEnded ended;
   ended.part = result.key.part;
   ended.attempt = result.key.attempt;
   ended.replica = attempt.holder;
@@ -116,4 +116,4 @@
   if (part->second.over && std::ranges::none_of(part->second.attempts, &OpenAttempt::out)) parts_.erase(part);
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/book.h
+++ b/src/coordinator/in_flight_table.h
@@ -1,6 +1,6 @@
 // The query book: what is open, who waits for it, which attempts are out. Owned by the core's thread.
-#ifndef LIFTRUDDER_CORE_BOOK_H_
-#define LIFTRUDDER_CORE_BOOK_H_
+#ifndef LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
+#define LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
 
 #include <map>
 #include <memory>
@@ -8,9 +8,9 @@
 #include <set>
 #include <utility>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 struct OpenAttempt {
   ReplicaId holder;
@@ -45,7 +45,7 @@
   // Enters a new attempt; its number.
   int Begin(Id part, OpenPart& entry, const OpenAttempt& attempt);
   // Ends an attempt: the event for the module, or nothing when it had ended before.
-  std::optional<tinsail::AttemptEnded> End(AttemptResult result, Micros now);
+  std::optional<routing::AttemptEnded> End(AttemptResult result, Micros now);
   // Attempts whose wait is over; each is named once.
   std::vector<std::pair<AttemptKey, ReplicaId>> Expired(Micros now);
   Micros NextExpiry() const;
@@ -62,6 +62,6 @@
   std::set<std::pair<Micros, AttemptKey>> expiries_;
 };
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
 
-#endif  // LIFTRUDDER_CORE_BOOK_H_
+#endif  // LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
--- a/src/core/ports.h
+++ b/src/coordinator/interfaces.h
@@ -1,21 +1,21 @@
 // What the core speaks: queries, attempts, final answers, and the four interfaces to the world. No wire here.
-#ifndef LIFTRUDDER_CORE_PORTS_H_
-#define LIFTRUDDER_CORE_PORTS_H_
+#ifndef LIFTRUDDER_COORDINATOR_INTERFACES_H_
+#define LIFTRUDDER_COORDINATOR_INTERFACES_H_
 
 #include <atomic>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "tinsail/tinsail.h"
-#include "why/counts.h"
+#include "routing/router.h"
+#include "decision_log/counts.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
-using tinsail::Id;
-using tinsail::Micros;
-using tinsail::OutcomeCode;
-using tinsail::ReplicaId;
+using routing::Id;
+using routing::Micros;
+using routing::OutcomeCode;
+using routing::ReplicaId;
 
 struct PartRequest {
   int shard = 0;
@@ -49,7 +49,7 @@
   bool repeated = false;
   Micros received_us = 0;  // when its first byte was seen
   Micros deadline_us = 0;
-  why::FrontKind front = why::FrontKind::kPlatform;
+  decision_log::FrontKind front = decision_log::FrontKind::kPlatform;
   std::string label;  // the client's own name for it, kNoteId bytes at most, where the front has such a
                       // thing; for the record alone
   std::shared_ptr<const Payload> payload;
@@ -72,8 +72,8 @@
   bool cut_by_time = false;  // in part because its time had come, not for want of holders
 };
 
-using why::Cause;
-using why::Progress;
+using decision_log::Cause;
+using decision_log::Progress;
 
 OutcomeCode OutcomeOf(Progress progress, Cause cause);
 
@@ -147,6 +147,6 @@
   virtual Micros Now() const = 0;
 };
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
 
-#endif  // LIFTRUDDER_CORE_PORTS_H_
+#endif  // LIFTRUDDER_COORDINATOR_INTERFACES_H_
--- a/src/core/relay.cpp
+++ b/src/coordinator/query_completion.cpp
@@ -1,26 +1,26 @@
 // Stage relay: the module's last word on a query goes to its client, at once and once.
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
-void Core::Act(const tinsail::Answer& answer) {
+void Core::Act(const routing::Answer& answer) {
   FinalAnswer out;
   out.verdict = Verdict::kAnswered;
   out.full = answer.full;
-  out.cut_by_time = answer.why.cause == tinsail::EndCause::kAim;
+  out.cut_by_time = answer.why.cause == routing::EndCause::kAim;
   Finish(answer.query, std::move(out), answer.why);
 }
 
-void Core::Act(const tinsail::Refuse& refuse) {
+void Core::Act(const routing::Refuse& refuse) {
   FinalAnswer out;
   out.verdict = Verdict::kRefused;
   out.retry_after_us = refuse.retry_after_us;
   Finish(refuse.query, std::move(out), refuse.why);
 }
 
-void Core::Act(const tinsail::Fail& fail) { Finish(fail.query, {}, fail.why); }
+void Core::Act(const routing::Fail& fail) { Finish(fail.query, {}, fail.why); }
 
-void Core::Finish(Id id, FinalAnswer answer, const tinsail::EndWhy& why) {
+void Core::Finish(Id id, FinalAnswer answer, const routing::EndWhy& why) {
   const OpenQuery* query = book_.Query(id);
   if (query == nullptr) return;
   std::shared_ptr<ClientReply> reply = query->reply;
@@ -50,4 +50,4 @@
   open_queries_.fetch_sub(1);
 }
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
--- a/src/core/pace.h
+++ b/src/coordinator/round_pacer.h
@@ -2,27 +2,27 @@
 // its own. Never sooner than a resolution after the last one began. A round costs the more the more holders
 // and open parts there are (some 50 us with 170 of each), and answers to a wide query come all the time: on a
 // small share of a core a round for each resolution would take most of it.
-#ifndef LIFTRUDDER_CORE_PACE_H_
-#define LIFTRUDDER_CORE_PACE_H_
+#ifndef LIFTRUDDER_COORDINATOR_ROUND_PACER_H_
+#define LIFTRUDDER_COORDINATOR_ROUND_PACER_H_
 
 #include <algorithm>
 
-#include "tinsail/tinsail.h"
+#include "routing/router.h"
 
-namespace liftrudder::core {
+namespace liftrudder::coordinator {
 
 class Pace {
  public:
-  using Micros = tinsail::Micros;
+  using Micros = routing::Micros;
 
   // Rounds for answers and timers get this share of the time, and are no further apart than that share of the
   // least aim: by so much an answer may come later.
   static constexpr double kRounds = 0.1;
   static constexpr double kMostApart = 0.01;
 
-  explicit Pace(const tinsail::Settings& settings) : resolution_us_(settings.resolution_us) {
+  explicit Pace(const routing::Settings& settings) : resolution_us_(settings.resolution_us) {
     Micros least = settings.classes.empty() ? 0 : settings.classes[0].aim_us;
-    for (const tinsail::ClassSettings& one : settings.classes) least = std::min(least, one.aim_us);
+    for (const routing::ClassSettings& one : settings.classes) least = std::min(least, one.aim_us);
     most_us_ = std::max(resolution_us_, static_cast<Micros>(kMostApart * static_cast<double>(least)));
     apart_us_ = resolution_us_;
   }
@@ -45,6 +45,6 @@
   Micros began_us_ = 0;
 };
 
-}  // namespace liftrudder::core
+}  // namespace liftrudder::coordinator
 
-#endif  // LIFTRUDDER_CORE_PACE_H_
+#endif  // LIFTRUDDER_COORDINATOR_ROUND_PACER_H_
--- a/src/why/ends.h
+++ b/src/decision_log/attempt_result.h
@@ -1,11 +1,11 @@
 // How an attempt can end: the values that both the core and the record of decisions speak. Plain data, any
 // thread.
-#ifndef LIFTRUDDER_WHY_ENDS_H_
-#define LIFTRUDDER_WHY_ENDS_H_
+#ifndef LIFTRUDDER_DECISION_LOG_ATTEMPT_RESULT_H_
+#define LIFTRUDDER_DECISION_LOG_ATTEMPT_RESULT_H_
 
 #include <cstdint>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 // How far an attempt had come when it ended, and why it ended. Whether it may have run follows from these
 // alone.
@@ -22,6 +22,6 @@
   kLeft    // its client had gone
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_ENDS_H_
+#endif  // LIFTRUDDER_DECISION_LOG_ATTEMPT_RESULT_H_
--- a/src/why/counts.cpp
+++ b/src/decision_log/counts.cpp
@@ -1,10 +1,10 @@
-#include "why/counts.h"
+#include "decision_log/counts.h"
 
 #include <array>
 
-#include "why/arena.h"
+#include "decision_log/record_file.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 static_assert(kTallyEnds <= kTallies, "the tables of counts have no room for a new kind");
@@ -62,18 +62,18 @@
 std::string_view Name(FrontKind value) { return Pick(kFrontNames, value); }
 std::string_view Name(Progress value) { return Pick(kProgressNames, value); }
 std::string_view Name(Cause value) { return Pick(kCauseNames, value); }
-std::string_view Name(tinsail::OutcomeCode value) { return Pick(kOutcomeNames, value); }
-std::string_view Name(tinsail::Standing value) { return Pick(kStandingNames, value); }
-std::string_view Name(tinsail::SendKind value) { return Pick(kSendNames, value); }
-std::string_view Name(tinsail::EndCause value) { return Pick(kEndNames, value); }
-std::string_view Name(tinsail::CancelWhy value) { return Pick(kCancelNames, value); }
-std::string_view Name(tinsail::CloseWhy value) { return Pick(kCloseNames, value); }
-std::string_view Name(tinsail::HeldWhy value) { return Pick(kHeldNames, value); }
+std::string_view Name(routing::OutcomeCode value) { return Pick(kOutcomeNames, value); }
+std::string_view Name(routing::Standing value) { return Pick(kStandingNames, value); }
+std::string_view Name(routing::SendKind value) { return Pick(kSendNames, value); }
+std::string_view Name(routing::EndCause value) { return Pick(kEndNames, value); }
+std::string_view Name(routing::CancelWhy value) { return Pick(kCancelNames, value); }
+std::string_view Name(routing::CloseWhy value) { return Pick(kCloseNames, value); }
+std::string_view Name(routing::HeldWhy value) { return Pick(kHeldNames, value); }
 
 std::optional<Verdict> VerdictOf(std::string_view name) { return Place<Verdict>(kVerdictNames, name); }
-std::optional<tinsail::EndCause> EndCauseOf(std::string_view name) {
-  return Place<tinsail::EndCause>(kEndNames, name);
+std::optional<routing::EndCause> EndCauseOf(std::string_view name) {
+  return Place<routing::EndCause>(kEndNames, name);
 }
 std::optional<Door> DoorOf(std::string_view name) { return Place<Door>(kDoorNames, name); }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/counts.h
+++ b/src/decision_log/counts.h
@@ -1,16 +1,16 @@
 // What the record speaks beside the module's own reasons: verdicts, refusals at the door, kinds of count; and
 // the word for each value, the same in JSON, text and filters. Plain values, any thread.
-#ifndef LIFTRUDDER_WHY_COUNTS_H_
-#define LIFTRUDDER_WHY_COUNTS_H_
+#ifndef LIFTRUDDER_DECISION_LOG_COUNTS_H_
+#define LIFTRUDDER_DECISION_LOG_COUNTS_H_
 
 #include <cstdint>
 #include <optional>
 #include <string_view>
 
-#include "tinsail/tinsail.h"
-#include "why/ends.h"
+#include "routing/router.h"
+#include "decision_log/attempt_result.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 enum class Verdict : std::uint8_t { kOpen, kWhole, kPartial, kRefused, kFailed, kLate, kGone, kTurnedAway };
 constexpr std::size_t kVerdicts = 8;
@@ -32,14 +32,14 @@
 
 // Where a count lies in the record's tables: one row a second, and the totals.
 constexpr std::size_t kTallyVerdict = 0;                      // + Verdict
-constexpr std::size_t kTallyEnd = kTallyVerdict + kVerdicts;  // + tinsail::EndCause
+constexpr std::size_t kTallyEnd = kTallyVerdict + kVerdicts;  // + routing::EndCause
 constexpr std::size_t kTallyDoor = kTallyEnd + 16;            // + Door
-constexpr std::size_t kTallySend = kTallyDoor + 12;           // + tinsail::SendKind
-constexpr std::size_t kTallyAfter = kTallySend + 8;           // + tinsail::OutcomeCode, of resends
-constexpr std::size_t kTallyHeld = kTallyAfter + 8;           // + tinsail::HeldWhy
+constexpr std::size_t kTallySend = kTallyDoor + 12;           // + routing::SendKind
+constexpr std::size_t kTallyAfter = kTallySend + 8;           // + routing::OutcomeCode, of resends
+constexpr std::size_t kTallyHeld = kTallyAfter + 8;           // + routing::HeldWhy
 constexpr std::size_t kTallyDropped = kTallyHeld + 12;        // + Group: let go of to make room
 constexpr std::size_t kTallyLost = kTallyDropped + 8;         // + Lost: never written
-constexpr std::size_t kTallyClose = kTallyLost + 6;           // + tinsail::CloseWhy
+constexpr std::size_t kTallyClose = kTallyLost + 6;           // + routing::CloseWhy
 constexpr std::size_t kTallyEnds = kTallyClose + 2;
 
 // What a kept query counts as when room is short.
@@ -66,19 +66,19 @@
 std::string_view Name(FrontKind value);
 std::string_view Name(Progress value);
 std::string_view Name(Cause value);
-std::string_view Name(tinsail::OutcomeCode value);
-std::string_view Name(tinsail::Standing value);
-std::string_view Name(tinsail::SendKind value);
-std::string_view Name(tinsail::EndCause value);
-std::string_view Name(tinsail::CancelWhy value);
-std::string_view Name(tinsail::CloseWhy value);
-std::string_view Name(tinsail::HeldWhy value);
+std::string_view Name(routing::OutcomeCode value);
+std::string_view Name(routing::Standing value);
+std::string_view Name(routing::SendKind value);
+std::string_view Name(routing::EndCause value);
+std::string_view Name(routing::CancelWhy value);
+std::string_view Name(routing::CloseWhy value);
+std::string_view Name(routing::HeldWhy value);
 
 std::optional<Verdict> VerdictOf(std::string_view name);
 // The value whose name this is, of the module's ends or of the door's.
-std::optional<tinsail::EndCause> EndCauseOf(std::string_view name);
+std::optional<routing::EndCause> EndCauseOf(std::string_view name);
 std::optional<Door> DoorOf(std::string_view name);
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_COUNTS_H_
+#endif  // LIFTRUDDER_DECISION_LOG_COUNTS_H_
--- a/src/why/mailbox.h
+++ b/src/decision_log/event_queue.h
@@ -1,7 +1,7 @@
 // A bounded box of notes from many threads to the record's one writer (after D. Vyukov's bounded queue).
 // Takes a note or says that it is full; waits for nobody, allocates only when it is made.
-#ifndef LIFTRUDDER_WHY_MAILBOX_H_
-#define LIFTRUDDER_WHY_MAILBOX_H_
+#ifndef LIFTRUDDER_DECISION_LOG_EVENT_QUEUE_H_
+#define LIFTRUDDER_DECISION_LOG_EVENT_QUEUE_H_
 
 #include <array>
 #include <atomic>
@@ -10,9 +10,9 @@
 #include <memory>
 #include <string_view>
 
-#include "why/counts.h"
+#include "decision_log/counts.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 constexpr std::size_t kNoteId = 96;  // bytes of a call id that are kept; the rest goes into its hash only
 
@@ -89,6 +89,6 @@
   std::atomic<std::uint64_t> lost_{0};
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_MAILBOX_H_
+#endif  // LIFTRUDDER_DECISION_LOG_EVENT_QUEUE_H_
--- a/src/why/explain.cpp
+++ b/src/decision_log/explain.cpp
@@ -1,19 +1,19 @@
 // Answers about several queries, and the summary.
-#include "why/explain.h"
+#include "decision_log/explain.h"
 
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 using Json = nlohmann::ordered_json;
-using tinsail::CloseWhy;
-using tinsail::EndCause;
-using tinsail::HeldWhy;
-using tinsail::OutcomeCode;
-using tinsail::SendKind;
+using routing::CloseWhy;
+using routing::EndCause;
+using routing::HeldWhy;
+using routing::OutcomeCode;
+using routing::SendKind;
 
 std::string ReasonOf(const Sighting& seen) {
   return std::string(seen.verdict == Verdict::kTurnedAway ? Name(static_cast<Door>(seen.cause))
@@ -178,4 +178,4 @@
   return out.dump(-1, ' ', true, Json::error_handler_t::replace);
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/explain.h
+++ b/src/decision_log/explain.h
@@ -1,14 +1,14 @@
 // Puts what the record holds into words: a text that a coordinator understands, or JSON. Decides nothing,
 // does no I/O. Any thread. Names that clients chose are escaped wherever they are not plain ASCII, and
 // results are bounded in bytes.
-#ifndef LIFTRUDDER_WHY_EXPLAIN_H_
-#define LIFTRUDDER_WHY_EXPLAIN_H_
+#ifndef LIFTRUDDER_DECISION_LOG_EXPLAIN_H_
+#define LIFTRUDDER_DECISION_LOG_EXPLAIN_H_
 
 #include <string>
 
-#include "why/reader.h"
+#include "decision_log/reader.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 constexpr std::size_t kMostReply = 512 * 1024;  // bytes; queries beyond are left out and that is said
 
@@ -43,8 +43,8 @@
 std::string Escaped(std::string_view text);
 // As 2026-12-01T09:30:00.000Z.
 std::string WallTime(std::int64_t us);
-bool MayHaveRun(tinsail::OutcomeCode code);
+bool MayHaveRun(routing::OutcomeCode code);
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_EXPLAIN_H_
+#endif  // LIFTRUDDER_DECISION_LOG_EXPLAIN_H_
--- a/src/why/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -2,13 +2,13 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "why/explain.h"
+#include "decision_log/explain.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 using Json = nlohmann::ordered_json;
-using tinsail::SendKind;
+using routing::SendKind;
 
 Json Number(double value) { return std::isfinite(value) ? Json(value) : Json(nullptr); }
 Json Milliseconds(std::int64_t us) { return Json(static_cast<double>(us) / 1000); }
@@ -98,4 +98,4 @@
   return out.dump(-1, ' ', true, Json::error_handler_t::replace);
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/desk.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -1,4 +1,4 @@
-#include "why/desk.h"
+#include "decision_log/explain_service.h"
 
 #include <fmt/format.h>
 
@@ -10,9 +10,9 @@
 #include <optional>
 #include <thread>
 
-#include "why/explain.h"
+#include "decision_log/explain.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 constexpr std::size_t kMostStories = 500;
@@ -143,4 +143,4 @@
                     std::get<Question>(question));
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/desk.h
+++ b/src/decision_log/explain_service.h
@@ -1,8 +1,8 @@
 // Answers questions about the record, for the fronts' `/-/why` page and for the command line: reads the
 // filter, bounds how often and how much is read, and puts the answer into text or JSON. Knows no socket. Any
 // thread; one question at a time, the others are turned away.
-#ifndef LIFTRUDDER_WHY_DESK_H_
-#define LIFTRUDDER_WHY_DESK_H_
+#ifndef LIFTRUDDER_DECISION_LOG_EXPLAIN_SERVICE_H_
+#define LIFTRUDDER_DECISION_LOG_EXPLAIN_SERVICE_H_
 
 #include <atomic>
 #include <functional>
@@ -12,9 +12,9 @@
 #include <variant>
 #include <vector>
 
-#include "why/reader.h"
+#include "decision_log/reader.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 using Parameters = std::vector<std::pair<std::string, std::string>>;  // names and values, unescaped
 
@@ -56,6 +56,6 @@
   std::int64_t filled_us_ = 0;
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_DESK_H_
+#endif  // LIFTRUDDER_DECISION_LOG_EXPLAIN_SERVICE_H_
--- a/src/why/explain_text.cpp
+++ b/src/decision_log/explain_text.cpp
@@ -4,16 +4,16 @@
 #include <ctime>
 #include <iterator>
 
-#include "why/explain.h"
+#include "decision_log/explain.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
-using tinsail::EndCause;
-using tinsail::HeldWhy;
-using tinsail::OutcomeCode;
-using tinsail::SendKind;
-using tinsail::Standing;
+using routing::EndCause;
+using routing::HeldWhy;
+using routing::OutcomeCode;
+using routing::SendKind;
+using routing::Standing;
 
 std::string Seconds(std::int64_t us) { return fmt::format("{:.3f} s", static_cast<double>(us) / 1e6); }
 
@@ -346,10 +346,10 @@
       out += fmt::format("    {} it {} {}, {}.\n", Seconds(one.at_us), WhySent(one), Escaped(one.holder.id),
                          WhyThere(one));
       if (one.cancelled_us && (!one.ended_us || one.cause != Cause::kServed)) {
-        const char* why = one.cancel_why == tinsail::CancelWhy::kAnswered
+        const char* why = one.cancel_why == routing::CancelWhy::kAnswered
                               ? "another attempt had been answered"
-                          : one.cancel_why == tinsail::CancelWhy::kQueryOver ? "the query was over"
-                          : one.cancel_why == tinsail::CancelWhy::kLooksSick ? "its holder looked sick"
+                          : one.cancel_why == routing::CancelWhy::kQueryOver ? "the query was over"
+                          : one.cancel_why == routing::CancelWhy::kLooksSick ? "its holder looked sick"
                                                                              : "its connection seemed dead";
         out += fmt::format("    {} that attempt was called off: {}.\n", Seconds(*one.cancelled_us), why);
       }
@@ -375,4 +375,4 @@
   return out;
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -1,4 +1,4 @@
-#include "why/reader.h"
+#include "decision_log/reader.h"
 
 #include <algorithm>
 #include <array>
@@ -6,9 +6,9 @@
 #include <cstring>
 #include <map>
 
-#include "why/recorder.h"
+#include "decision_log/recorder.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 constexpr std::size_t kPauseEvery = 256;  // blocks
@@ -127,7 +127,7 @@
   for (std::size_t i = 0; i < count; ++i) {
     std::uint32_t high = High(words[i]);
     out.push_back({Holder(Low(words[i])), static_cast<int>(high & 0xffff),
-                   static_cast<tinsail::Standing>(high >> 16 & 0xff), (high >> 24) != 0});
+                   static_cast<routing::Standing>(high >> 16 & 0xff), (high >> 24) != 0});
   }
   return out;
 }
@@ -182,8 +182,8 @@
         AttemptStory sent;
         std::uint32_t how = High(event[1]);
         sent.number = static_cast<int>(how & 0xff);
-        sent.kind = static_cast<tinsail::SendKind>(how >> 8 & 0xff);
-        sent.after = static_cast<tinsail::OutcomeCode>(how >> 16 & 0xff);
+        sent.kind = static_cast<routing::SendKind>(how >> 8 & 0xff);
+        sent.after = static_cast<routing::OutcomeCode>(how >> 16 & 0xff);
         sent.holder = Holder(Low(event[1]));
         sent.at_us = time;
         sent.timeout_us = Low(event[2]);
@@ -195,7 +195,7 @@
       case EventKind::kEnd:
         if (AttemptStory* one = attempt(Byte(event[1], 0))) {
           one->ended_us = time;
-          one->outcome = static_cast<tinsail::OutcomeCode>(Byte(event[1], 1));
+          one->outcome = static_cast<routing::OutcomeCode>(Byte(event[1], 1));
           one->progress = static_cast<Progress>(Byte(event[1], 2));
           one->cause = static_cast<Cause>(Byte(event[1], 3));
         }
@@ -203,17 +203,17 @@
       case EventKind::kCancel:
         if (AttemptStory* one = attempt(Byte(event[1], 0))) {
           one->cancelled_us = time;
-          one->cancel_why = static_cast<tinsail::CancelWhy>(Byte(event[1], 1));
+          one->cancel_why = static_cast<routing::CancelWhy>(Byte(event[1], 1));
         }
         break;
       case EventKind::kHeld:
-        part()->held.push_back({time, static_cast<tinsail::HeldWhy>(Byte(event[2], 0)), Real(Low(event[1])),
+        part()->held.push_back({time, static_cast<routing::HeldWhy>(Byte(event[2], 0)), Real(Low(event[1])),
                                 Real(High(event[1])),
                                 Choice(event + 3, std::min<std::size_t>(Byte(event[2], 4), size - 3))});
         break;
       case EventKind::kFinal:
         story.verdict = static_cast<Verdict>(operand & 0xff);
-        story.cause = static_cast<tinsail::EndCause>(operand >> 8);
+        story.cause = static_cast<routing::EndCause>(operand >> 8);
         story.ended_us = time;
         story.figure = Real(Low(event[1]));
         story.bound = Real(High(event[1]));
@@ -363,4 +363,4 @@
   return out;
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/reader.h
+++ b/src/decision_log/reader.h
@@ -2,8 +2,8 @@
 // filter and puts their lives together from blocks that may be changing under it. Never waits for the writer
 // and holds nothing it wants. Any thread; each call allocates what it returns and the index of heads, bounded
 // by the record's size.
-#ifndef LIFTRUDDER_WHY_READER_H_
-#define LIFTRUDDER_WHY_READER_H_
+#ifndef LIFTRUDDER_DECISION_LOG_READER_H_
+#define LIFTRUDDER_DECISION_LOG_READER_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "why/arena.h"
-#include "why/counts.h"
+#include "decision_log/record_file.h"
+#include "decision_log/counts.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 struct HolderName {
   std::uint32_t number = 0;
@@ -24,7 +24,7 @@
 struct ConsideredStory {
   HolderName holder;
   int out = 0;
-  tinsail::Standing standing = tinsail::Standing::kFit;
+  routing::Standing standing = routing::Standing::kFit;
   bool eligible = false;
 };
 
@@ -33,21 +33,21 @@
   HolderName holder;
   std::int64_t at_us = 0;  // all times: since the query's arrival
   std::int64_t timeout_us = 0;
-  tinsail::SendKind kind = tinsail::SendKind::kFirst;
-  tinsail::OutcomeCode after = tinsail::OutcomeCode::kOk;
+  routing::SendKind kind = routing::SendKind::kFirst;
+  routing::OutcomeCode after = routing::OutcomeCode::kOk;
   std::vector<ConsideredStory> considered;
   int unlisted = 0;
   std::optional<std::int64_t> cancelled_us;
-  tinsail::CancelWhy cancel_why = tinsail::CancelWhy::kAnswered;
+  routing::CancelWhy cancel_why = routing::CancelWhy::kAnswered;
   std::optional<std::int64_t> ended_us;  // none: still out, or the record ends before
-  tinsail::OutcomeCode outcome = tinsail::OutcomeCode::kOk;
+  routing::OutcomeCode outcome = routing::OutcomeCode::kOk;
   Progress progress = Progress::kNotConnected;
   Cause cause = Cause::kServed;
 };
 
 struct HeldStory {
   std::int64_t at_us = 0;
-  tinsail::HeldWhy why = tinsail::HeldWhy::kNone;
+  routing::HeldWhy why = routing::HeldWhy::kNone;
   double figure = 0, bound = 0;
   std::vector<ConsideredStory> considered;
 };
@@ -82,7 +82,7 @@
   std::vector<PartStory> parts;
   Verdict verdict = Verdict::kOpen;
   Door door = Door::kNone;
-  tinsail::EndCause cause = tinsail::EndCause::kUnstated;
+  routing::EndCause cause = routing::EndCause::kUnstated;
   double figure = 0, bound = 0;
   HolderName blamed;  // of kHot
   std::int64_t ended_us = 0, retry_after_us = 0;
@@ -158,6 +158,6 @@
   About about_;
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_READER_H_
+#endif  // LIFTRUDDER_DECISION_LOG_READER_H_
--- a/src/why/arena.cpp
+++ b/src/decision_log/record_file.cpp
@@ -1,4 +1,4 @@
-#include "why/arena.h"
+#include "decision_log/record_file.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 constexpr std::size_t kPage = 4096;
@@ -187,4 +187,4 @@
   return Cell::kBusy;
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/arena.h
+++ b/src/decision_log/record_file.h
@@ -2,8 +2,8 @@
 // Either plain memory or a mapped file that outlives the process. Decides nothing and never grows; the one
 // writer and any number of readers may use it at once, word by word. Words are written with release and read
 // with acquire.
-#ifndef LIFTRUDDER_WHY_ARENA_H_
-#define LIFTRUDDER_WHY_ARENA_H_
+#ifndef LIFTRUDDER_DECISION_LOG_RECORD_FILE_H_
+#define LIFTRUDDER_DECISION_LOG_RECORD_FILE_H_
 
 #include <atomic>
 #include <cstddef>
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 constexpr std::uint32_t kFormatVersion = 2;
 constexpr std::size_t kHeaderBytes = 4096;
@@ -96,6 +96,6 @@
   bool summed_;
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_ARENA_H_
+#endif  // LIFTRUDDER_DECISION_LOG_RECORD_FILE_H_
--- a/src/why/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -1,4 +1,4 @@
-#include "why/recorder.h"
+#include "decision_log/recorder.h"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <bit>
 #include <cstring>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 constexpr std::size_t kMailSize = 256;    // notes
@@ -260,9 +260,9 @@
          std::uint64_t{operand & 0xffff} << 16 | std::uint64_t{time} << 32;
 }
 
-void Recorder::AddChoice(const tinsail::Choice& choice, std::uint64_t* words, std::size_t& count) const {
+void Recorder::AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const {
   for (std::size_t i = 0; i < choice.count; ++i) {
-    const tinsail::Considered& one = choice.replicas[i];
+    const routing::Considered& one = choice.replicas[i];
     words[count++] =
         Pair(one.replica.address, std::uint32_t{one.out} |
                                       std::uint32_t{static_cast<std::uint8_t>(one.standing)} << 16 |
@@ -336,21 +336,21 @@
   }
 }
 
-void Recorder::Sent(std::uint32_t query, int part, int attempt, const tinsail::Send& send) {
+void Recorder::Sent(std::uint32_t query, int part, int attempt, const routing::Send& send) {
   std::uint32_t holder = send.replica.address;
   CountHolder(holder, HolderTally::kSent);
   Count(kTallySend + static_cast<std::size_t>(send.why.kind));
-  if (send.why.kind == tinsail::SendKind::kResend)
+  if (send.why.kind == routing::SendKind::kResend)
     Count(kTallyAfter + static_cast<std::size_t>(send.why.after));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   if (attempt > 0) {
     entry->eventful = true;
-    if (entry->blamed != 0 && send.why.kind == tinsail::SendKind::kResend)
+    if (entry->blamed != 0 && send.why.kind == routing::SendKind::kResend)
       CountHolder(entry->blamed, HolderTally::kResentAfter);
   }
   std::array<std::uint64_t, kMostEvent> words;
-  const tinsail::Choice& choice = send.why.choice;
+  const routing::Choice& choice = send.why.choice;
   words[1] =
       Pair(holder, static_cast<std::uint32_t>(attempt & 0xff) |
                        std::uint32_t{static_cast<std::uint8_t>(send.why.kind)} << 8 |
@@ -364,10 +364,10 @@
 }
 
 void Recorder::Ended(std::uint32_t query, int part, int attempt, std::uint32_t holder,
-                     tinsail::OutcomeCode code, Progress progress, Cause cause) {
+                     routing::OutcomeCode code, Progress progress, Cause cause) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  using tinsail::OutcomeCode;
+  using routing::OutcomeCode;
   if (code != OutcomeCode::kOk && code != OutcomeCode::kCancelled && code != OutcomeCode::kMoot)
     entry->blamed = holder;
   std::uint64_t words[2] = {First(EventKind::kEnd, 2, static_cast<std::uint32_t>(part), Since(*entry)),
@@ -378,10 +378,10 @@
   Append(*entry, words);
 }
 
-void Recorder::Cancelled(std::uint32_t query, int part, const tinsail::Cancel& cancel) {
+void Recorder::Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  using tinsail::CancelWhy;
+  using routing::CancelWhy;
   entry->eventful |= cancel.why == CancelWhy::kLooksSick || cancel.why == CancelWhy::kDeadConnection;
   std::uint64_t words[2] = {First(EventKind::kCancel, 2, static_cast<std::uint32_t>(part), Since(*entry)),
                             static_cast<std::uint64_t>(cancel.attempt & 0xff) |
@@ -389,15 +389,15 @@
   Append(*entry, words);
 }
 
-void Recorder::Closed(const tinsail::Close& close) {
+void Recorder::Closed(const routing::Close& close) {
   Count(kTallyClose + static_cast<std::size_t>(close.why));
 }
 
-void Recorder::Held(std::uint32_t query, int part, const tinsail::PartHeld& held) {
+void Recorder::Held(std::uint32_t query, int part, const routing::PartHeld& held) {
   Count(kTallyHeld + static_cast<std::size_t>(held.why));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  entry->eventful |= held.why != tinsail::HeldWhy::kCut && held.why != tinsail::HeldWhy::kHeadStart;
+  entry->eventful |= held.why != routing::HeldWhy::kCut && held.why != routing::HeldWhy::kHeadStart;
   std::array<std::uint64_t, kMostEvent> words;
   words[1] = Pair(held.figure, held.bound);
   words[2] = Pair(static_cast<std::uint8_t>(held.why),
@@ -408,7 +408,7 @@
   Append(*entry, {words.data(), count});
 }
 
-void Recorder::Final(std::uint32_t query, Verdict verdict, const tinsail::EndWhy& why, Door door,
+void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::EndWhy& why, Door door,
                      std::int64_t retry_after_us, int pieces) {
   Count(kTallyVerdict + static_cast<std::size_t>(verdict));
   Count(kTallyEnd + static_cast<std::size_t>(why.cause));
@@ -418,7 +418,7 @@
   entry->ended = true;
   bool given_up = verdict == Verdict::kRefused || verdict == Verdict::kFailed || verdict == Verdict::kLate;
   std::uint32_t whose = why.replica.address != 0 ? why.replica.address : entry->blamed;
-  if (given_up && whose != 0 && why.cause != tinsail::EndCause::kPressure)
+  if (given_up && whose != 0 && why.cause != routing::EndCause::kPressure)
     CountHolder(whose, HolderTally::kRefusedFor);
   if (verdict == Verdict::kPartial && entry->blamed != 0) CountHolder(entry->blamed, HolderTally::kMissing);
   auto cause = static_cast<std::uint8_t>(why.cause);
@@ -549,4 +549,4 @@
                                         static_cast<std::uint32_t>(id_hash & 0xff) << 24));
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/recorder.h
+++ b/src/decision_log/recorder.h
@@ -2,8 +2,8 @@
 // keeps it in an Arena of fixed size. Decides nothing about queries; what it lets go of, Retention decides.
 // Everything but Tell is the core's thread alone; Tell is for any thread. It allocates when it is made and
 // never again.
-#ifndef LIFTRUDDER_WHY_RECORDER_H_
-#define LIFTRUDDER_WHY_RECORDER_H_
+#ifndef LIFTRUDDER_DECISION_LOG_RECORDER_H_
+#define LIFTRUDDER_DECISION_LOG_RECORDER_H_
 
 #include <atomic>
 #include <cstdint>
@@ -12,13 +12,13 @@
 #include <string_view>
 #include <vector>
 
-#include "tinsail/tinsail.h"
-#include "why/arena.h"
-#include "why/counts.h"
-#include "why/mailbox.h"
-#include "why/retention.h"
+#include "routing/router.h"
+#include "decision_log/record_file.h"
+#include "decision_log/counts.h"
+#include "decision_log/event_queue.h"
+#include "decision_log/retention_policy.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 // One event in a block: whole words, the first with its kind, number of words, an operand and the time since
 // the query's arrival. docs/design/why.md has the words of each.
@@ -73,14 +73,14 @@
   void Now(std::int64_t now_us) { now_us_ = now_us; }
   void Holder(std::uint32_t number, std::string_view id, std::string_view addr);
   void Open(const Opened& query, std::span<const OpenedPart> parts);
-  void Sent(std::uint32_t query, int part, int attempt, const tinsail::Send& send);
-  void Ended(std::uint32_t query, int part, int attempt, std::uint32_t holder, tinsail::OutcomeCode code,
+  void Sent(std::uint32_t query, int part, int attempt, const routing::Send& send);
+  void Ended(std::uint32_t query, int part, int attempt, std::uint32_t holder, routing::OutcomeCode code,
              Progress progress, Cause cause);
-  void Cancelled(std::uint32_t query, int part, const tinsail::Cancel& cancel);
-  void Closed(const tinsail::Close& close);
-  void Held(std::uint32_t query, int part, const tinsail::PartHeld& held);
+  void Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel);
+  void Closed(const routing::Close& close);
+  void Held(std::uint32_t query, int part, const routing::PartHeld& held);
   // The module's last word, or the front's (`door`) where that came first.
-  void Final(std::uint32_t query, Verdict verdict, const tinsail::EndWhy& why, Door door,
+  void Final(std::uint32_t query, Verdict verdict, const routing::EndWhy& why, Door door,
              std::int64_t retry_after_us, int pieces);
   // Takes the fronts' notes in and makes all that was written since the last call readable.
   void Flush();
@@ -113,7 +113,7 @@
   std::size_t WordOf(std::uint32_t block) const { return arena_.layout().block_at + block * kBlockWords; }
   std::uint32_t Since(const Entry& entry) const;
   std::uint64_t First(EventKind kind, std::size_t words, std::uint32_t operand, std::uint32_t time) const;
-  void AddChoice(const tinsail::Choice& choice, std::uint64_t* words, std::size_t& count) const;
+  void AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const;
 
   void Count(std::size_t kind, std::uint64_t n = 1);
   void CountHolder(std::uint32_t holder, HolderTally kind);
@@ -151,6 +151,6 @@
 // Of a client's own name for a request, which fronts cut at kNoteId bytes before they keep it.
 std::uint64_t HashLabel(std::string_view label);
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_RECORDER_H_
+#endif  // LIFTRUDDER_DECISION_LOG_RECORDER_H_
--- a/src/why/retention.cpp
+++ b/src/decision_log/retention_policy.cpp
@@ -1,8 +1,8 @@
-#include "why/retention.h"
+#include "decision_log/retention_policy.h"
 
 #include <algorithm>
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 namespace {
 
 // Shares of the groups, in the order of Group: what coordinators ask about before what is ordinary. Relative.
@@ -142,4 +142,4 @@
   place.before = place.after = kNone;
 }
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
--- a/src/why/retention.h
+++ b/src/decision_log/retention_policy.h
@@ -6,17 +6,17 @@
 // its group's worth to those who ask; what it does not use is lent, and called back as it fills. Within a
 // stratum, queries lie in slices of time that widen with age, so that a burst thins out its own seconds and
 // not the minutes before it.
-#ifndef LIFTRUDDER_WHY_RETENTION_H_
-#define LIFTRUDDER_WHY_RETENTION_H_
+#ifndef LIFTRUDDER_DECISION_LOG_RETENTION_POLICY_H_
+#define LIFTRUDDER_DECISION_LOG_RETENTION_POLICY_H_
 
 #include <array>
 #include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "why/counts.h"
+#include "decision_log/counts.h"
 
-namespace liftrudder::why {
+namespace liftrudder::decision_log {
 
 constexpr std::size_t kClassStrata = 4;  // classes beyond these share the last
 constexpr std::size_t kStrata = kGroups * kClassStrata;
@@ -75,6 +75,6 @@
   std::uint64_t random_;
 };
 
-}  // namespace liftrudder::why
+}  // namespace liftrudder::decision_log
 
-#endif  // LIFTRUDDER_WHY_RETENTION_H_
+#endif  // LIFTRUDDER_DECISION_LOG_RETENTION_POLICY_H_
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kHeader = 12;
 constexpr int kOpcodeUpdate = 5;
 constexpr int kMaxPointers = 32;  // a name that jumps more often goes in circles
-constexpr core::Micros kSlice = 200'000, kMessageWait = 2'000'000, kIdleWait = 30'000'000;
+constexpr coordinator::Micros kSlice = 200'000, kMessageWait = 2'000'000, kIdleWait = 30'000'000;
 
 struct BadMessage {};
 
@@ -214,8 +214,8 @@
   return out;
 }
 
-ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener, core::Directory& directory,
-                       core::Core& core, const core::Clock& clock)
+ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::Directory& directory,
+                       coordinator::Core& core, const coordinator::Clock& clock)
     : zone_(std::move(zone)),
       service_(std::move(service)),
       listener_(std::move(listener)),
@@ -240,9 +240,9 @@
 
 void ZoneSource::Serve(const net::Fd& client) {
   std::string in;
-  core::Micros heard_us = clock_.Now();
+  coordinator::Micros heard_us = clock_.Now();
   while (!stopping_) {
-    core::Micros silent_us = clock_.Now() - heard_us;
+    coordinator::Micros silent_us = clock_.Now() - heard_us;
     if (silent_us > (in.empty() ? kIdleWait : kMessageWait)) return;
     net::Io got = net::ReadSome(client, in, kSlice);
     if (got == net::Io::kTimeout) continue;
@@ -264,13 +264,13 @@
 
 // The difference between what the zone now says and what was told.
 void ZoneSource::Tell(bool first) {
-  core::HolderList list;
+  coordinator::HolderList list;
   list.version = ++version_;
-  list.kind = first ? tinsail::ListKind::kFull : tinsail::ListKind::kDelta;
-  std::map<std::string, core::HolderEntry> now = Holders(zone_, service_);
+  list.kind = first ? routing::ListKind::kFull : routing::ListKind::kDelta;
+  std::map<std::string, coordinator::HolderEntry> now = Holders(zone_, service_);
   for (auto& [id, entry] : now) {
     auto before = told_.find(id);
-    bool ready = before != told_.end() && before->second.told.availability == tinsail::Availability::kReady;
+    bool ready = before != told_.end() && before->second.told.availability == routing::Availability::kReady;
     // One that appears in an update has most likely just started; taken for warm it could be pushed over.
     if (!first && !ready && entry.told.launched_us == 0) entry.told.launched_us = clock_.Now();
     if (ready && entry.told.launched_us == 0) entry.told.launched_us = before->second.told.launched_us;
@@ -279,11 +279,11 @@
     if (!same) list.entries.push_back(entry);
   }
   for (auto& [id, entry] : told_) {
-    if (now.contains(id) || entry.told.availability != tinsail::Availability::kReady) continue;
-    entry.told.availability = tinsail::Availability::kDraining;
+    if (now.contains(id) || entry.told.availability != routing::Availability::kReady) continue;
+    entry.told.availability = routing::Availability::kDraining;
     list.entries.push_back(entry);
   }
-  for (core::HolderEntry& entry : list.entries) told_[entry.id] = entry;
+  for (coordinator::HolderEntry& entry : list.entries) told_[entry.id] = entry;
   if (list.entries.empty() && !first) return;
   if (auto news = directory_.Apply(list, clock_.Now())) core_.Post(std::move(*news));
   log::Info("zone {}: {} holders, {} changed", zone_.origin, now.size(), list.entries.size());
--- a/src/dns/update.h
+++ b/src/dns/update.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 #include "dns/zone.h"
 #include "net/socket.h"
 
@@ -25,8 +25,8 @@
 // removed is a drain. Listens on a loopback address only, one connection at a time.
 class ZoneSource {
  public:
-  ZoneSource(Zone zone, std::string service, net::Fd listener, core::Directory& directory, core::Core& core,
-             const core::Clock& clock);
+  ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::Directory& directory, coordinator::Core& core,
+             const coordinator::Clock& clock);
   ~ZoneSource();
 
  private:
@@ -37,10 +37,10 @@
   Zone zone_;
   const std::string service_;
   net::Fd listener_;
-  core::Directory& directory_;
-  core::Core& core_;
-  const core::Clock& clock_;
-  std::map<std::string, core::HolderEntry> told_;
+  coordinator::Directory& directory_;
+  coordinator::Core& core_;
+  const coordinator::Clock& clock_;
+  std::map<std::string, coordinator::HolderEntry> told_;
   std::uint64_t version_ = 0;
   std::atomic<bool> stopping_{false};
   net::Thread thread_;
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -236,11 +236,11 @@
   return zone;
 }
 
-std::map<std::string, core::HolderEntry> Holders(const Zone& zone, const std::string& service) {
-  std::map<std::string, core::HolderEntry> out;
+std::map<std::string, coordinator::HolderEntry> Holders(const Zone& zone, const std::string& service) {
+  std::map<std::string, coordinator::HolderEntry> out;
   for (const Record& record : zone.records) {
     if (record.type != kTypeSrv || record.name != service || record.data.size() < 7) continue;
-    core::HolderEntry entry;
+    coordinator::HolderEntry entry;
     entry.id = NameText(std::string_view(record.data).substr(6));
     auto address = std::ranges::find_if(zone.records, [&entry](const Record& other) {
       return other.type == kTypeA && other.name == entry.id;
--- a/src/identity/callers.cpp
+++ b/src/identity/authenticator.cpp
@@ -1,4 +1,4 @@
-#include "identity/callers.h"
+#include "identity/authenticator.h"
 
 #include <fmt/format.h>
 
--- a/src/identity/callers.h
+++ b/src/identity/authenticator.h
@@ -1,7 +1,7 @@
 // Lets requests in or turns them away: the gate for tokens, and the newest book of tenants' rights. Decides
 // from what it is handed; files are read elsewhere. Any thread.
-#ifndef LIFTRUDDER_IDENTITY_CALLERS_H_
-#define LIFTRUDDER_IDENTITY_CALLERS_H_
+#ifndef LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
+#define LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
 
 #include <memory>
 #include <mutex>
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
-#include "identity/gate.h"
-#include "identity/rights.h"
+#include "identity/token_verifier.h"
+#include "identity/permissions.h"
 
 namespace liftrudder::identity {
 
@@ -76,4 +76,4 @@
 
 }  // namespace liftrudder::identity
 
-#endif  // LIFTRUDDER_IDENTITY_CALLERS_H_
+#endif  // LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
--- a/src/identity/members.h
+++ b/src/identity/json_members.h
@@ -1,6 +1,6 @@
 // Reads the members of an object in an operator's file. Plain class, any thread.
-#ifndef LIFTRUDDER_IDENTITY_MEMBERS_H_
-#define LIFTRUDDER_IDENTITY_MEMBERS_H_
+#ifndef LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
+#define LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
 
 #include <fmt/format.h>
 
@@ -66,4 +66,4 @@
 
 }  // namespace liftrudder::identity
 
-#endif  // LIFTRUDDER_IDENTITY_MEMBERS_H_
+#endif  // LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
--- a/src/identity/rights.cpp
+++ b/src/identity/permissions.cpp
@@ -1,4 +1,4 @@
-#include "identity/rights.h"
+#include "identity/permissions.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include <libcidr.h>
 }
 
-#include "identity/members.h"
+#include "identity/json_members.h"
 #include "identity/strict_json.h"
 
 namespace liftrudder::identity {
--- a/src/identity/rights.h
+++ b/src/identity/permissions.h
@@ -1,7 +1,7 @@
 // What a tenant may ask for and from where: read from the operator's file, then looked up for each request.
 // No I/O. A Book never changes once read; a request that was let in keeps the Rights it was let in with.
-#ifndef LIFTRUDDER_IDENTITY_RIGHTS_H_
-#define LIFTRUDDER_IDENTITY_RIGHTS_H_
+#ifndef LIFTRUDDER_IDENTITY_PERMISSIONS_H_
+#define LIFTRUDDER_IDENTITY_PERMISSIONS_H_
 
 #include <functional>
 #include <map>
@@ -66,4 +66,4 @@
 
 }  // namespace liftrudder::identity
 
-#endif  // LIFTRUDDER_IDENTITY_RIGHTS_H_
+#endif  // LIFTRUDDER_IDENTITY_PERMISSIONS_H_
--- a/src/identity/gate.cpp
+++ b/src/identity/token_verifier.cpp
@@ -1,4 +1,4 @@
-#include "identity/gate.h"
+#include "identity/token_verifier.h"
 
 #include <openssl/sha.h>
 
--- a/src/identity/gate.h
+++ b/src/identity/token_verifier.h
@@ -4,8 +4,8 @@
 //
 // A token is answered from the cache only as long as the very key that signed it may still vouch, so a
 // withdrawal counts for seen tokens from the moment the new set is in place.
-#ifndef LIFTRUDDER_IDENTITY_GATE_H_
-#define LIFTRUDDER_IDENTITY_GATE_H_
+#ifndef LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
+#define LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
 
 #include <array>
 #include <cstdint>
@@ -55,4 +55,4 @@
 
 }  // namespace liftrudder::identity
 
-#endif  // LIFTRUDDER_IDENTITY_GATE_H_
+#endif  // LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
--- a/src/limits/accounts.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -1,4 +1,4 @@
-#include "limits/accounts.h"
+#include "limits/tenant_quotas.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/limits/accounts.h
+++ b/src/limits/tenant_quotas.h
@@ -5,8 +5,8 @@
 // Each tenant's account fills at its share of the rate. What a full account cannot take is lent: it goes into
 // one pool from which any tenant that is out of its own may take, and which holds a quarter of a second's at
 // most. So lending never empties the account of who lends, and nothing has to be called back.
-#ifndef LIFTRUDDER_LIMITS_ACCOUNTS_H_
-#define LIFTRUDDER_LIMITS_ACCOUNTS_H_
+#ifndef LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
+#define LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
 
 #include <cstdint>
 #include <list>
@@ -85,4 +85,4 @@
 
 }  // namespace liftrudder::limits
 
-#endif  // LIFTRUDDER_LIMITS_ACCOUNTS_H_
+#endif  // LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
--- a/src/limits/list_waits.cpp
+++ b/src/limits/watch_timeouts.cpp
@@ -1,11 +1,11 @@
-#include "limits/list_waits.h"
+#include "limits/watch_timeouts.h"
 
 #include <algorithm>
 
 namespace liftrudder::limits {
 namespace {
 
-using tinsail::Micros;
+using routing::Micros;
 
 // Where calls load discovery it is one service for the whole group, and turns away what has waited too long.
 // Asked again by all at once it drowns in the asking and tells nobody anything. So the waits grow with the
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-ListWaits ListWaitsOf(const tinsail::Settings& settings) {
+ListWaits ListWaitsOf(const routing::Settings& settings) {
   if (!settings.must_subscribe) {
     Micros stop = settings.stop_sending_within_us > 0 ? settings.stop_sending_within_us : kStopSending;
     return {0, Share(kAgentServeShare, stop), Share(kAgentFirstShare, stop), Share(kAgentMostShare, stop)};
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,20 +11,20 @@
 
 #include "app/identity_command.h"
 #include "app/identity_files.h"
-#include "app/manage.h"
+#include "app/admin_handler.h"
 #include "app/tls_files.h"
-#include "app/why_command.h"
+#include "app/explain_command.h"
 #include "config/config.h"
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 #include "dns/update.h"
-#include "limits/list_waits.h"
+#include "limits/watch_timeouts.h"
 #include "log/log.h"
 #include "metrics/figures.h"
-#include "net/calls.h"
-#include "net/holder_links.h"
+#include "net/admin_server.h"
+#include "net/endpoint_connection_pool.h"
 #include "net/server.h"
 #include "opensearch/front.h"
-#include "opensearch/holders.h"
+#include "opensearch/endpoint_protocol.h"
 #include "platform/discovery.h"
 #include "platform/frames.h"
 #include "platform/front.h"
@@ -33,8 +33,8 @@
 
 namespace lr = liftrudder;
 
-constexpr lr::core::Micros kStillListening = 700'000;  // after SIGTERM
-constexpr lr::core::Micros kSlice = 50'000;            // how soon a signal is heard while it is ending
+constexpr lr::coordinator::Micros kStillListening = 700'000;  // after SIGTERM
+constexpr lr::coordinator::Micros kSlice = 50'000;            // how soon a signal is heard while it is ending
 
 sigset_t Signals() {
   sigset_t set;
@@ -77,7 +77,7 @@
   }
 }
 
-void Pause(lr::core::Micros span) {
+void Pause(lr::coordinator::Micros span) {
   timespec left{span / 1'000'000, (span % 1'000'000) * 1000};
   while (nanosleep(&left, &left) != 0) {
   }
@@ -90,9 +90,9 @@
 }
 
 // A file that cannot be had is no reason not to serve: the record is kept in memory then, and that is said.
-void StartRecord(const lr::config::Config& config, lr::core::Micros now_us,
-                 std::optional<lr::why::Recorder>& recorder) {
-  lr::why::About about{config.name, now_us, config.classes};
+void StartRecord(const lr::config::Config& config, lr::coordinator::Micros now_us,
+                 std::optional<lr::decision_log::Recorder>& recorder) {
+  lr::decision_log::About about{config.name, now_us, config.classes};
   std::string file = config.why.file;
   try {
     recorder.emplace(config.why.bytes, file, about, config.seed);
@@ -117,8 +117,8 @@
   bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
   if (identity != nullptr && !asks_clients && !identity->callers().book()->by_certificate.empty())
     throw std::runtime_error("identity: a tenant has [certificates], but [tls] asks no client for one");
-  lr::core::Directory directory;
-  lr::core::Core core(config.settings, config.seed, clock, directory, counters);
+  lr::coordinator::Directory directory;
+  lr::coordinator::Core core(config.settings, config.seed, clock, directory, counters);
   lr::platform::FrameDialect frames(config.load_names);
   lr::opensearch::SearchDialect searches;
   const lr::net::Dialect& dialect =
@@ -129,17 +129,17 @@
                              config.budget.holder_connections, config.budget.holders};
   auto links = std::make_unique<lr::net::HolderLinks>(
       dialect, directory, clock, limits, counters, figures,
-      [&core](lr::core::AttemptResult result) { core.Post(std::move(result)); });
+      [&core](lr::coordinator::AttemptResult result) { core.Post(std::move(result)); });
   core.Attach(*links);
-  std::optional<lr::why::Recorder> recorder;
-  std::optional<lr::why::Desk> desk;
+  std::optional<lr::decision_log::Recorder> recorder;
+  std::optional<lr::decision_log::Desk> desk;
   if (config.why.bytes > 0) {
     StartRecord(config, clock.Now(), recorder);
     core.Attach(*recorder);
     desk.emplace(
         recorder->arena(), [&core] { core.Freshen(); }, [&clock] { return clock.Now(); });
   }
-  lr::why::Desk* asked = desk ? &*desk : nullptr;
+  lr::decision_log::Desk* asked = desk ? &*desk : nullptr;
   if (zone.file.empty()) {
     if (auto news = directory.Apply(config.known, clock.Now())) core.Post(std::move(*news));
   }
@@ -163,7 +163,7 @@
   // What cannot be had at the start ends the program with its reason: its thread must not be waited for for
   // ever.
   struct Stopper {
-    lr::core::Core& core;
+    lr::coordinator::Core& core;
     ~Stopper() { core.Stop(); }
   } stopper{core};
   {
@@ -236,9 +236,9 @@
     // Another process holds the passed listener too: it takes in who comes now.
     if (!passed.empty()) server.LeaveListener();
     lr::log::Info("told to end; {} queries are open", core.Open());
-    lr::core::Micros until = clock.Now() + kStillListening;
+    lr::coordinator::Micros until = clock.Now() + kStillListening;
     HearUntil(signals, reload, [&] {
-      lr::core::Micros left = until - clock.Now();
+      lr::coordinator::Micros left = until - clock.Now();
       if (left > 0) Pause(std::min(left, kSlice));
       return left <= 0;
     });
--- a/src/net/calls.cpp
+++ b/src/net/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "net/calls.h"
+#include "net/admin_server.h"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
--- a/src/net/calls.h
+++ b/src/net/admin_server.h
@@ -2,8 +2,8 @@
 // that waits for nothing. One thread of its own does it all, so that no load on the other addresses delays
 // it; it never touches a client's connection. Callers that say nothing or stop half way are bounded in
 // number, time and bytes.
-#ifndef LIFTRUDDER_NET_CALLS_H_
-#define LIFTRUDDER_NET_CALLS_H_
+#ifndef LIFTRUDDER_NET_ADMIN_SERVER_H_
+#define LIFTRUDDER_NET_ADMIN_SERVER_H_
 
 #include <atomic>
 #include <functional>
@@ -52,4 +52,4 @@
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_CALLS_H_
+#endif  // LIFTRUDDER_NET_ADMIN_SERVER_H_
--- a/src/net/client_line.cpp
+++ b/src/net/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/client_line.h"
+#include "net/client_connection.h"
 
 #include <algorithm>
 
--- a/src/net/client_line.h
+++ b/src/net/client_connection.h
@@ -1,7 +1,7 @@
 // A client's connection: its socket, with TLS over it where its listener has that. What is read and written
 // is what the client means.
-#ifndef LIFTRUDDER_NET_CLIENT_LINE_H_
-#define LIFTRUDDER_NET_CLIENT_LINE_H_
+#ifndef LIFTRUDDER_NET_CLIENT_CONNECTION_H_
+#define LIFTRUDDER_NET_CLIENT_CONNECTION_H_
 
 #include <memory>
 #include <string>
@@ -55,4 +55,4 @@
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_CLIENT_LINE_H_
+#endif  // LIFTRUDDER_NET_CLIENT_CONNECTION_H_
--- a/src/net/holder_links.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/holder_links.h"
+#include "net/endpoint_connection_pool.h"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-HolderLinks::HolderLinks(const Dialect& dialect, const core::HolderDirectory& directory,
-                         const core::Clock& clock, const LinkLimits& limits, metrics::Counters& counters,
+HolderLinks::HolderLinks(const Dialect& dialect, const coordinator::HolderDirectory& directory,
+                         const coordinator::Clock& clock, const LinkLimits& limits, metrics::Counters& counters,
                          metrics::Figures& figures, ResultSink sink)
     : dialect_(dialect),
       directory_(directory),
@@ -56,16 +56,16 @@
     Wake();
   }
   thread_.Join();
-  while (!live_.empty()) Finish(live_.begin()->first, core::Cause::kConnectionLost);
+  while (!live_.empty()) Finish(live_.begin()->first, coordinator::Cause::kConnectionLost);
 }
 
 // ---- what the core asks for ----
 
-void HolderLinks::Start(core::AttemptOrder order) {
+void HolderLinks::Start(coordinator::AttemptOrder order) {
   std::lock_guard lock(mutex_);
   Link& link = links_[order.holder];
   link.holder = order.holder;
-  core::AttemptKey key = order.key;
+  coordinator::AttemptKey key = order.key;
   Attempt& attempt = live_[key];
   attempt.order = std::move(order);
   attempt.queued_us = clock_.Now();
@@ -75,27 +75,27 @@
 
 void HolderLinks::EndRound() {
   std::lock_guard lock(mutex_);
-  for (const core::ReplicaId& holder : std::exchange(staged_, {})) {
+  for (const coordinator::ReplicaId& holder : std::exchange(staged_, {})) {
     Link& link = links_.at(holder);
-    for (const core::AttemptKey& key : std::exchange(link.staged, {})) link.queue.push_back(key);
+    for (const coordinator::AttemptKey& key : std::exchange(link.staged, {})) link.queue.push_back(key);
     Pump(link);
   }
 }
 
 // The attempt ends now, whatever its holder is at: an attempt's end waits for no socket.
-void HolderLinks::Withdraw(const core::AttemptKey& key, const core::ReplicaId&, core::Cause cause) {
+void HolderLinks::Withdraw(const coordinator::AttemptKey& key, const coordinator::ReplicaId&, coordinator::Cause cause) {
   std::lock_guard lock(mutex_);
   TakeOut(key, cause);
 }
 
-void HolderLinks::TakeOut(const core::AttemptKey& key, core::Cause cause) {
+void HolderLinks::TakeOut(const coordinator::AttemptKey& key, coordinator::Cause cause) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
   auto place = connections_.find(found->second.connection);
   if (place != connections_.end() && place->second.written == 0 &&
       std::ranges::find(place->second.writing, key) != place->second.writing.end())
     TakeBack(place->second, key);
-  if (found->second.progress >= core::Progress::kPartlyWritten && place != connections_.end()) {
+  if (found->second.progress >= coordinator::Progress::kPartlyWritten && place != connections_.end()) {
     Connection& connection = place->second;
     Link& link = *connection.link;
     std::string id = dialect_.Id(found->second.order);
@@ -104,8 +104,8 @@
     connection.given_up = connection.withdrawn.size() >= kMostWithdrawn;
     std::erase_if(connection.out, [&](const auto& one) { return one.second == key; });
     if (dialect_.GiveUp(id).empty()) {
-      if (connection.out.empty()) Drop(place->first, connection, core::Cause::kConnectionLost);
-    } else if (cause == core::Cause::kWithdrawn && !found->second.called_off) {
+      if (connection.out.empty()) Drop(place->first, connection, coordinator::Cause::kConnectionLost);
+    } else if (cause == coordinator::Cause::kWithdrawn && !found->second.called_off) {
       GiveUp(place->first, connection, id);
     }
     Pump(link);
@@ -116,7 +116,7 @@
 
 // Nothing is known of a holder that does not read, and a word sent to it may never come: the attempt goes on
 // until it is answered, its connection ends or its time is over. Before its first byte it is as if never sent.
-void HolderLinks::CallOff(const core::AttemptKey& key) {
+void HolderLinks::CallOff(const coordinator::AttemptKey& key) {
   std::lock_guard lock(mutex_);
   auto found = live_.find(key);
   if (found == live_.end() || found->second.called_off) return;
@@ -125,7 +125,7 @@
   bool begun = place != connections_.end() &&
                (place->second.written > 0 ||
                 std::ranges::find(place->second.writing, key) == place->second.writing.end());
-  if (!begun) return TakeOut(key, core::Cause::kWithdrawn);
+  if (!begun) return TakeOut(key, coordinator::Cause::kWithdrawn);
   attempt.called_off = true;
   std::string id = dialect_.Id(attempt.order);
   if (!dialect_.GiveUp(id).empty()) GiveUp(place->first, place->second, id);
@@ -137,13 +137,13 @@
   if (!connection.Writes()) Flush(number, connection);
 }
 
-void HolderLinks::CloseIdle(const core::ReplicaId& holder) {
+void HolderLinks::CloseIdle(const coordinator::ReplicaId& holder) {
   std::lock_guard lock(mutex_);
   auto link = links_.find(holder);
   if (link == links_.end()) return;
   for (Number number : std::vector<Number>(link->second.connections)) {
     Connection& connection = connections_.at(number);
-    if (connection.up && connection.out.empty()) Drop(number, connection, core::Cause::kConnectionLost);
+    if (connection.up && connection.out.empty()) Drop(number, connection, coordinator::Cause::kConnectionLost);
   }
 }
 
@@ -160,14 +160,14 @@
   for (auto one = links_.begin(); one != links_.end();) {
     auto next = std::next(one);
     Link& link = one->second;
-    core::HolderAddress holder = directory_.Find(one->first);
+    coordinator::HolderAddress holder = directory_.Find(one->first);
     bool unused = std::ranges::all_of(link.connections,
                                       [&](Number number) { return connections_.at(number).out.empty(); });
-    std::erase_if(link.queue, [&](const core::AttemptKey& key) { return !live_.contains(key); });
+    std::erase_if(link.queue, [&](const coordinator::AttemptKey& key) { return !live_.contains(key); });
     if ((holder.id.empty() || holder.stop_sending_us > 0) && unused && link.queue.empty() &&
         link.staged.empty()) {
       for (Number number : std::vector<Number>(link.connections))
-        Drop(number, connections_.at(number), core::Cause::kConnectionLost);
+        Drop(number, connections_.at(number), coordinator::Cause::kConnectionLost);
       links_.erase(one);
     }
     one = next;
@@ -248,11 +248,11 @@
                      connection.begun_us + (age >= kSlowConnect ? limits_.connect_timeout_us : kSlowConnect));
     } else if (!connection.pending.empty() && now - connection.heard_us >= kStall) {
       counters_.spoilt.Add();
-      Drop(number, connection, core::Cause::kSpoilt);
+      Drop(number, connection, coordinator::Cause::kSpoilt);
     } else if (connection.Writes() && now >= connection.write_until_us) {
-      Drop(number, connection, core::Cause::kConnectionLost);  // a frame cut short is followed by no other
+      Drop(number, connection, coordinator::Cause::kConnectionLost);  // a frame cut short is followed by no other
     } else if (connection.out.empty() && now - connection.used_us > idle_limit_us_) {
-      Drop(number, connection, core::Cause::kConnectionLost);
+      Drop(number, connection, coordinator::Cause::kConnectionLost);
     }
     Pump(link);
   }
@@ -264,7 +264,7 @@
 // Puts what waits on connections, as far as there are any; the rest waits for one that is coming up.
 void HolderLinks::Pump(Link& link) {
   while (!link.queue.empty()) {
-    core::AttemptKey key = link.queue.front();
+    coordinator::AttemptKey key = link.queue.front();
     auto found = live_.find(key);
     if (found == live_.end()) {  // withdrawn while it waited
       link.queue.pop_front();
@@ -285,7 +285,7 @@
       if (begun == Begun::kNoRoom && !std::exchange(link.starved, true)) starved_.push_back(link.holder);
       if (begun != Begun::kFailed) return;
       link.queue.pop_front();
-      Finish(key, core::Cause::kConnectionLost);
+      Finish(key, coordinator::Cause::kConnectionLost);
     }
   }
 }
@@ -298,13 +298,13 @@
       std::min<std::size_t>(static_cast<std::size_t>(std::max(1, limits_.parts_per_call)),
                             static_cast<std::size_t>(limits_.streams_per_connection) - connection.out.size());
   while (!link.queue.empty() && connection.writing.size() < room) {
-    core::AttemptKey key = link.queue.front();
+    coordinator::AttemptKey key = link.queue.front();
     auto found = live_.find(key);
     if (found == live_.end()) {
       link.queue.pop_front();
       continue;
     }
-    const core::AttemptOrder& order = found->second.order;
+    const coordinator::AttemptOrder& order = found->second.order;
     text += order.payload->statement.size();
     bool first = connection.writing.empty();
     if (!first && (text > kMostCallText || Ambiguous(connection, dialect_.Id(order)))) break;
@@ -359,7 +359,7 @@
     Connection& connection = connections_.at(number);
     if (!connection.up) continue;
     if (OutOfUse(connection, addr, now)) {
-      if (connection.out.empty()) Drop(number, connection, core::Cause::kConnectionLost);
+      if (connection.out.empty()) Drop(number, connection, coordinator::Cause::kConnectionLost);
       continue;
     }
     bool full = static_cast<int>(connection.out.size()) >= limits_.streams_per_connection;
@@ -413,7 +413,7 @@
     if (worst == connections_.end() || (one->second.used_us < worst->second.used_us) != newest) worst = one;
   }
   if (worst == connections_.end()) return false;
-  Drop(worst->first, worst->second, core::Cause::kConnectionLost);
+  Drop(worst->first, worst->second, coordinator::Cause::kConnectionLost);
   return true;
 }
 
@@ -434,14 +434,14 @@
   log::Info("holder at {}: no connection after {} us", connection.addr, clock_.Now() - begun_us);
   counters_.connects_failed.Add();
   link.slow_connect = true;
-  Drop(number, connection, core::Cause::kConnectionLost);
+  Drop(number, connection, coordinator::Cause::kConnectionLost);
   if (static_cast<int>(link.connections.size()) > link.connecting) return;
-  for (core::AttemptKey key : std::exchange(link.queue, {})) {
+  for (coordinator::AttemptKey key : std::exchange(link.queue, {})) {
     auto found = live_.find(key);
     if (found != live_.end() && found->second.queued_us > begun_us) {
       link.queue.push_back(key);
     } else {
-      Finish(key, core::Cause::kConnectionLost);
+      Finish(key, coordinator::Cause::kConnectionLost);
     }
   }
 }
@@ -454,7 +454,7 @@
 }
 
 // Ends it and all that is out on it.
-void HolderLinks::Drop(Number number, Connection& connection, core::Cause cause) {
+void HolderLinks::Drop(Number number, Connection& connection, coordinator::Cause cause) {
   Link& link = *connection.link;
   link.connecting -= connection.up ? 0 : 1;
   std::erase(link.connections, number);
@@ -466,17 +466,17 @@
 // ---- frames out ----
 
 // Looked at before the first byte only: a client that has left, a holder that drains, a time that is over.
-std::optional<core::Cause> HolderLinks::Barred(const core::AttemptOrder& order) const {
-  if (order.payload->client != nullptr && order.payload->client->Gone()) return core::Cause::kLeft;
+std::optional<coordinator::Cause> HolderLinks::Barred(const coordinator::AttemptOrder& order) const {
+  if (order.payload->client != nullptr && order.payload->client->Gone()) return coordinator::Cause::kLeft;
   Micros now = clock_.Now();
-  core::HolderAddress holder = directory_.Find(order.holder);
+  coordinator::HolderAddress holder = directory_.Find(order.holder);
   bool stopped = holder.id.empty() || (holder.stop_sending_us > 0 && now >= holder.stop_sending_us);
-  if (stopped || now >= order.wait_until_us) return core::Cause::kStale;
+  if (stopped || now >= order.wait_until_us) return coordinator::Cause::kStale;
   return std::nullopt;
 }
 
 // Into the frame that is written next on it.
-void HolderLinks::Enter(Number number, Connection& connection, const core::AttemptKey& key,
+void HolderLinks::Enter(Number number, Connection& connection, const coordinator::AttemptKey& key,
                         Attempt& attempt) {
   Micros now = clock_.Now();
   connection.written = 0;
@@ -484,7 +484,7 @@
   connection.write_until_us = now + kWriteWait;
   connection.used_us = now;
   connection.out.emplace_back(dialect_.Id(attempt.order), key);
-  attempt.progress = core::Progress::kPartlyWritten;
+  attempt.progress = coordinator::Progress::kPartlyWritten;
   attempt.connection = number;
 }
 
@@ -507,10 +507,10 @@
     }
     if (connection.written < connection.frame.size()) continue;
     connection.frame.clear();
-    for (const core::AttemptKey& key : std::exchange(connection.writing, {})) {
+    for (const coordinator::AttemptKey& key : std::exchange(connection.writing, {})) {
       auto found = live_.find(key);
       if (found == live_.end()) continue;
-      found->second.progress = core::Progress::kWhollyWritten;
+      found->second.progress = coordinator::Progress::kWhollyWritten;
       if (auto* group = figures_.Of(found->second.order.class_index)) group->sends.Add();
     }
   }
@@ -521,10 +521,10 @@
 // Guards the first byte of a frame, also of one that had to wait for room: by now a client may have left, a
 // time be over or the holder drain. The frame is made of what may still go; false when nothing may.
 bool HolderLinks::Compose(Connection& connection) {
-  std::vector<const core::AttemptOrder*> orders;
-  for (const core::AttemptKey& key : std::vector<core::AttemptKey>(connection.writing)) {
+  std::vector<const coordinator::AttemptOrder*> orders;
+  for (const coordinator::AttemptKey& key : std::vector<coordinator::AttemptKey>(connection.writing)) {
     auto found = live_.find(key);
-    std::optional<core::Cause> barred = core::Cause::kStale;
+    std::optional<coordinator::Cause> barred = coordinator::Cause::kStale;
     if (found != live_.end()) barred = Barred(found->second.order);
     if (!barred) {
       orders.push_back(&found->second.order);
@@ -538,13 +538,13 @@
 }
 
 // Nothing of the frame has been written: the attempt is as if it had never been on this connection.
-void HolderLinks::TakeBack(Connection& connection, const core::AttemptKey& key) {
+void HolderLinks::TakeBack(Connection& connection, const coordinator::AttemptKey& key) {
   std::erase_if(connection.out, [&](const auto& one) { return one.second == key; });
   std::erase(connection.writing, key);
   if (connection.writing.empty()) connection.frame.clear();
   auto found = live_.find(key);
   if (found == live_.end()) return;
-  found->second.progress = core::Progress::kNotConnected;
+  found->second.progress = coordinator::Progress::kNotConnected;
   found->second.connection = 0;
 }
 
@@ -552,7 +552,7 @@
 // that goes to another. Answers that came before the end still count; a frame cut short ends with the
 // connection.
 bool HolderLinks::Broken(Number number, Connection& connection) {
-  std::vector<core::AttemptKey> writing = std::exchange(connection.writing, {});
+  std::vector<coordinator::AttemptKey> writing = std::exchange(connection.writing, {});
   for (auto key = writing.rbegin(); connection.written == 0 && key != writing.rend(); ++key) {
     auto found = live_.find(*key);
     if (found == live_.end() || ++found->second.turns >= kTurns) continue;
@@ -561,7 +561,7 @@
   }
   connection.frame.clear();
   connection.control.clear();
-  if (Receive(number, connection)) Drop(number, connection, core::Cause::kConnectionLost);
+  if (Receive(number, connection)) Drop(number, connection, coordinator::Cause::kConnectionLost);
   return false;
 }
 
@@ -596,32 +596,32 @@
     for (HolderAnswer& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
     if (!usable) {
       counters_.spoilt.Add();
-      Drop(number, connection, core::Cause::kSpoilt);
+      Drop(number, connection, coordinator::Cause::kSpoilt);
       return false;
     }
     if (all) return true;
   }
-  Drop(number, connection, core::Cause::kConnectionLost);
+  Drop(number, connection, coordinator::Cause::kConnectionLost);
   return false;
 }
 
 // False when it answers nothing that was asked on this connection.
 bool HolderLinks::TakeAnswer(Connection& connection, HolderAnswer answer) {
   connection.used_us = clock_.Now();
-  auto found = std::ranges::find(connection.out, answer.id, &std::pair<std::string, core::AttemptKey>::first);
+  auto found = std::ranges::find(connection.out, answer.id, &std::pair<std::string, coordinator::AttemptKey>::first);
   if (found == connection.out.end()) return std::erase(connection.withdrawn, answer.id) > 0;
-  core::AttemptKey key = found->second;
+  coordinator::AttemptKey key = found->second;
   connection.out.erase(found);
   auto attempt = live_.find(key);
-  if (attempt != live_.end()) attempt->second.progress = core::Progress::kAnswering;
+  if (attempt != live_.end()) attempt->second.progress = coordinator::Progress::kAnswering;
   Finish(key, answer.cause, std::move(answer));
   return true;
 }
 
-void HolderLinks::Finish(const core::AttemptKey& key, core::Cause cause, HolderAnswer answer) {
+void HolderLinks::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, HolderAnswer answer) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
-  core::AttemptResult result{key, found->second.progress, cause, std::move(answer.load),
+  coordinator::AttemptResult result{key, found->second.progress, cause, std::move(answer.load),
                              std::move(answer.value)};
   live_.erase(found);
   sink_(std::move(result));
--- a/src/net/holder_links.h
+++ b/src/net/endpoint_connection_pool.h
@@ -1,8 +1,8 @@
 // The links to holders: for each one a queue and its connections. No call waits for a socket, so one thread
 // of their own (reading, connections that come up, bounds in time) and the caller's (writing) do for all of
 // them, however many holders there are. What is spoken on a connection is a Dialect's business.
-#ifndef LIFTRUDDER_NET_HOLDER_LINKS_H_
-#define LIFTRUDDER_NET_HOLDER_LINKS_H_
+#ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_POOL_H_
+#define LIFTRUDDER_NET_ENDPOINT_CONNECTION_POOL_H_
 
 #include <cstdint>
 #include <deque>
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 #include "metrics/figures.h"
 #include "metrics/metrics.h"
 #include "net/socket.h"
@@ -27,7 +27,7 @@
 // One answer read off a connection, by the id it was asked under.
 struct HolderAnswer {
   std::string id;
-  core::Cause cause = core::Cause::kServed;
+  coordinator::Cause cause = coordinator::Cause::kServed;
   std::vector<double> load;
   std::string value;
 };
@@ -46,9 +46,9 @@
 class Dialect {
  public:
   virtual ~Dialect() = default;
-  virtual std::string Id(const core::AttemptOrder& order) const = 0;
+  virtual std::string Id(const coordinator::AttemptOrder& order) const = 0;
   // What asks for all of these at once; more than one only where LinkLimits::parts_per_call allows it.
-  virtual std::string Ask(std::span<const core::AttemptOrder* const> orders, const std::string& holder,
+  virtual std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
                           Micros now_us) const = 0;
   // What gives up an attempt; empty: only closing its connection does.
   virtual std::string GiveUp(const std::string& id) const = 0;
@@ -64,22 +64,22 @@
   int holders = 0;            // as many are known of
 };
 
-using ResultSink = std::function<void(core::AttemptResult)>;
+using ResultSink = std::function<void(coordinator::AttemptResult)>;
 
 // The core's transport over links. All state is under one lock; it is never held while something is waited
 // for.
-class HolderLinks : public core::HolderTransport {
+class HolderLinks : public coordinator::HolderTransport {
  public:
-  HolderLinks(const Dialect& dialect, const core::HolderDirectory& directory, const core::Clock& clock,
+  HolderLinks(const Dialect& dialect, const coordinator::HolderDirectory& directory, const coordinator::Clock& clock,
               const LinkLimits& limits, metrics::Counters& counters, metrics::Figures& figures,
               ResultSink sink);
   ~HolderLinks();
 
-  void Start(core::AttemptOrder order) override;
+  void Start(coordinator::AttemptOrder order) override;
   void EndRound() override;
-  void Withdraw(const core::AttemptKey& key, const core::ReplicaId& holder, core::Cause cause) override;
-  void CallOff(const core::AttemptKey& key) override;
-  void CloseIdle(const core::ReplicaId& holder) override;
+  void Withdraw(const coordinator::AttemptKey& key, const coordinator::ReplicaId& holder, coordinator::Cause cause) override;
+  void CallOff(const coordinator::AttemptKey& key) override;
+  void CloseIdle(const coordinator::ReplicaId& holder) override;
   void ForgetGone() override;
   // The list has grown or shrunk, and with it what both sides may hold.
   void Resize(int max_connections, int holders);
@@ -88,9 +88,9 @@
   using Number = std::uint64_t;  // a connection's; never given twice, so that late events find nothing
 
   struct Link {
-    core::ReplicaId holder;
-    std::deque<core::AttemptKey> staged;  // of the round that is on
-    std::deque<core::AttemptKey> queue;   // not on a connection yet
+    coordinator::ReplicaId holder;
+    std::deque<coordinator::AttemptKey> staged;  // of the round that is on
+    std::deque<coordinator::AttemptKey> queue;   // not on a connection yet
     std::vector<Number> connections;
     int connecting = 0;         // of these, not up yet
     bool starved = false;       // it is among those that wait for room
@@ -104,7 +104,7 @@
     Micros begun_us = 0;  // when its connecting began
     Micros used_us = 0;
     Micros heard_us = 0;
-    std::deque<std::pair<std::string, core::AttemptKey>> out;
+    std::deque<std::pair<std::string, coordinator::AttemptKey>> out;
     std::deque<std::string> withdrawn;  // ids given up on it whose answers may still come
     bool given_up = false;              // too many of those: it takes nothing new
     std::unique_ptr<AnswerReader> reader;
@@ -113,15 +113,15 @@
     // nothing of it is written, the frame is made anew from `writing` before it is tried.
     std::string frame;
     std::size_t written = 0;
-    std::vector<core::AttemptKey> writing;
+    std::vector<coordinator::AttemptKey> writing;
     Micros write_until_us = 0;
     std::deque<std::string> control;
     bool armed = false;  // told when it can be written again
     bool Writes() const { return !frame.empty() || !writing.empty(); }
   };
   struct Attempt {
-    core::AttemptOrder order;
-    core::Progress progress = core::Progress::kNotConnected;
+    coordinator::AttemptOrder order;
+    coordinator::Progress progress = coordinator::Progress::kNotConnected;
     Number connection = 0;
     Micros queued_us = 0;
     int turns = 0;            // connections that broke before its first byte
@@ -134,7 +134,7 @@
   Micros Sweep(Micros now);
   void Wake();
 
-  void TakeOut(const core::AttemptKey& key, core::Cause cause);
+  void TakeOut(const coordinator::AttemptKey& key, coordinator::Cause cause);
   // These hold the lock. Those that return a bool say whether the connection is still there.
   void Pump(Link& link);
   void ServeStarved();
@@ -148,23 +148,23 @@
   bool MakeRoom();
   void CameUp(Number number, Connection& connection);
   void ConnectFailed(Number number, Connection& connection);
-  void Enter(Number number, Connection& connection, const core::AttemptKey& key, Attempt& attempt);
+  void Enter(Number number, Connection& connection, const coordinator::AttemptKey& key, Attempt& attempt);
   bool Flush(Number number, Connection& connection);
   bool Compose(Connection& connection);
-  void TakeBack(Connection& connection, const core::AttemptKey& key);
+  void TakeBack(Connection& connection, const coordinator::AttemptKey& key);
   bool Broken(Number number, Connection& connection);
   bool Receive(Number number, Connection& connection);
   bool TakeAnswer(Connection& connection, HolderAnswer answer);
-  void Drop(Number number, Connection& connection, core::Cause cause);
+  void Drop(Number number, Connection& connection, coordinator::Cause cause);
   void Arm(Number number, Connection& connection, bool writes);
-  std::optional<core::Cause> Barred(const core::AttemptOrder& order) const;
+  std::optional<coordinator::Cause> Barred(const coordinator::AttemptOrder& order) const;
   bool OutOfUse(const Connection& connection, const std::string& addr, Micros now) const;
   void GiveUp(Number number, Connection& connection, const std::string& id);
-  void Finish(const core::AttemptKey& key, core::Cause cause, HolderAnswer answer = {});
+  void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, HolderAnswer answer = {});
 
   const Dialect& dialect_;
-  const core::HolderDirectory& directory_;
-  const core::Clock& clock_;
+  const coordinator::HolderDirectory& directory_;
+  const coordinator::Clock& clock_;
   LinkLimits limits_;
   const Micros idle_limit_us_;
   metrics::Counters& counters_;
@@ -174,16 +174,16 @@
   bool stopping_ = false;
   Micros asleep_until_us_ = 0;  // the thread's, while it waits
   Micros sweep_us_ = 0;         // when it looks for what is overdue next
-  std::map<core::ReplicaId, Link> links_;
-  std::vector<core::ReplicaId> staged_;                 // links with something of the round that is on
+  std::map<coordinator::ReplicaId, Link> links_;
+  std::vector<coordinator::ReplicaId> staged_;                 // links with something of the round that is on
   std::unordered_map<Number, Connection> connections_;  // bounded by limits_.max_connections
   Number given_ = 0;
-  std::deque<core::ReplicaId> starved_;       // links that found no room for a connection, in turn
-  std::map<core::AttemptKey, Attempt> live_;  // whoever takes an attempt out of here tells its end
+  std::deque<coordinator::ReplicaId> starved_;       // links that found no room for a connection, in turn
+  std::map<coordinator::AttemptKey, Attempt> live_;  // whoever takes an attempt out of here tells its end
   Fd epoll_, waker_;
   Thread thread_;
 };
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_HOLDER_LINKS_H_
+#endif  // LIFTRUDDER_NET_ENDPOINT_CONNECTION_POOL_H_
--- a/src/net/why_page.cpp
+++ b/src/net/explain_page.cpp
@@ -1,10 +1,10 @@
-#include "net/why_page.h"
+#include "net/explain_page.h"
 
 #include <fmt/format.h>
 
 namespace liftrudder::net {
 
-HttpResponse WhyPage(why::Desk* desk, const HttpMessage& request) {
+HttpResponse WhyPage(decision_log::Desk* desk, const HttpMessage& request) {
   HttpResponse out;
   out.type = "text/plain";
   if (desk == nullptr) {
@@ -17,7 +17,7 @@
     out.body = "only GET\n";
     return out;
   }
-  why::Reply reply = desk->Ask(request.Parameters());
+  decision_log::Reply reply = desk->Ask(request.Parameters());
   out.status = reply.status;
   if (reply.json) out.type = "application/json";
   if (reply.retry_after_us > 0)
--- a/src/net/why_page.h
+++ b/src/net/explain_page.h
@@ -1,15 +1,15 @@
 // The `/-/why` page, the same on every front: what the record of decisions has to say.
-#ifndef LIFTRUDDER_NET_WHY_PAGE_H_
-#define LIFTRUDDER_NET_WHY_PAGE_H_
+#ifndef LIFTRUDDER_NET_EXPLAIN_PAGE_H_
+#define LIFTRUDDER_NET_EXPLAIN_PAGE_H_
 
 #include "net/http.h"
-#include "why/desk.h"
+#include "decision_log/explain_service.h"
 
 namespace liftrudder::net {
 
 // `desk` may be null: the record is off, and the page says so. Any thread.
-HttpResponse WhyPage(why::Desk* desk, const HttpMessage& request);
+HttpResponse WhyPage(decision_log::Desk* desk, const HttpMessage& request);
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_WHY_PAGE_H_
+#endif  // LIFTRUDDER_NET_EXPLAIN_PAGE_H_
--- a/src/net/lingerer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -1,4 +1,4 @@
-#include "net/lingerer.h"
+#include "net/lingering_closer.h"
 
 #include <poll.h>
 #include <sys/eventfd.h>
--- a/src/net/lingerer.h
+++ b/src/net/lingering_closer.h
@@ -1,6 +1,6 @@
 // Ends connections whose other side may still be writing: what was answered must not be lost to a reset.
-#ifndef LIFTRUDDER_NET_LINGERER_H_
-#define LIFTRUDDER_NET_LINGERER_H_
+#ifndef LIFTRUDDER_NET_LINGERING_CLOSER_H_
+#define LIFTRUDDER_NET_LINGERING_CLOSER_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -44,4 +44,4 @@
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_LINGERER_H_
+#endif  // LIFTRUDDER_NET_LINGERING_CLOSER_H_
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Server::Server(Fd listener, Handler& handler, const core::Clock& clock, metrics::Counters& counters,
+Server::Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
                const ServerLimits& limits, const TlsSource* tls)
     : listener_(std::move(listener)),
       handler_(handler),
@@ -443,13 +443,13 @@
   came_.notify_one();
 }
 
-void WaitingReply::Deliver(core::FinalAnswer answer) {
+void WaitingReply::Deliver(coordinator::FinalAnswer answer) {
   std::lock_guard lock(vigil_->mutex_);
   answer_ = std::move(answer);
   vigil_->came_.notify_one();
 }
 
-WaitingReply::End WaitingReply::Wait(ClientLine& client, const core::Clock& clock, Micros deadline_us) {
+WaitingReply::End WaitingReply::Wait(ClientLine& client, const coordinator::Clock& clock, Micros deadline_us) {
   std::unique_lock lock(vigil_->mutex_);
   while (!answer_) {
     Micros left = deadline_us - clock.Now();
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -15,16 +15,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 #include "metrics/metrics.h"
-#include "net/client_line.h"
+#include "net/client_connection.h"
 #include "net/http.h"
-#include "net/lingerer.h"
+#include "net/lingering_closer.h"
 #include "net/socket.h"
 
 namespace liftrudder::net {
 
-using core::Served;
+using coordinator::Served;
 
 // Where a worker waits for the answers to one request. The door's thread goes on looking at the connection
 // and stirs the worker when something is to be seen there; a client that has gone is marked so at once,
@@ -33,13 +33,13 @@
  public:
   // `look_again`: the connection is to be watched on, after what was seen there turned out to be nothing.
   explicit Vigil(std::function<void()> look_again) : look_again_(std::move(look_again)) {}
-  const std::shared_ptr<core::Presence>& client() const { return client_; }
+  const std::shared_ptr<coordinator::Presence>& client() const { return client_; }
   void Stir(bool gone);
 
  private:
   friend class WaitingReply;
   const std::function<void()> look_again_;
-  const std::shared_ptr<core::Presence> client_ = std::make_shared<core::Presence>();
+  const std::shared_ptr<coordinator::Presence> client_ = std::make_shared<coordinator::Presence>();
   std::mutex mutex_;
   std::condition_variable came_;  // an answer, or a stir
   bool stirred_ = false;
@@ -75,7 +75,7 @@
 
 class Server {
  public:
-  Server(Fd listener, Handler& handler, const core::Clock& clock, metrics::Counters& counters,
+  Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
          const ServerLimits& limits, const TlsSource* tls = nullptr);
   ~Server();
 
@@ -136,7 +136,7 @@
 
   Fd listener_;
   Handler& handler_;
-  const core::Clock& clock_;
+  const coordinator::Clock& clock_;
   metrics::Counters& counters_;
   std::atomic<int> most_connections_, most_requests_;
   const TlsSource* tls_;  // null: none
@@ -158,21 +158,21 @@
   Thread door_;
 };
 
-// A client's place to wait; see core::ClientReply.
-class WaitingReply : public core::ClientReply {
+// A client's place to wait; see coordinator::ClientReply.
+class WaitingReply : public coordinator::ClientReply {
  public:
   explicit WaitingReply(std::shared_ptr<Vigil> vigil) : vigil_(std::move(vigil)) {}
-  void Deliver(core::FinalAnswer answer) override;
+  void Deliver(coordinator::FinalAnswer answer) override;
 
   // Crowded: the client has written more although its answer is still out.
   enum class End { kAnswered, kGone, kLate, kCrowded };
   // Until the answer is there, the client has gone, or `deadline_us` has come.
-  End Wait(ClientLine& client, const core::Clock& clock, Micros deadline_us);
-  core::FinalAnswer& answer() { return *answer_; }
+  End Wait(ClientLine& client, const coordinator::Clock& clock, Micros deadline_us);
+  coordinator::FinalAnswer& answer() { return *answer_; }
 
  private:
   const std::shared_ptr<Vigil> vigil_;
-  std::optional<core::FinalAnswer> answer_;  // under the vigil's lock
+  std::optional<coordinator::FinalAnswer> answer_;  // under the vigil's lock
 };
 
 }  // namespace liftrudder::net
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <utility>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 
 namespace liftrudder::net {
 
-using core::Micros;
+using coordinator::Micros;
 
 class Fd {
  public:
@@ -31,7 +31,7 @@
 };
 
 // Monotonic, with the wall's origin at the program's start: wall times of others can be set against it.
-class SteadyClock : public core::Clock {
+class SteadyClock : public coordinator::Clock {
  public:
   SteadyClock();
   Micros Now() const override;
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -175,7 +175,7 @@
 // ---- files ----
 
 std::variant<std::shared_ptr<const TlsContext>, std::string> TlsContext::Make(TlsMaterial material,
-                                                                              const core::Clock& clock,
+                                                                              const coordinator::Clock& clock,
                                                                               const TlsContext* before) {
   auto out = std::make_shared<TlsContext>();
   out->clock_ = &clock;
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 
 struct ssl_st;
 struct ssl_ctx_st;
@@ -20,7 +20,7 @@
 
 namespace liftrudder::net {
 
-using core::Micros;
+using coordinator::Micros;
 
 // Texts of files in PEM, as they were read.
 struct TlsPair {
@@ -81,7 +81,7 @@
   // What is wrong is told with where: which pair, which file. `before`: tickets given out under it hold on.
   // None are given where clients show certificates: a resumed connection shows none, and a revocation counts.
   static std::variant<std::shared_ptr<const TlsContext>, std::string> Make(
-      TlsMaterial material, const core::Clock& clock, const TlsContext* before = nullptr);
+      TlsMaterial material, const coordinator::Clock& clock, const TlsContext* before = nullptr);
 
   const TlsMaterial& material() const { return material_; }
   // Whether a client's certificate that was good when its connection began still is: not expired, not revoked
@@ -95,7 +95,7 @@
  private:
   friend struct TlsCallbacks;
   TlsMaterial material_;
-  const core::Clock* clock_ = nullptr;
+  const coordinator::Clock* clock_ = nullptr;
   std::shared_ptr<TicketKeys> tickets_;
   std::vector<std::shared_ptr<ssl_ctx_st>> pairs_;
   std::shared_ptr<x509_store_st> issuers_;
--- a/src/opensearch/guard.cpp
+++ b/src/opensearch/access_control.cpp
@@ -1,4 +1,4 @@
-#include "opensearch/guard.h"
+#include "opensearch/access_control.h"
 
 #include <fmt/format.h>
 
--- a/src/opensearch/guard.h
+++ b/src/opensearch/access_control.h
@@ -1,8 +1,8 @@
 // Keeps a tenant to its own rows: its filter goes round whatever it asks, and what could reach past a filter
 // is refused by name. What is not known here is refused, since a filter that holds for most queries holds for
 // none. Plain functions, any thread.
-#ifndef LIFTRUDDER_OPENSEARCH_GUARD_H_
-#define LIFTRUDDER_OPENSEARCH_GUARD_H_
+#ifndef LIFTRUDDER_OPENSEARCH_ACCESS_CONTROL_H_
+#define LIFTRUDDER_OPENSEARCH_ACCESS_CONTROL_H_
 
 #include <optional>
 #include <string>
@@ -22,4 +22,4 @@
 
 }  // namespace liftrudder::opensearch
 
-#endif  // LIFTRUDDER_OPENSEARCH_GUARD_H_
+#endif  // LIFTRUDDER_OPENSEARCH_ACCESS_CONTROL_H_
--- a/src/opensearch/holders.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -1,4 +1,4 @@
-#include "opensearch/holders.h"
+#include "opensearch/endpoint_protocol.h"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
     switch (parser_.Feed(in)) {
       case net::HttpParser::State::kBad:
         // It has answered, if badly: an error of this holder, not a lost connection.
-        out.push_back({oldest, core::Cause::kBroke, {}, {}});
+        out.push_back({oldest, coordinator::Cause::kBroke, {}, {}});
         return false;
       case net::HttpParser::State::kDone:
         return Finish(oldest, out);
@@ -36,12 +36,12 @@
     answer.id = oldest;
     bool good = message.status >= 200 && message.status < 300;
     if (message.status == 429) {
-      answer.cause = core::Cause::kSkipped;  // turned away from a full queue, by the API's word never begun
+      answer.cause = coordinator::Cause::kSkipped;  // turned away from a full queue, by the API's word never begun
     } else if (good && Served(message.body, oldest.front() == kCountMark)) {
-      answer.cause = core::Cause::kServed;
+      answer.cause = coordinator::Cause::kServed;
       answer.value = std::move(message.body);
     } else {
-      answer.cause = core::Cause::kBroke;
+      answer.cause = coordinator::Cause::kBroke;
     }
     out.push_back(std::move(answer));
     return !message.close;
@@ -52,14 +52,14 @@
 
 }  // namespace
 
-std::string SearchDialect::Id(const core::AttemptOrder& order) const {
+std::string SearchDialect::Id(const coordinator::AttemptOrder& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string SearchDialect::Ask(std::span<const core::AttemptOrder* const> orders, const std::string& holder,
-                               core::Micros now_us) const {
-  const core::AttemptOrder& order = *orders.front();  // one a call
-  const core::Payload& payload = *order.payload;
+std::string SearchDialect::Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+                               coordinator::Micros now_us) const {
+  const coordinator::AttemptOrder& order = *orders.front();  // one a call
+  const coordinator::Payload& payload = *order.payload;
   return fmt::format(
       "POST {}{}preference=_shards:{} HTTP/1.1\r\nHost: {}\r\nX-Opaque-Id: {}\r\nX-Budget: {:.3f}\r\n"
       "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
--- a/src/opensearch/holders.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -1,10 +1,10 @@
 // How holders that speak the search API are asked: one request at a time on a connection, one shard each.
-#ifndef LIFTRUDDER_OPENSEARCH_HOLDERS_H_
-#define LIFTRUDDER_OPENSEARCH_HOLDERS_H_
+#ifndef LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
+#define LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
 
 #include <string>
 
-#include "net/holder_links.h"
+#include "net/endpoint_connection_pool.h"
 
 namespace liftrudder::opensearch {
 
@@ -13,9 +13,9 @@
 
 class SearchDialect : public net::Dialect {
  public:
-  std::string Id(const core::AttemptOrder& order) const override;
-  std::string Ask(std::span<const core::AttemptOrder* const> orders, const std::string& holder,
-                  core::Micros now_us) const override;
+  std::string Id(const coordinator::AttemptOrder& order) const override;
+  std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+                  coordinator::Micros now_us) const override;
   // A search is given up by closing its connection.
   std::string GiveUp(const std::string&) const override { return {}; }
   std::unique_ptr<net::AnswerReader> Reader() const override;
@@ -23,4 +23,4 @@
 
 }  // namespace liftrudder::opensearch
 
-#endif  // LIFTRUDDER_OPENSEARCH_HOLDERS_H_
+#endif  // LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
--- a/src/opensearch/errors.cpp
+++ b/src/opensearch/errors.cpp
@@ -13,7 +13,7 @@
   return {404, "index_not_found_exception", "no such index [" + index + "]", 0, false};
 }
 ApiError Forbidden(std::string reason) { return {403, "security_exception", std::move(reason), 0, false}; }
-ApiError Busy(core::Micros retry_after_us) {
+ApiError Busy(coordinator::Micros retry_after_us) {
   return {429, "rejected_execution_exception", "not now: nothing of it counts, try again", retry_after_us,
           false};
 }
--- a/src/opensearch/errors.h
+++ b/src/opensearch/errors.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 #include "net/http.h"
 
 namespace liftrudder::opensearch {
@@ -13,14 +13,14 @@
   int status = 400;
   std::string type = "illegal_argument_exception";
   std::string reason;
-  core::Micros retry_after_us = 0;
+  coordinator::Micros retry_after_us = 0;
   bool close = false;  // the connection ends with it
 };
 
 ApiError BadRequest(std::string reason);
 ApiError NoSuchIndex(const std::string& index);
 ApiError Forbidden(std::string reason);
-ApiError Busy(core::Micros retry_after_us);
+ApiError Busy(coordinator::Micros retry_after_us);
 ApiError OutOfTime();
 ApiError Unanswered(std::string reason);
 
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -8,18 +8,18 @@
 
 #include "log/log.h"
 #include "net/json.h"
-#include "net/why_page.h"
-#include "opensearch/guard.h"
-#include "opensearch/holders.h"
+#include "net/explain_page.h"
+#include "opensearch/access_control.h"
+#include "opensearch/endpoint_protocol.h"
 
 namespace liftrudder::opensearch {
 namespace {
 
 namespace json = net::json;
 
-constexpr core::Micros kLastMoment = 5'000;  // before the client's time is up, should the core be busy
-constexpr core::Micros kEndSlack = 50'000;   // an end this near the deadline was cut by time
-constexpr core::Micros kBusyRetryUs = 1'000'000;
+constexpr coordinator::Micros kLastMoment = 5'000;  // before the client's time is up, should the core be busy
+constexpr coordinator::Micros kEndSlack = 50'000;   // an end this near the deadline was cut by time
+constexpr coordinator::Micros kBusyRetryUs = 1'000'000;
 constexpr const char* kLabel = "X-Opaque-Id";  // a client's own name for a request
 constexpr std::size_t kMaxSearches = 32;       // in one _msearch
 
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-Front::Front(const config::Config& config, const Options& options, core::Core& core, const core::Clock& clock,
-             metrics::Counters& counters, why::Desk* desk, identity::Callers* callers)
+Front::Front(const config::Config& config, const Options& options, coordinator::Core& core, const coordinator::Clock& clock,
+             metrics::Counters& counters, decision_log::Desk* desk, identity::Callers* callers)
     : config_(config),
       options_(options),
       core_(core),
@@ -65,11 +65,11 @@
 }
 
 net::HttpResponse Front::Malformed(int status) {
-  core_.NoteDoor(why::Door::kUnreadable, why::FrontKind::kSearch, why::kNoClass, status, "");
+  core_.NoteDoor(decision_log::Door::kUnreadable, decision_log::FrontKind::kSearch, decision_log::kNoClass, status, "");
   return ErrorResponse({status, "parsing_exception", "the request cannot be read", 0});
 }
 net::HttpResponse Front::Overloaded(const net::HttpMessage*) {
-  core_.NoteDoor(why::Door::kTooManyConnections, why::FrontKind::kSearch, why::kNoClass, 503, "");
+  core_.NoteDoor(decision_log::Door::kTooManyConnections, decision_log::FrontKind::kSearch, decision_log::kNoClass, 503, "");
   ApiError error = Unanswered("too many connections");
   error.retry_after_us = kBusyRetryUs;
   return ErrorResponse(error);
@@ -103,7 +103,7 @@
     // What reached the core is in its record already.
     if (exchange.served->empty() && error->status >= 400 && error->status < 429) {
       const std::string* label = request.Header(kLabel);
-      core_.NoteDoor(why::Door::kMalformed, why::FrontKind::kSearch, why::kNoClass, error->status,
+      core_.NoteDoor(decision_log::Door::kMalformed, decision_log::FrontKind::kSearch, decision_log::kNoClass, error->status,
                      label == nullptr ? "" : *label);
     }
     return ErrorResponse(*error);
@@ -204,29 +204,29 @@
   return std::nullopt;
 }
 
-Front::Asked Front::Ask(const IndexOptions& index, std::string target, std::string body, why::FrontKind kind,
+Front::Asked Front::Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind,
                         bool whole, const net::HttpMessage& request, const net::Exchange& exchange,
                         const Visitor& visitor) {
-  core::QueryRequest query;
+  coordinator::QueryRequest query;
   query.class_index = whole ? index.whole_class_index : index.class_index;
   const auto& cls = config_.settings.classes[static_cast<std::size_t>(query.class_index)];
-  core::Micros patience_us = cls.give_up_us;
+  coordinator::Micros patience_us = cls.give_up_us;
   if (const std::string* budget = request.Header("X-Budget")) {
     double seconds = json::Number(*budget).value_or(0);
-    patience_us = std::min(patience_us, static_cast<core::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
+    patience_us = std::min(patience_us, static_cast<coordinator::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
   }
   query.received_us = exchange.received_us;
   query.deadline_us = exchange.received_us + patience_us;
   query.front = kind;
-  if (const std::string* label = request.Header(kLabel)) query.label = label->substr(0, why::kNoteId);
-  bool count = kind == why::FrontKind::kCount;
+  if (const std::string* label = request.Header(kLabel)) query.label = label->substr(0, decision_log::kNoteId);
+  bool count = kind == decision_log::FrontKind::kCount;
   query.parts = index.parts;
-  core::Payload payload;
+  coordinator::Payload payload;
   payload.call_id = fmt::format("{}{:x}-{}", count ? kCountMark : 's', config_.seed, ++asked_);
   payload.target = std::move(target);
   payload.client = exchange.vigil->client();
   payload.statement = std::move(body);
-  query.payload = std::make_shared<const core::Payload>(std::move(payload));
+  query.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
   Asked asked;
   asked.reply = std::make_shared<net::WaitingReply>(exchange.vigil);
   asked.deadline_us = query.deadline_us;
@@ -247,14 +247,14 @@
   }
   switch (asked.reply->Wait(*exchange.line, clock_, asked.deadline_us - kLastMoment)) {
     case net::WaitingReply::End::kGone:
-      core_.Post(core::Hangup{*asked.id});
+      core_.Post(coordinator::Hangup{*asked.id});
       return Gone{};
     case net::WaitingReply::End::kLate:
-      core_.Post(core::Hangup{*asked.id, why::Door::kLate});
+      core_.Post(coordinator::Hangup{*asked.id, decision_log::Door::kLate});
       counters_.late.Add();
       return OutOfTime();
     case net::WaitingReply::End::kCrowded: {
-      core_.Post(core::Hangup{*asked.id, why::Door::kCrowded});
+      core_.Post(coordinator::Hangup{*asked.id, decision_log::Door::kCrowded});
       ApiError error = BadRequest("one request at a time");
       error.close = true;
       return error;
@@ -262,24 +262,24 @@
     case net::WaitingReply::End::kAnswered:
       break;
   }
-  core::FinalAnswer& answer = asked.reply->answer();
+  coordinator::FinalAnswer& answer = asked.reply->answer();
   // Given up with the time over: to this API's clients that is a time-out, not a refusal.
   bool over = clock_.Now() + kEndSlack >= asked.deadline_us;
-  if (answer.verdict != core::Verdict::kAnswered && over) return OutOfTime();
-  if (answer.verdict == core::Verdict::kRefused) return Busy(answer.retry_after_us);
-  if (answer.verdict == core::Verdict::kFailed) return Unanswered("too few shards answered");
+  if (answer.verdict != coordinator::Verdict::kAnswered && over) return OutOfTime();
+  if (answer.verdict == coordinator::Verdict::kRefused) return Busy(answer.retry_after_us);
+  if (answer.verdict == coordinator::Verdict::kFailed) return Unanswered("too few shards answered");
   if (asked.whole && !answer.full) return Unanswered("not all shards answered, and a part was not allowed");
   return std::move(answer);
 }
 
-Coming Front::HowItCame(const Asked& asked, const core::FinalAnswer& answer,
+Coming Front::HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer,
                         const net::Exchange& exchange) const {
-  core::Micros now = clock_.Now();
+  coordinator::Micros now = clock_.Now();
   return {now - exchange.received_us, answer.cut_by_time, &asked.index->parts};
 }
 
 Front::Asked Front::AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
-                              const net::Exchange& exchange, const Visitor& visitor, why::FrontKind kind) {
+                              const net::Exchange& exchange, const Visitor& visitor, decision_log::FrontKind kind) {
   std::string target = "/" + index + "/_search";
   if (!search.parameters.empty()) target += "?" + search.parameters.substr(1);
   // A page of a scroll with a shard missing would lose that shard's hits for good.
@@ -293,7 +293,7 @@
   Came came = Await(asked, exchange);
   if (auto* error = std::get_if<ApiError>(&came)) return std::move(*error);
   if (std::holds_alternative<Gone>(came)) return Gone{};
-  const auto& answer = std::get<core::FinalAnswer>(came);
+  const auto& answer = std::get<coordinator::FinalAnswer>(came);
   auto merged = MergeHits(search, answer, HowItCame(asked, answer, exchange));
   if (!merged)
     return ApiError{500, "search_phase_execution_exception", "hits came without their sort values", 0, false};
@@ -315,7 +315,7 @@
   Search search;
   if (auto error = Read(request, request.body, visitor, search)) return *error;
   return FinishSearch(index, search,
-                      AskSearch(index, search, request, exchange, visitor, why::FrontKind::kSearch), exchange,
+                      AskSearch(index, search, request, exchange, visitor, decision_log::FrontKind::kSearch), exchange,
                       visitor);
 }
 
@@ -348,11 +348,11 @@
   }
   // A count over a part of the shards is wrong rather than partial.
   Asked asked =
-      Ask(options_.indices.at(index), target, body, why::FrontKind::kCount, true, request, exchange, visitor);
+      Ask(options_.indices.at(index), target, body, decision_log::FrontKind::kCount, true, request, exchange, visitor);
   Came came = Await(asked, exchange);
   if (auto* error = std::get_if<ApiError>(&came)) return std::move(*error);
   if (std::holds_alternative<Gone>(came)) return Gone{};
-  const auto& answer = std::get<core::FinalAnswer>(came);
+  const auto& answer = std::get<coordinator::FinalAnswer>(came);
   return MergeCounts(answer, HowItCame(asked, answer, exchange));
 }
 
@@ -368,7 +368,7 @@
     if (auto value = json::String(json::Get(request.body, "scroll"))) keep = *value;
   }
   if (id.empty()) return BadRequest("[scroll_id] is missing");
-  auto span = keep.empty() ? std::optional<core::Micros>(0) : ReadSpan(keep);
+  auto span = keep.empty() ? std::optional<coordinator::Micros>(0) : ReadSpan(keep);
   if (!span) return BadRequest("[scroll] is not a time such as 1m");
   auto cursor = scrolls_.Find(id, visitor.tenant, *span);
   // A scroll goes on under the rights that it was begun with, or not at all.
@@ -378,7 +378,7 @@
   }
   return FinishSearch(
       cursor->index, cursor->search,
-      AskSearch(cursor->index, cursor->search, request, exchange, visitor, why::FrontKind::kScroll), exchange,
+      AskSearch(cursor->index, cursor->search, request, exchange, visitor, decision_log::FrontKind::kScroll), exchange,
       visitor, id);
 }
 
@@ -435,7 +435,7 @@
     if (!one.error) one.error = Locate(one.index, visitor);
     if (!one.error) one.error = Read(bare, lines[i + 1], visitor, one.search);
     if (!one.error)
-      one.asked = AskSearch(one.index, one.search, bare, exchange, visitor, why::FrontKind::kMultiSearch);
+      one.asked = AskSearch(one.index, one.search, bare, exchange, visitor, decision_log::FrontKind::kMultiSearch);
   }
   std::string out = fmt::format("{{\"took\":{},\"responses\":[", 0);
   for (One& one : all) {
@@ -443,7 +443,7 @@
         one.error ? Result(*one.error) : FinishSearch(one.index, one.search, *one.asked, exchange, visitor);
     if (std::holds_alternative<Gone>(result)) {
       for (One& left : all) {
-        if (left.asked && left.asked->id) core_.Post(core::Hangup{*left.asked->id});
+        if (left.asked && left.asked->id) core_.Post(coordinator::Hangup{*left.asked->id});
       }
       return Gone{};
     }
@@ -458,7 +458,7 @@
       out.append(body, 0, body.size() - 1).append(",\"status\":200}");
     }
   }
-  core::Micros took_us = clock_.Now() - exchange.received_us;
+  coordinator::Micros took_us = clock_.Now() - exchange.received_us;
   out.replace(0, std::string_view("{\"took\":0").size(), fmt::format("{{\"took\":{}", took_us / 1000));
   return out + "]}";
 }
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -6,20 +6,20 @@
 #include <mutex>
 #include <variant>
 
-#include "core/core.h"
-#include "identity/callers.h"
-#include "limits/accounts.h"
+#include "coordinator/coordinator.h"
+#include "identity/authenticator.h"
+#include "limits/tenant_quotas.h"
 #include "net/server.h"
 #include "opensearch/merge.h"
 #include "opensearch/scroll.h"
-#include "why/desk.h"
+#include "decision_log/explain_service.h"
 
 namespace liftrudder::opensearch {
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, const Options& options, core::Core& core, const core::Clock& clock,
-        metrics::Counters& counters, why::Desk* desk, identity::Callers* callers);
+  Front(const config::Config& config, const Options& options, coordinator::Core& core, const coordinator::Clock& clock,
+        metrics::Counters& counters, decision_log::Desk* desk, identity::Callers* callers);
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
@@ -30,25 +30,25 @@
   // One query given to the core, and who waits for it.
   struct Asked {
     std::shared_ptr<net::WaitingReply> reply;
-    std::optional<core::Id> id;  // nothing: refused at admission
-    core::Micros deadline_us = 0;
+    std::optional<coordinator::Id> id;  // nothing: refused at admission
+    coordinator::Micros deadline_us = 0;
     const IndexOptions* index = nullptr;
     bool whole = false;               // an answer in part will not do
-    core::Micros retry_after_us = 0;  // refused at its tenant's account
+    coordinator::Micros retry_after_us = 0;  // refused at its tenant's account
     std::shared_ptr<void> place;      // in that account, given back when this ends
   };
   struct Gone {};
   // Who asks; without rights where callers are not told apart, and all may.
   using Visitor = identity::Visitor;
-  using Came = std::variant<core::FinalAnswer, ApiError, Gone>;
+  using Came = std::variant<coordinator::FinalAnswer, ApiError, Gone>;
   using Result = std::variant<std::string, ApiError, Gone>;
 
-  Asked Ask(const IndexOptions& index, std::string target, std::string body, why::FrontKind kind, bool whole,
+  Asked Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind, bool whole,
             const net::HttpMessage& request, const net::Exchange& exchange, const Visitor& visitor);
   Came Await(const Asked& asked, const net::Exchange& exchange);
-  Coming HowItCame(const Asked& asked, const core::FinalAnswer& answer, const net::Exchange& exchange) const;
+  Coming HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer, const net::Exchange& exchange) const;
   Asked AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
-                  const net::Exchange& exchange, const Visitor& visitor, why::FrontKind kind);
+                  const net::Exchange& exchange, const Visitor& visitor, decision_log::FrontKind kind);
   Result FinishSearch(const std::string& index, const Search& search, const Asked& asked,
                       const net::Exchange& exchange, const Visitor& visitor,
                       const std::string& scroll_id = {});
@@ -72,10 +72,10 @@
 
   const config::Config& config_;
   const Options& options_;
-  core::Core& core_;
-  const core::Clock& clock_;
+  coordinator::Core& core_;
+  const coordinator::Clock& clock_;
   metrics::Counters& counters_;
-  why::Desk* desk_;             // null: nothing is recorded
+  decision_log::Desk* desk_;             // null: nothing is recorded
   identity::Callers* callers_;  // null: callers are not told apart
   std::mutex audit_mutex_;
   identity::Audit audit_;
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -43,7 +43,7 @@
   return std::pair(a.shard, a.place) < std::pair(b.shard, b.place);
 }
 
-bool ReadHits(const core::Piece& piece, const Search& search, std::vector<Hit>& hits) {
+bool ReadHits(const coordinator::Piece& piece, const Search& search, std::vector<Hit>& hits) {
   std::size_t place = 0;
   return json::Elements(json::Get(json::Get(piece.value, "hits"), "hits"), [&](std::string_view text) {
     Hit hit{piece.shard, place++, text, json::Get(text, "sort"), {}};
@@ -67,15 +67,15 @@
   exact = exact && json::String(json::Get(total, "relation")).value_or("eq") == "eq";
 }
 
-std::string Shards(const core::FinalAnswer& answer, const Coming& coming) {
+std::string Shards(const coordinator::FinalAnswer& answer, const Coming& coming) {
   std::size_t total = coming.asked->size(), in = answer.pieces.size();
   std::string out = fmt::format("\"_shards\":{{\"total\":{},\"successful\":{},\"skipped\":0,\"failed\":{}",
                                 total, in, total - in);
   if (in < total) {
     out += ",\"failures\":[";
     const char* comma = "";
-    for (const core::PartRequest& part : *coming.asked) {
-      if (std::ranges::find(answer.pieces, part.shard, &core::Piece::shard) != answer.pieces.end()) continue;
+    for (const coordinator::PartRequest& part : *coming.asked) {
+      if (std::ranges::find(answer.pieces, part.shard, &coordinator::Piece::shard) != answer.pieces.end()) continue;
       fmt::format_to(std::back_inserter(out),
                      "{}{{\"shard\":{},\"reason\":{{\"type\":\"no_shard_available_action_exception\","
                      "\"reason\":\"no answer in time\"}}}}",
@@ -100,14 +100,14 @@
   return hits.starts_with('[');
 }
 
-std::optional<Merged> MergeHits(const Search& search, const core::FinalAnswer& answer,
+std::optional<Merged> MergeHits(const Search& search, const coordinator::FinalAnswer& answer,
                                 const Coming& coming) {
   std::vector<Hit> hits;
   std::int64_t total = 0;
   bool tracked = true, exact = answer.pieces.size() == coming.asked->size();
   std::optional<double> best;
   std::string_view best_text = "null";
-  for (const core::Piece& piece : answer.pieces) {
+  for (const coordinator::Piece& piece : answer.pieces) {
     if (!ReadHits(piece, search, hits)) return std::nullopt;
     std::string_view outer = json::Get(piece.value, "hits");
     AddTotal(json::Get(outer, "total"), total, tracked, exact);
@@ -139,9 +139,9 @@
   return out;
 }
 
-std::string MergeCounts(const core::FinalAnswer& answer, const Coming& coming) {
+std::string MergeCounts(const coordinator::FinalAnswer& answer, const Coming& coming) {
   std::int64_t sum = 0;
-  for (const core::Piece& piece : answer.pieces)
+  for (const coordinator::Piece& piece : answer.pieces)
     sum += json::Integer(json::Get(piece.value, "count")).value_or(0);
   return fmt::format("{{\"count\":{},{}}}", sum, Shards(answer, coming));
 }
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ports.h"
+#include "coordinator/interfaces.h"
 #include "opensearch/search.h"
 
 namespace liftrudder::opensearch {
@@ -20,9 +20,9 @@
 
 // What the merge is told of how the answer came about.
 struct Coming {
-  core::Micros took_us = 0;
+  coordinator::Micros took_us = 0;
   bool timed_out = false;
-  const std::vector<core::PartRequest>* asked = nullptr;
+  const std::vector<coordinator::PartRequest>* asked = nullptr;
 };
 
 // An answer that counts as served: well formed, with what was asked for, and without error, time-out or
@@ -30,8 +30,8 @@
 bool Served(std::string_view body, bool count);
 
 // Nothing when a piece's hits cannot be ordered.
-std::optional<Merged> MergeHits(const Search& search, const core::FinalAnswer& answer, const Coming& coming);
-std::string MergeCounts(const core::FinalAnswer& answer, const Coming& coming);
+std::optional<Merged> MergeHits(const Search& search, const coordinator::FinalAnswer& answer, const Coming& coming);
+std::string MergeCounts(const coordinator::FinalAnswer& answer, const Coming& coming);
 
 }  // namespace liftrudder::opensearch
 
--- a/src/opensearch/options.cpp
+++ b/src/opensearch/options.cpp
@@ -16,7 +16,7 @@
   auto found = std::ranges::find(config.classes, name);
   if (found == config.classes.end()) throw std::runtime_error("indices: no class '" + name + "'");
   auto index = static_cast<std::size_t>(found - config.classes.begin());
-  if (config.settings.classes[index].effect != tinsail::Effect::kIdempotent)
+  if (config.settings.classes[index].effect != routing::Effect::kIdempotent)
     throw std::runtime_error("indices: class '" + name + "' is not safe to repeat");
   return static_cast<int>(index);
 }
--- a/src/opensearch/options.h
+++ b/src/opensearch/options.h
@@ -14,14 +14,14 @@
 struct IndexOptions {
   int class_index = 0;
   int whole_class_index = 0;  // for scrolls and where partial answers are not allowed
-  std::vector<core::PartRequest> parts;
+  std::vector<coordinator::PartRequest> parts;
 };
 
 struct Options {
   std::map<std::string, IndexOptions, std::less<>> indices;
   std::int64_t result_window = 1000;
   std::size_t max_scrolls = 64;
-  core::Micros max_keep_alive_us = 300'000'000;
+  coordinator::Micros max_keep_alive_us = 300'000'000;
   std::string tiebreak = "_id";  // a field that no two documents of an index share
 };
 
--- a/src/opensearch/scroll.cpp
+++ b/src/opensearch/scroll.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 void Scrolls::Expire() {
-  core::Micros now = clock_.Now();
+  coordinator::Micros now = clock_.Now();
   std::erase_if(entries_, [now](const auto& one) { return one.second.expires_us <= now; });
 }
 
@@ -53,7 +53,7 @@
 }
 
 std::optional<Cursor> Scrolls::Find(const std::string& id, const std::string& owner,
-                                    core::Micros keep_alive_us) {
+                                    coordinator::Micros keep_alive_us) {
   std::lock_guard lock(mutex_);
   Expire();
   auto entry = Own(id, owner);
--- a/src/opensearch/scroll.h
+++ b/src/opensearch/scroll.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "identity/rights.h"
+#include "identity/permissions.h"
 #include "opensearch/search.h"
 
 namespace liftrudder::opensearch {
@@ -23,14 +23,14 @@
 class Scrolls {
  public:
   // `most_each`: cursors of one owner, so that what one holds open tells the others nothing.
-  Scrolls(const Options& options, const core::Clock& clock, std::uint64_t seed, std::size_t most_each)
+  Scrolls(const Options& options, const coordinator::Clock& clock, std::uint64_t seed, std::size_t most_each)
       : options_(options), clock_(clock), seed_(seed), most_each_(most_each) {}
 
   // The id under which the first page was given; nothing when all cursors, or the owner's share, are taken.
   std::optional<std::string> Open(Cursor next);
   // Where the page named by this id begins. An id stays good until the page after it has been given, so a
   // client that missed an answer may ask again and neither loses nor doubles a hit.
-  std::optional<Cursor> Find(const std::string& id, const std::string& owner, core::Micros keep_alive_us);
+  std::optional<Cursor> Find(const std::string& id, const std::string& owner, coordinator::Micros keep_alive_us);
   // A page was given: the id for the next.
   std::optional<std::string> Advance(const std::string& id, Cursor next);
   bool Drop(const std::string& id, const std::string& owner);
@@ -39,8 +39,8 @@
  private:
   struct Entry {
     std::map<std::uint64_t, Cursor> pages;  // the newest two
-    core::Micros keep_alive_us = 0;
-    core::Micros expires_us = 0;
+    coordinator::Micros keep_alive_us = 0;
+    coordinator::Micros expires_us = 0;
     std::string owner;
   };
   using Entries = std::map<std::string, Entry>;
@@ -48,7 +48,7 @@
   void Expire();
 
   const Options& options_;
-  const core::Clock& clock_;
+  const coordinator::Clock& clock_;
   const std::uint64_t seed_;
   const std::size_t most_each_;
   std::mutex mutex_;
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -7,7 +7,7 @@
 #include <iterator>
 
 #include "net/json.h"
-#include "opensearch/guard.h"
+#include "opensearch/access_control.h"
 
 namespace liftrudder::opensearch {
 namespace {
@@ -150,7 +150,7 @@
 
 }  // namespace
 
-std::optional<core::Micros> ReadSpan(std::string_view text) {
+std::optional<coordinator::Micros> ReadSpan(std::string_view text) {
   std::int64_t count = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
   if (error != std::errc() || count < 0 || count > 1'000'000'000) return std::nullopt;
--- a/src/opensearch/search.h
+++ b/src/opensearch/search.h
@@ -28,7 +28,7 @@
   std::string passed;        // the other members that go on unchanged, each with a comma before it
   std::string parameters;    // the same of the query string, each with an ampersand before it
   bool allow_partial = true;
-  core::Micros keep_alive_us = 0;  // above 0: a scroll is opened
+  coordinator::Micros keep_alive_us = 0;  // above 0: a scroll is opened
 };
 
 // Reads URL and body into `out`; an error says what is not supported or not right. With a `filter`, a query,
@@ -36,7 +36,7 @@
 std::optional<ApiError> ReadSearch(const net::HttpMessage& request, std::string_view body,
                                    const Options& options, const std::string& filter, Search& out);
 // "30s", "2m", "500ms", "1h".
-std::optional<core::Micros> ReadSpan(std::string_view text);
+std::optional<coordinator::Micros> ReadSpan(std::string_view text);
 // The body that each shard gets: all hits up to the page's end, with the sort spelled out.
 std::string ShardBody(const Search& search);
 
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -11,25 +11,25 @@
 namespace liftrudder::platform {
 namespace {
 
-constexpr core::Micros kConnectWait = 500'000;
+constexpr coordinator::Micros kConnectWait = 500'000;
 // The watch beats every 2 s; what it had to tell counts as told 6 s later, so a silent one is left soon.
-constexpr core::Micros kSilence = 3'000'000;
-constexpr core::Micros kSlice = 200'000;
+constexpr coordinator::Micros kSilence = 3'000'000;
+constexpr coordinator::Micros kSlice = 200'000;
 // What it has it tells at once, behind its head; where that is all for so long, there is nothing newer.
-constexpr core::Micros kFirstWord = 20'000;
+constexpr coordinator::Micros kFirstWord = 20'000;
 // A list has an entry for each holder, and as many again for those that replace others; few groups have more
 // than a thousand. An entry is some 130 bytes on one line and twice that indented; names may be long.
 constexpr std::size_t kLeastEntries = 1024, kEntriesPerCell = 4;
 constexpr std::size_t kEntryBytes = 2048;
 
-std::size_t MostListBytes(const tinsail::Settings& settings) {
+std::size_t MostListBytes(const routing::Settings& settings) {
   return kEntryBytes * std::max(kLeastEntries, kEntriesPerCell * static_cast<std::size_t>(settings.cells));
 }
 
 }  // namespace
 
-DiscoveryWatch::DiscoveryWatch(const config::Config& config, core::Directory& directory, core::Core& core,
-                               const core::Clock& clock)
+DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::Directory& directory, coordinator::Core& core,
+                               const coordinator::Clock& clock)
     : config_(config),
       directory_(directory),
       core_(core),
@@ -55,7 +55,7 @@
 }
 
 // Cut short by the end, and by a new address: that one has turned nobody away yet.
-void DiscoveryWatch::Pause(core::Micros span, const std::string& address) {
+void DiscoveryWatch::Pause(coordinator::Micros span, const std::string& address) {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, std::chrono::microseconds(span), [&] { return stopping_ || address_ != address; });
 }
@@ -95,7 +95,7 @@
   net::HttpParser parser(net::HttpParser::Kind::kResponse, MostListBytes(config_.settings));
   net::ObjectStream lists(MostListBytes(config_.settings));
   std::string pending;
-  core::Micros heard_us = clock_.Now();
+  coordinator::Micros heard_us = clock_.Now();
   bool settled = false;  // it has told what it had when it was asked
   // An address that was left may go on beating for a while and tell nothing new any more.
   while (!stopping_ && clock_.Now() - heard_us < kSilence && Address() == address) {
@@ -138,11 +138,11 @@
 }
 
 void DiscoveryWatch::TakeList(std::string_view text) {
-  core::HolderList list = config::ParseHolders(text, config_);
+  coordinator::HolderList list = config::ParseHolders(text, config_);
   auto news = directory_.Apply(list, clock_.Now());
   if (!news) return;
   log::Info("holder list {}{}: {} entries", list.version,
-            list.kind == tinsail::ListKind::kFull ? ", whole" : "", list.entries.size());
+            list.kind == routing::ListKind::kFull ? ", whole" : "", list.entries.size());
   core_.Post(std::move(*news));
 }
 
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -8,18 +8,18 @@
 #include <string>
 
 #include "config/config.h"
-#include "core/core.h"
-#include "core/directory.h"
+#include "coordinator/coordinator.h"
+#include "coordinator/endpoint_registry.h"
 #include "limits/backoff.h"
-#include "limits/list_waits.h"
+#include "limits/watch_timeouts.h"
 #include "net/socket.h"
 
 namespace liftrudder::platform {
 
 class DiscoveryWatch {
  public:
-  DiscoveryWatch(const config::Config& config, core::Directory& directory, core::Core& core,
-                 const core::Clock& clock);
+  DiscoveryWatch(const config::Config& config, coordinator::Directory& directory, coordinator::Core& core,
+                 const coordinator::Clock& clock);
   ~DiscoveryWatch();
 
   // From now on it watches there; the list and its version stay, and the new watch asks for what came after.
@@ -28,15 +28,15 @@
  private:
   void Loop();
   void Watch(const std::string& address);
-  void Pause(core::Micros span, const std::string& address);
+  void Pause(coordinator::Micros span, const std::string& address);
   void Answered(const std::string& address);
   std::string Address() const;
   void TakeList(std::string_view text);
 
   const config::Config& config_;
-  core::Directory& directory_;
-  core::Core& core_;
-  const core::Clock& clock_;
+  coordinator::Directory& directory_;
+  coordinator::Core& core_;
+  const coordinator::Clock& clock_;
   std::atomic<bool> stopping_{false};
   const limits::ListWaits waits_;
   limits::Backoff backoff_;  // the thread's
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -70,11 +70,11 @@
     answer.load = Report(line);
     answer.value = frame.substr(line_end + 1);
     if (end == "served") {
-      answer.cause = core::Cause::kServed;
+      answer.cause = coordinator::Cause::kServed;
     } else if (end == "broke") {
-      answer.cause = core::Cause::kBroke;
+      answer.cause = coordinator::Cause::kBroke;
     } else if (end == "skipped") {
-      answer.cause = core::Cause::kSkipped;
+      answer.cause = coordinator::Cause::kSkipped;
     } else {
       return false;
     }
@@ -104,15 +104,15 @@
 
 }  // namespace
 
-std::string FrameDialect::Id(const core::AttemptOrder& order) const {
+std::string FrameDialect::Id(const coordinator::AttemptOrder& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string FrameDialect::Ask(std::span<const core::AttemptOrder* const> orders, const std::string&,
-                              core::Micros now_us) const {
+std::string FrameDialect::Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string&,
+                              coordinator::Micros now_us) const {
   std::string all;
-  for (const core::AttemptOrder* order : orders) {
-    std::string list = fmt::format("d={}", std::max<core::Micros>(1, (order->wait_until_us - now_us) / 1000));
+  for (const coordinator::AttemptOrder* order : orders) {
+    std::string list = fmt::format("d={}", std::max<coordinator::Micros>(1, (order->wait_until_us - now_us) / 1000));
     if (!order->payload->dedup_key.empty()) list += ",k=" + order->payload->dedup_key;
     const std::string& text = order->payload->statement;
     all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, list, text.size(), text);
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "net/holder_links.h"
+#include "net/endpoint_connection_pool.h"
 
 namespace liftrudder::platform {
 
@@ -13,9 +13,9 @@
  public:
   explicit FrameDialect(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
-  std::string Id(const core::AttemptOrder& order) const override;
-  std::string Ask(std::span<const core::AttemptOrder* const> orders, const std::string& holder,
-                  core::Micros now_us) const override;
+  std::string Id(const coordinator::AttemptOrder& order) const override;
+  std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+                  coordinator::Micros now_us) const override;
   std::string GiveUp(const std::string& id) const override;
   std::unique_ptr<net::AnswerReader> Reader() const override;
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "net/json.h"
-#include "net/why_page.h"
+#include "net/explain_page.h"
 
 namespace liftrudder::platform {
 namespace {
@@ -18,8 +18,8 @@
 constexpr std::size_t kMaxName = 128;
 constexpr double kWeightSlack = 1e-3;  // weights sum to 1 but for what rounding takes off each of them
 constexpr double kWeightRounding = 1e-4;
-constexpr core::Micros kLastMoment = 5'000;  // before the client's time is up, should the core be busy
-constexpr core::Micros kBusyRetryUs = 200'000;
+constexpr coordinator::Micros kLastMoment = 5'000;  // before the client's time is up, should the core be busy
+constexpr coordinator::Micros kBusyRetryUs = 200'000;
 
 // Goes into a frame's line: nothing there may part fields or lines.
 bool Plain(std::string_view name) {
@@ -34,17 +34,17 @@
   return out;
 }
 
-net::HttpResponse Refusal(int status, core::Micros retry_after_us, std::string_view what) {
+net::HttpResponse Refusal(int status, coordinator::Micros retry_after_us, std::string_view what) {
   net::HttpResponse out = Problem(status, what);
   if (retry_after_us > 0)
     out.headers.emplace_back("Retry-After", fmt::format("{:.3f}", static_cast<double>(retry_after_us) / 1e6));
   return out;
 }
 
-net::HttpResponse Answer(const core::FinalAnswer& answer) {
+net::HttpResponse Answer(const coordinator::FinalAnswer& answer) {
   net::HttpResponse out;
   out.body = fmt::format("{{\"full\":{},\"pieces\":[", answer.full);
-  for (const core::Piece& piece : answer.pieces) {
+  for (const coordinator::Piece& piece : answer.pieces) {
     if (&piece != &answer.pieces.front()) out.body += ',';
     fmt::format_to(std::back_inserter(out.body), "{{\"tablet\":{},\"cell\":{}}}", piece.shard,
                    json::Quote(piece.value));
@@ -58,7 +58,7 @@
   return place.empty() && !(place = value).empty();
 }
 
-bool ReadPart(std::string_view text, core::PartRequest& part) {
+bool ReadPart(std::string_view text, coordinator::PartRequest& part) {
   std::string_view tablet, fraction, guess, token;
   bool ok = json::Members(text, [&](std::string_view name, std::string_view value) {
     if (name == "tablet") return Once(tablet, value);
@@ -75,7 +75,7 @@
   if (!guess.empty()) {
     auto work_us = json::Number(guess);
     if (!work_us || *work_us < 0) return false;
-    part.work_us = static_cast<core::Micros>(std::min(*work_us, 1e9));
+    part.work_us = static_cast<coordinator::Micros>(std::min(*work_us, 1e9));
   }
   if (auto digits = json::RawString(token))
     std::from_chars(digits->data(), digits->data() + digits->size(), part.key, 16);
@@ -90,14 +90,14 @@
 }  // namespace
 
 net::HttpResponse Front::Malformed(int status) {
-  core_.NoteDoor(why::Door::kUnreadable, why::FrontKind::kPlatform, why::kNoClass, status, "");
+  core_.NoteDoor(decision_log::Door::kUnreadable, decision_log::FrontKind::kPlatform, decision_log::kNoClass, status, "");
   return Problem(status, "the request cannot be read");
 }
 
 net::HttpResponse Front::Overloaded(const net::HttpMessage* request) {
   const std::string* name = request == nullptr ? nullptr : request->Header("X-Call-Class");
   if (name != nullptr) metrics::Figures::Ended(figures_.Of(*name), 503);
-  core_.NoteDoor(why::Door::kTooManyConnections, why::FrontKind::kPlatform, why::kNoClass, 503, "");
+  core_.NoteDoor(decision_log::Door::kTooManyConnections, decision_log::FrontKind::kPlatform, decision_log::kNoClass, 503, "");
   return Refusal(503, kBusyRetryUs, "too many connections");
 }
 
@@ -105,15 +105,15 @@
   core_.NoteGiven(served, status, bytes, whole);
 }
 
-net::HttpResponse Front::Rejected(const net::HttpMessage& request, why::Door door,
+net::HttpResponse Front::Rejected(const net::HttpMessage& request, decision_log::Door door,
                                   net::HttpResponse response) {
   counters_.malformed.Add();
   const std::string* id = request.Header("X-Call-Id");
   const std::string* name = request.Header("X-Call-Class");
   auto found = name == nullptr ? config_.classes.end() : std::ranges::find(config_.classes, *name);
   int index =
-      found == config_.classes.end() ? why::kNoClass : static_cast<int>(found - config_.classes.begin());
-  core_.NoteDoor(door, why::FrontKind::kPlatform, index, response.status, id == nullptr ? "" : *id);
+      found == config_.classes.end() ? decision_log::kNoClass : static_cast<int>(found - config_.classes.begin());
+  core_.NoteDoor(door, decision_log::FrontKind::kPlatform, index, response.status, id == nullptr ? "" : *id);
   return response;
 }
 
@@ -133,7 +133,7 @@
   return Query(request, exchange);
 }
 
-std::optional<core::QueryRequest> Front::Read(const net::HttpMessage& request,
+std::optional<coordinator::QueryRequest> Front::Read(const net::HttpMessage& request,
                                               const net::Exchange& exchange) const {
   const std::string* id = Only(request, "X-Call-Id");
   const std::string* name = Only(request, "X-Call-Class");
@@ -143,17 +143,17 @@
   auto seconds = json::Number(*budget);
   auto found = std::ranges::find(config_.classes, *name);
   if (!seconds || *seconds <= 0 || *seconds > 3600 || found == config_.classes.end()) return std::nullopt;
-  core::QueryRequest query;
+  coordinator::QueryRequest query;
   query.class_index = static_cast<int>(found - config_.classes.begin());
   query.received_us = exchange.received_us;
-  query.deadline_us = exchange.received_us + static_cast<core::Micros>(*seconds * 1e6);
+  query.deadline_us = exchange.received_us + static_cast<coordinator::Micros>(*seconds * 1e6);
   const std::string* again = request.Header("X-Again");
   query.repeated = again != nullptr && *again == "1";
-  core::Payload payload;
+  coordinator::Payload payload;
   payload.call_id = *id;
   payload.client = exchange.vigil->client();
-  tinsail::Effect effect = config_.settings.classes[static_cast<std::size_t>(query.class_index)].effect;
-  if (effect == tinsail::Effect::kDeduplicated) {
+  routing::Effect effect = config_.settings.classes[static_cast<std::size_t>(query.class_index)].effect;
+  if (effect == routing::Effect::kDeduplicated) {
     if (key == nullptr || !Plain(*key)) return std::nullopt;
     payload.dedup_key = *key;
   }
@@ -168,7 +168,7 @@
   double sum = 0;
   std::set<int> shards;
   ok = json::Elements(tablets, [&](std::string_view text) {
-    core::PartRequest part;
+    coordinator::PartRequest part;
     if (!ReadPart(text, part) || part.shard >= config_.settings.shards) return false;
     if (!shards.insert(part.shard).second) return false;  // so there are no more than shards
     query.parts.push_back(part);
@@ -178,20 +178,20 @@
   // Guards answers in part: what share of the whole a part is can be told only when all of them make one.
   double slack = kWeightSlack + kWeightRounding * static_cast<double>(query.parts.size());
   if (!ok || query.parts.empty() || std::abs(sum - 1) > slack) return std::nullopt;
-  query.payload = std::make_shared<const core::Payload>(std::move(payload));
+  query.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
   return query;
 }
 
 std::optional<net::HttpResponse> Front::Query(net::HttpMessage& request, const net::Exchange& exchange) {
   auto query = Read(request, exchange);
-  if (!query) return Rejected(request, why::Door::kMalformed, Problem(400, "the request cannot be read"));
+  if (!query) return Rejected(request, decision_log::Door::kMalformed, Problem(400, "the request cannot be read"));
   request.body = std::string();  // all that is needed of it has been taken out
   // Guards the ids of parts, which are made from the query's: of two open queries they must differ.
   std::string id = query->payload->call_id;
   {
     std::lock_guard lock(mutex_);
     if (!open_.insert(id).second) {
-      return Rejected(request, why::Door::kDuplicateId, Problem(409, "a query with this id is open"));
+      return Rejected(request, decision_log::Door::kDuplicateId, Problem(409, "a query with this id is open"));
     }
   }
   metrics::Figures::ByClass* group = figures_.Of(query->class_index);
@@ -205,22 +205,22 @@
   return response;
 }
 
-std::optional<net::HttpResponse> Front::Ask(core::QueryRequest query, const net::Exchange& exchange) {
-  core::Micros deadline_us = query.deadline_us;
+std::optional<net::HttpResponse> Front::Ask(coordinator::QueryRequest query, const net::Exchange& exchange) {
+  coordinator::Micros deadline_us = query.deadline_us;
   auto reply = std::make_shared<net::WaitingReply>(exchange.vigil);
   auto id = core_.Admit(std::move(query), reply);
   if (!id) return Refusal(503, kBusyRetryUs, "too many queries are open");
   exchange.served->push_back({*id, 0});
   switch (reply->Wait(*exchange.line, clock_, deadline_us - kLastMoment)) {
     case net::WaitingReply::End::kGone:
-      core_.Post(core::Hangup{*id});
+      core_.Post(coordinator::Hangup{*id});
       return std::nullopt;
     case net::WaitingReply::End::kLate:
-      core_.Post(core::Hangup{*id, why::Door::kLate});
+      core_.Post(coordinator::Hangup{*id, decision_log::Door::kLate});
       counters_.late.Add();
       return Problem(504, "no answer in time");
     case net::WaitingReply::End::kCrowded: {
-      core_.Post(core::Hangup{*id, why::Door::kCrowded});
+      core_.Post(coordinator::Hangup{*id, decision_log::Door::kCrowded});
       counters_.malformed.Add();
       net::HttpResponse out = Problem(400, "one request at a time");
       out.close = true;
@@ -229,9 +229,9 @@
     case net::WaitingReply::End::kAnswered:
       break;
   }
-  const core::FinalAnswer& answer = reply->answer();
-  if (answer.verdict == core::Verdict::kAnswered) return Answer(answer);
-  if (answer.verdict == core::Verdict::kRefused) return Refusal(429, answer.retry_after_us, "not now");
+  const coordinator::FinalAnswer& answer = reply->answer();
+  if (answer.verdict == coordinator::Verdict::kAnswered) return Answer(answer);
+  if (answer.verdict == coordinator::Verdict::kRefused) return Refusal(429, answer.retry_after_us, "not now");
   return Problem(504, "the query failed");
 }
 
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -7,17 +7,17 @@
 #include <string>
 
 #include "config/config.h"
-#include "core/core.h"
+#include "coordinator/coordinator.h"
 #include "metrics/figures.h"
 #include "net/server.h"
-#include "why/desk.h"
+#include "decision_log/explain_service.h"
 
 namespace liftrudder::platform {
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, core::Core& core, const core::Clock& clock, metrics::Counters& counters,
-        metrics::Figures& figures, why::Desk* desk)
+  Front(const config::Config& config, coordinator::Core& core, const coordinator::Clock& clock, metrics::Counters& counters,
+        metrics::Figures& figures, decision_log::Desk* desk)
       : config_(config), core_(core), clock_(clock), counters_(counters), figures_(figures), desk_(desk) {}
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
@@ -27,17 +27,17 @@
 
  private:
   std::optional<net::HttpResponse> Query(net::HttpMessage& request, const net::Exchange& exchange);
-  std::optional<net::HttpResponse> Ask(core::QueryRequest query, const net::Exchange& exchange);
+  std::optional<net::HttpResponse> Ask(coordinator::QueryRequest query, const net::Exchange& exchange);
   // Nothing when the request is not one; `statement` and key stay as they came.
-  std::optional<core::QueryRequest> Read(const net::HttpMessage& request, const net::Exchange& exchange) const;
-  net::HttpResponse Rejected(const net::HttpMessage& request, why::Door door, net::HttpResponse response);
+  std::optional<coordinator::QueryRequest> Read(const net::HttpMessage& request, const net::Exchange& exchange) const;
+  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::Door door, net::HttpResponse response);
 
   const config::Config& config_;
-  core::Core& core_;
-  const core::Clock& clock_;
+  coordinator::Core& core_;
+  const coordinator::Clock& clock_;
   metrics::Counters& counters_;
   metrics::Figures& figures_;
-  why::Desk* desk_;  // null: nothing is recorded
+  decision_log::Desk* desk_;  // null: nothing is recorded
   std::mutex mutex_;
   std::set<std::string> open_;  // call ids of the queries that are open
 };
--- /dev/null
+++ b/src/routing/actions.h
@@ -0,0 +1,52 @@
+// What the router decides, each action with its reason. Plain data.
+#ifndef LIFTRUDDER_ROUTING_ACTIONS_H_
+#define LIFTRUDDER_ROUTING_ACTIONS_H_
+
+#include <cstdint>
+#include <variant>
+
+#include "routing/reasons.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+struct Send {
+  Id part = 0;
+  ReplicaId replica;
+  Micros timeout_us = 0;
+  SendWhy why = {};
+};
+struct Answer {
+  Id query = 0;
+  bool full = false;
+  EndWhy why = {};
+};
+struct Refuse {
+  Id query = 0;
+  Micros retry_after_us = 0;
+  EndWhy why = {};
+};
+struct Fail {
+  Id query = 0;
+  EndWhy why = {};
+};
+struct Cancel {
+  Id part = 0;
+  int attempt = 0;
+  CancelWhy why = CancelWhy::kAnswered;
+};
+struct Close {  // the idle connections to a replica
+  ReplicaId replica;
+  CloseWhy why = CloseWhy::kDeadConnection;
+};
+struct SetTimer {
+  Micros span_us = 0;
+  std::uint64_t label = 0;
+};
+struct Subscribe {};
+
+using Action = std::variant<Send, Answer, Refuse, Fail, Cancel, Close, SetTimer, Subscribe>;
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_ACTIONS_H_
