--- /dev/null
+++ b/src/routing/events.h
@@ -0,0 +1,78 @@
+// What the router is told: endpoint lists, queries, outcomes, timers. Plain data.
+#ifndef LIFTRUDDER_ROUTING_EVENTS_H_
+#define LIFTRUDDER_ROUTING_EVENTS_H_
+
+#include <cstdint>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+enum class ListKind { kDelta, kFull, kCached, kFailed };
+struct ListNews {
+  ListKind kind = ListKind::kFull;
+  std::uint64_t version = 0;
+  std::vector<Replica> replicas;
+};
+
+// A query; its parts follow in the same span of events. Parts of a second step come later, alone.
+struct QueryArrived {
+  Id id = 0;
+  std::int64_t number = 0;  // its parts carry the same
+  int parts = 0;
+  int class_index = 0;
+  int tenant = 0;
+  bool repeated = false;  // the client marks it as a further try
+  std::uint64_t key = 0;
+  Micros patience_us = 0;
+  Micros work_us = 0;  // 0: not told
+};
+
+struct PartArrived {
+  Id id = 0;
+  std::int64_t number = 0;  // of its query
+  int shard = 0;
+  double weight = 0;
+  std::uint64_t key = 0;
+  Micros work_us = 0;  // 0: not told
+};
+
+enum class OutcomeCode { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
+
+struct AttemptEnded {
+  Id part = 0;
+  int attempt = 0;
+  ReplicaId replica;
+  OutcomeCode code = OutcomeCode::kOk;
+  Micros spent_us = 0;
+  bool part_done = false;
+  std::vector<double> load;  // as the settings of the site name them; empty: none
+};
+
+struct ProbeEnded {
+  ReplicaId replica;
+  OutcomeCode code = OutcomeCode::kOk;
+  Micros spent_us = 0;
+  std::vector<double> load;
+};
+
+struct ClientGone {
+  Id id = 0;
+};
+struct TimerFired {
+  std::uint64_t label = 0;
+};
+struct PeerMessage {
+  std::uint32_t from = 0;
+  std::string text;
+};
+
+using Event = std::variant<ListNews, QueryArrived, PartArrived, AttemptEnded, ProbeEnded, ClientGone,
+                           TimerFired, PeerMessage>;
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_EVENTS_H_
--- a/src/rules.cpp
+++ b/src/routing/router.cpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <utility>
 
-#include "tinsail/tinsail.h"
+#include "routing/router.h"
 
-namespace tinsail {
+namespace liftrudder::routing {
 namespace {
 
 // ---- Constants: ratios of what the settings state or of what is observed; none is one deployment's. ----
@@ -1069,4 +1069,4 @@
   state_->Handle(now, events, actions, held);
 }
 
-}  // namespace tinsail
+}  // namespace liftrudder::routing
--- a/tests/identity_fuzz.cpp
+++ b/tests/identity/identity_fuzz.cpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <string>
 
-#include "identity/rights.h"
+#include "identity/permissions.h"
 #include "identity/token.h"
-#include "signer.h"
+#include "support/token_signer.h"
 
 using namespace liftrudder::identity;
 using liftrudder::tests::Json;
--- a/tests/accounts_test.cpp
+++ b/tests/limits/tenant_quotas_test.cpp
@@ -1,6 +1,6 @@
 // Shares of tenants and callers, in virtual time: random loads, and one greedy tenant against three.
 #define CATCH_CONFIG_MAIN
-#include "limits/accounts.h"
+#include "limits/tenant_quotas.h"
 
 #include <rapidcheck.h>
 
--- a/tests/guard_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -2,7 +2,7 @@
 // what could reach past the filter is refused. Holders are a small evaluator that would happily serve
 // anything.
 #define CATCH_CONFIG_MAIN
-#include "opensearch/guard.h"
+#include "opensearch/access_control.h"
 
 #include <rapidcheck.h>
 
@@ -10,7 +10,7 @@
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
-#include "identity/callers.h"
+#include "identity/authenticator.h"
 
 using namespace liftrudder;
 using Json = nlohmann::json;
--- a/tests/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -1,4 +1,4 @@
-#include "scenario.h"
+#include "scenario/scenario.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -20,8 +20,8 @@
 #include "dns/zone.h"
 #include "net/http.h"
 #include "net/socket.h"
-#include "issuer.h"
-#include "signer.h"
+#include "support/token_issuer.h"
+#include "support/token_signer.h"
 
 namespace liftrudder::tests {
 namespace {
--- a/tests/scenario.h
+++ b/tests/scenario/scenario.h
@@ -33,8 +33,8 @@
 //                            and SIGHUP is sent; waits until the program watches there (or has logged it)
 //   signal                   SIGTERM to the program;  wait exit: it has ended with 0
 //   until GLOB               the program's counters match
-#ifndef LIFTRUDDER_TESTS_SCENARIO_H_
-#define LIFTRUDDER_TESTS_SCENARIO_H_
+#ifndef LIFTRUDDER_TESTS_SCENARIO_SCENARIO_H_
+#define LIFTRUDDER_TESTS_SCENARIO_SCENARIO_H_
 
 #include <string>
 
@@ -45,4 +45,4 @@
 
 }  // namespace liftrudder::tests
 
-#endif  // LIFTRUDDER_TESTS_SCENARIO_H_
+#endif  // LIFTRUDDER_TESTS_SCENARIO_SCENARIO_H_
--- a/tests/scenarios_test.cpp
+++ b/tests/scenario/scenario_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 
 #include "config/config.h"
-#include "scenario.h"
+#include "scenario/scenario.h"
 
 TEST_CASE("scenario") {
   const char* path = std::getenv("SCENARIO");
--- a/tests/issuer.h
+++ b/tests/support/token_issuer.h
@@ -1,6 +1,6 @@
 // An issuer of certificates of the tests' own, made anew each time, and a client's side of TLS in memory.
-#ifndef LIFTRUDDER_TESTS_ISSUER_H_
-#define LIFTRUDDER_TESTS_ISSUER_H_
+#ifndef LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
+#define LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
 
 #include <openssl/err.h>
 #include <openssl/evp.h>
@@ -166,4 +166,4 @@
 
 }  // namespace liftrudder::tests
 
-#endif  // LIFTRUDDER_TESTS_ISSUER_H_
+#endif  // LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
--- a/tests/signer.h
+++ b/tests/support/token_signer.h
@@ -1,6 +1,6 @@
 // What the issuer of callers' tokens would hold: a key pair of the tests' own, made anew each time.
-#ifndef LIFTRUDDER_TESTS_SIGNER_H_
-#define LIFTRUDDER_TESTS_SIGNER_H_
+#ifndef LIFTRUDDER_TESTS_SUPPORT_TOKEN_SIGNER_H_
+#define LIFTRUDDER_TESTS_SUPPORT_TOKEN_SIGNER_H_
 
 #include <openssl/ec.h>
 #include <openssl/evp.h>
@@ -27,4 +27,4 @@
 
 }  // namespace liftrudder::tests
 
-#endif  // LIFTRUDDER_TESTS_SIGNER_H_
+#endif  // LIFTRUDDER_TESTS_SUPPORT_TOKEN_SIGNER_H_
--- a/tools/standin/counted.cpp
+++ b/tools/test_support/allocation_counter.cpp
@@ -1,4 +1,4 @@
-#include "standin/counted.h"
+#include "test_support/allocation_counter.h"
 
 #include <malloc.h>
 
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <new>
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 namespace {
 
 std::atomic<std::size_t> allocations{0}, held{0}, most{0};
@@ -36,10 +36,10 @@
 }
 
 }  // namespace
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-void* operator new(std::size_t size) { return liftrudder::standin::Take(size); }
-void operator delete(void* memory) noexcept { liftrudder::standin::Give(memory); }
-void operator delete(void* memory, std::size_t) noexcept { liftrudder::standin::Give(memory); }
+void* operator new(std::size_t size) { return liftrudder::test_support::Take(size); }
+void operator delete(void* memory) noexcept { liftrudder::test_support::Give(memory); }
+void operator delete(void* memory, std::size_t) noexcept { liftrudder::test_support::Give(memory); }
 #endif
--- a/tools/standin/counted.h
+++ b/tools/test_support/allocation_counter.h
@@ -1,11 +1,11 @@
 // Counts the allocations of the program that it is linked into. For tests and measurements. A sanitizer
 // brings allocators of its own and minds others; there nothing is counted, and kCounted says so.
-#ifndef LIFTRUDDER_TOOLS_STANDIN_COUNTED_H_
-#define LIFTRUDDER_TOOLS_STANDIN_COUNTED_H_
+#ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
+#define LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
 
 #include <cstddef>
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr bool kCounted = false;
@@ -20,6 +20,6 @@
 std::size_t MostBytesHeld();
 void ForgetMost();
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
-#endif  // LIFTRUDDER_TOOLS_STANDIN_COUNTED_H_
+#endif  // LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
--- a/tools/standin/gatherer.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -1,4 +1,4 @@
-#include "standin/gatherer.h"
+#include "test_support/coordinator_process.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -13,7 +13,7 @@
 #include <sstream>
 #include <thread>
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 namespace {
 
 [[noreturn]] void Become(const std::string& program, const std::vector<std::string>& arguments) {
@@ -135,4 +135,4 @@
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
 }
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
--- a/tools/standin/gatherer.h
+++ b/tools/test_support/coordinator_process.h
@@ -1,7 +1,7 @@
 // Starts the program under test as a child, with a configuration of its own, and ends it. For tests and
 // measurements.
-#ifndef LIFTRUDDER_TOOLS_STANDIN_GATHERER_H_
-#define LIFTRUDDER_TOOLS_STANDIN_GATHERER_H_
+#ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_COORDINATOR_PROCESS_H_
+#define LIFTRUDDER_TOOLS_TEST_SUPPORT_COORDINATOR_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -12,7 +12,7 @@
 #include "net/http.h"
 #include "net/socket.h"
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 
 constexpr net::Micros kPatience = 20'000'000;  // ends what hangs, decides nothing else
 
@@ -50,6 +50,6 @@
 // Runs the program to its end: exit code and what it printed to both outputs.
 std::pair<int, std::string> RunProgram(const std::string& program, const std::vector<std::string>& arguments);
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
-#endif  // LIFTRUDDER_TOOLS_STANDIN_GATHERER_H_
+#endif  // LIFTRUDDER_TOOLS_TEST_SUPPORT_COORDINATOR_PROCESS_H_
--- a/tools/standin/discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -1,4 +1,4 @@
-#include "standin/discovery.h"
+#include "test_support/fake_discovery.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 
 #include "net/http.h"
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 namespace {
 
 constexpr net::Micros kSlice = 50'000;
@@ -106,4 +106,4 @@
   }
 }
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
--- a/tools/standin/discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -1,6 +1,6 @@
 // A stand-in discovery on a loopback port: gives the holder list and streams its changes to whoever watches.
-#ifndef LIFTRUDDER_TOOLS_STANDIN_DISCOVERY_H_
-#define LIFTRUDDER_TOOLS_STANDIN_DISCOVERY_H_
+#ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
+#define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
 
 #include <atomic>
 #include <list>
@@ -11,7 +11,7 @@
 
 #include "net/socket.h"
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 
 class Discovery {
  public:
@@ -50,6 +50,6 @@
   net::Thread loop_;
 };
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
-#endif  // LIFTRUDDER_TOOLS_STANDIN_DISCOVERY_H_
+#endif  // LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
--- a/tools/standin/holder.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "standin/holder.h"
+#include "test_support/fake_endpoint.h"
 
 #include <sys/socket.h>
 
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <sstream>
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 namespace {
 
 constexpr net::Micros kSlice = 50'000;
@@ -139,4 +139,4 @@
   }
 }
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
--- a/tools/standin/holder.h
+++ b/tools/test_support/fake_endpoint.h
@@ -1,7 +1,7 @@
 // A stand-in record holder that speaks the platform's frames on a loopback port, misbehaves as its script
 // says, and logs every part that reaches it. For tests and demonstrations; decides nothing about queries.
-#ifndef LIFTRUDDER_TOOLS_STANDIN_HOLDER_H_
-#define LIFTRUDDER_TOOLS_STANDIN_HOLDER_H_
+#ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
+#define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -15,7 +15,7 @@
 
 #include "net/socket.h"
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 
 enum class Act { kServe, kBreak, kSkip, kReset, kSilent, kSpoil };
 
@@ -72,6 +72,6 @@
   net::Thread acceptor_, answerer_;
 };
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
-#endif  // LIFTRUDDER_TOOLS_STANDIN_HOLDER_H_
+#endif  // LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
--- a/tools/standin/folder.h
+++ b/tools/test_support/temporary_directory.h
@@ -1,12 +1,12 @@
 // A folder of a test's own in the system's place for such, gone with the object.
-#ifndef LIFTRUDDER_TOOLS_STANDIN_FOLDER_H_
-#define LIFTRUDDER_TOOLS_STANDIN_FOLDER_H_
+#ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
+#define LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
 
 #include <filesystem>
 #include <random>
 #include <string>
 
-namespace liftrudder::standin {
+namespace liftrudder::test_support {
 
 class Folder {
  public:
@@ -29,6 +29,6 @@
   std::string path_;
 };
 
-}  // namespace liftrudder::standin
+}  // namespace liftrudder::test_support
 
-#endif  // LIFTRUDDER_TOOLS_STANDIN_FOLDER_H_
+#endif  // LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
