--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -25,7 +25,7 @@
 
 using namespace liftrudder;
 
-constexpr int kHolders = 6, kParts = 6, kClients = 8;
+constexpr int kMaxEndpoints = 6, kParts = 6, kClients = 8;
 
 double Median(std::vector<double> values) {
   std::ranges::sort(values);
@@ -36,31 +36,31 @@
 
 liftrudder::routing::Settings CoreSettings() {
   liftrudder::routing::Settings s;
-  liftrudder::routing::ClassSettings search{2'000'000, 4'000'000, 0.3, 5,   liftrudder::routing::Effect::kIdempotent, 0, 0,
+  liftrudder::routing::QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5,   liftrudder::routing::Effect::kIdempotent, 0, 0,
                                 0,         0.4,       1,   0.95};
   s.classes = {search};
-  s.cells = s.shards = kHolders;
+  s.cells = s.shards = kMaxEndpoints;
   s.reach = 3;
   s.max_attempts = 3;
-  s.may_cancel = s.may_copy = true;
-  s.resolution_us = 1;
+  s.cancellation_allowed = s.hedging_allowed = true;
+  s.decision_interval_us = 1;
   return s;
 }
 
 // Answers every attempt at once.
-class Echo : public coordinator::HolderTransport {
+class Echo : public coordinator::EndpointTransport {
  public:
-  explicit Echo(coordinator::Core& core) : core_(core) {}
-  void Start(coordinator::AttemptOrder order) override {
-    core_.Post(coordinator::AttemptResult{order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
+  explicit Echo(coordinator::Coordinator& coordinator) : coordinator_(coordinator) {}
+  void Start(coordinator::AttemptRequest order) override {
+    coordinator_.Post(coordinator::AttemptResult{order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
   }
-  void Withdraw(const coordinator::AttemptKey&, const coordinator::ReplicaId&, coordinator::Cause) override {}
+  void Withdraw(const coordinator::AttemptKey&, const coordinator::EndpointId&, coordinator::Cause) override {}
   void CallOff(const coordinator::AttemptKey&) override {}
-  void CloseIdle(const coordinator::ReplicaId&) override {}
+  void CloseIdle(const coordinator::EndpointId&) override {}
   void ForgetGone() override {}
 
  private:
-  coordinator::Core& core_;
+  coordinator::Coordinator& coordinator_;
 };
 
 class Signal : public coordinator::ClientReply {
@@ -79,23 +79,23 @@
 Cost CoreCost(bool record, bool readers, int queries) {
   liftrudder::routing::Settings settings = CoreSettings();
   net::SteadyClock clock;
-  coordinator::Directory directory;
+  coordinator::EndpointRegistry endpoint_registry;
   metrics::Counters counters;
-  coordinator::Core core(settings, 7, clock, directory, counters);
-  Echo echo(core);
-  core.Attach(echo);
+  coordinator::Coordinator coordinator(settings, 7, clock, endpoint_registry, counters);
+  Echo echo(coordinator);
+  coordinator.Attach(echo);
   std::optional<decision_log::Recorder> recorder;
   if (record) {
     recorder.emplace(4 * 1024 * 1024, "", decision_log::About{"bench", clock.Now(), {"search"}}, 7);
-    core.Attach(*recorder);
+    coordinator.Attach(*recorder);
   }
-  coordinator::HolderList list;
-  for (int cell = 0; cell < kHolders; ++cell)
+  coordinator::EndpointList list;
+  for (int cell = 0; cell < kMaxEndpoints; ++cell)
     list.entries.push_back({fmt::format("s-{}", cell), "127.0.0.1:1", {{}, 0, 0, cell}});
-  core.Post(*directory.Apply(list, clock.Now()));
+  coordinator.Post(*endpoint_registry.Apply(list, clock.Now()));
   std::atomic<std::int64_t> core_ns{0};
   std::thread loop([&] {
-    core.Run();
+    coordinator.Run();
     timespec used{};
     ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
     core_ns = used.tv_sec * 1'000'000'000 + used.tv_nsec;
@@ -103,10 +103,10 @@
   std::atomic<bool> done{false};
   std::thread reader([&] {
     if (!readers || !record) return;
-    decision_log::Desk desk(
-        recorder->arena(), [&] { core.Freshen(); }, [&] { return clock.Now(); });
+    decision_log::ExplainService explain_service(
+        recorder->record_file(), [&] { coordinator.Freshen(); }, [&] { return clock.Now(); });
     while (!done) {
-      desk.Ask({{"limit", "50"}, {"format", "json"}});
+      explain_service.Ask({{"limit", "50"}, {"format", "json"}});
       std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
   });
@@ -123,13 +123,13 @@
     request.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
     for (int part = 0; part < kParts; ++part) request.parts.push_back({part, 1.0 / kParts, 0, 0});
     left.fetch_add(1);
-    core.Admit(std::move(request), std::make_shared<Signal>(left));
+    coordinator.Admit(std::move(request), std::make_shared<Signal>(left));
     while (left.load() > 4) std::this_thread::yield();
   }
   while (left.load() > 0) std::this_thread::yield();
   std::size_t used = test_support::Allocations() - before;
   done = true;
-  core.Stop();
+  coordinator.Stop();
   loop.join();
   reader.join();
   return {static_cast<double>(core_ns.load()) / 1e3 / (queries + warm), static_cast<double>(used) / queries};
@@ -153,20 +153,20 @@
     recorder.Open({query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""}, parts);
     for (int part = 0; part < kParts; ++part) {
       liftrudder::routing::Send send{0, {1, 1}, 1'000'000, {}};
-      send.why.choice.count = 3;
+      send.reason.choice.count = 3;
       for (std::uint32_t j = 0; j < 3; ++j)
-        send.why.choice.replicas[j] = {{j + 1, 1}, 0, liftrudder::routing::Standing::kFit, true};
+        send.reason.choice.replicas[j] = {{j + 1, 1}, 0, liftrudder::routing::Eligibility::kEligible, true};
       recorder.Sent(query, part, 0, send);
-      recorder.Ended(query, part, 0, 1, liftrudder::routing::OutcomeCode::kOk, decision_log::Progress::kAnswering,
+      recorder.Ended(query, part, 0, 1, liftrudder::routing::AttemptOutcome::kOk, decision_log::Progress::kAnswering,
                      decision_log::Cause::kServed);
     }
-    recorder.Final(query, decision_log::Verdict::kWhole, {}, decision_log::Door::kNone, 0, kParts);
+    recorder.Final(query, decision_log::Verdict::kComplete, {}, decision_log::IntakeResult::kNone, 0, kParts);
     recorder.Flush();
   }
   std::vector<double> all;
   for (int i = 0; i < 15; ++i) {
     double before = ThreadMs();
-    decision_log::AnswerFrom(recorder.arena(), question);
+    decision_log::AnswerFrom(recorder.record_file(), question);
     all.push_back(ThreadMs() - before);
   }
   return Median(all);
@@ -174,7 +174,7 @@
 
 // ---- The whole program ----
 
-std::string Config(const test_support::Discovery& discovery, std::size_t bytes) {
+std::string Config(const test_support::FakeDiscovery& discovery, std::size_t bytes) {
   return fmt::format(
       R"({{"name":"n1","seed":"8c1f30d27a5be964","listen":"127.0.0.1:0","discovery":"{}","limits":{{"sockets":1024,"memory_mb":192}},
 "why":{{"bytes":{}}},"known":{},"settings":{{"az":0,"groupSize":1,"ordinal":0,"resolutionUs":5000,"dcs":["dc1"],"kinds":["k"],
@@ -186,25 +186,25 @@
       discovery.addr(), bytes, discovery.List());
 }
 
-double ProgramCost(std::size_t bytes, bool readers, int queries, const std::string& folder) {
-  test_support::Discovery discovery;
-  std::vector<std::unique_ptr<test_support::FrameHolder>> holders;
-  for (int cell = 0; cell < kHolders; ++cell) {
-    holders.push_back(std::make_unique<test_support::FrameHolder>([](const std::string&, std::size_t) {
+double ProgramCost(std::size_t bytes, bool readers, int queries, const std::string& directory) {
+  test_support::FakeDiscovery discovery;
+  std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
+  for (int cell = 0; cell < kMaxEndpoints; ++cell) {
+    endpoints.push_back(std::make_unique<test_support::FakeEndpoint>([](const std::string&, std::size_t) {
       return test_support::Behaviour{test_support::Act::kServe, 3'000};
     }));
-    discovery.Tell(fmt::format("s-{}", cell), holders.back()->addr(), cell, "ready");
+    discovery.Tell(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
   }
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, folder, Config(discovery, bytes));
-  if (gatherer.addr().empty()) {
-    std::fprintf(stderr, "%s\n", gatherer.Log().c_str());
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, bytes));
+  if (coordinator_process.addr().empty()) {
+    std::fprintf(stderr, "%s\n", coordinator_process.Log().c_str());
     std::exit(1);
   }
   std::atomic<int> next{0}, answered{0};
   std::vector<std::thread> clients;
   for (int who = 0; who < kClients; ++who) {
     clients.emplace_back([&] {
-      net::Fd fd = net::Connect(gatherer.addr(), test_support::kPatience);
+      net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
       for (int i = next.fetch_add(1); i < queries; i = next.fetch_add(1)) {
         std::string tablets, in;
         for (int part = 0; part < kParts; ++part)
@@ -228,7 +228,7 @@
   std::atomic<bool> done{false};
   std::thread reader([&] {
     while (readers && !done) {
-      test_support::Get(gatherer.addr(), "/-/why?limit=50&format=json");
+      test_support::Get(coordinator_process.addr(), "/-/why?limit=50&format=json");
       std::this_thread::sleep_for(std::chrono::milliseconds(250));
     }
   });
@@ -236,7 +236,7 @@
   done = true;
   reader.join();
   if (answered != queries) std::fprintf(stderr, "only %d of %d were answered\n", answered.load(), queries);
-  return gatherer.Stop() * 1e6 / queries;
+  return coordinator_process.Stop() * 1e6 / queries;
 }
 
 }  // namespace
@@ -249,8 +249,8 @@
   };
   constexpr Way kWays[] = {{"off", false, false}, {"on", true, false}, {"on, a reader", true, true}};
   std::vector<double> core_cpu[3], core_allocations[3], program[3];
-  test_support::Folder own;
-  const std::string& folder = own.path();
+  test_support::TemporaryDirectory own;
+  const std::string& directory = own.path();
   // The order turns from round to round, so that a machine that slows down or speeds up favours no way.
   for (int round = 0; round < rounds; ++round) {
     for (int turn = 0; turn < 3; ++turn) {
@@ -259,7 +259,7 @@
       core_cpu[way].push_back(cost.cpu_us);
       core_allocations[way].push_back(cost.allocations);
       program[way].push_back(
-          ProgramCost(kWays[way].on ? 4 * 1024 * 1024 : 0, kWays[way].readers, queries, folder));
+          ProgramCost(kWays[way].on ? 4 * 1024 * 1024 : 0, kWays[way].readers, queries, directory));
     }
   }
   std::printf("%u cores; %d rounds in turn; a query has %d parts; medians, and least to most\n\n",
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -22,7 +22,7 @@
 
 using namespace liftrudder;
 
-std::string Config(const test_support::Discovery& discovery, int holders) {
+std::string Config(const test_support::FakeDiscovery& discovery, int endpoints) {
   return fmt::format(
       R"({{"name":"n1","seed":"8c1f30d27a5be964","listen":"127.0.0.1:0","discovery":"{}","limits":{{"cores":0.2,"sockets":640,"memory_mb":64}},
 "known":{},"settings":{{"az":0,"groupSize":300,"ordinal":0,"resolutionUs":1000,"dcs":["dc1"],"kinds":["k"],
@@ -31,7 +31,7 @@
 "familyInfo":{{"cells":{},"reach":3,"slices":{},"perCall":1,"classFetch":[0],"classFloor":[0.4],"wholeAt":[1.0],"incompleteWorth":[0.95]}},
 "bounds":{{"attemptsCap":3,"cancelling":true,"connectTimeoutUs":250000,"idleCloseUs":30000000,"maxOpen":800,"maxRetryAfterUs":500000,"probes":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":100}},
 "rules":{{"graceToAnswerUs":5000,"stopSendingWithinUs":1000000}}}}}})",
-      discovery.addr(), discovery.List(), holders, holders);
+      discovery.addr(), discovery.List(), endpoints, endpoints);
 }
 
 struct Cost {
@@ -58,33 +58,33 @@
   return parser.message().status == 200 && parser.message().body.starts_with("{\"full\":true");
 }
 
-Cost Measure(int holders, int queries, const std::string& folder) {
-  test_support::Discovery discovery;
-  std::vector<std::unique_ptr<test_support::FrameHolder>> all;
-  for (int cell = 0; cell < holders; ++cell) {
-    all.push_back(std::make_unique<test_support::FrameHolder>([cell](const std::string&, std::size_t nth) {
+Cost Measure(int endpoints, int queries, const std::string& directory) {
+  test_support::FakeDiscovery discovery;
+  std::vector<std::unique_ptr<test_support::FakeEndpoint>> all;
+  for (int cell = 0; cell < endpoints; ++cell) {
+    all.push_back(std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
       auto spread = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
       return test_support::Behaviour{test_support::Act::kServe, 10'000 + static_cast<net::Micros>(spread) * 1'000};
     }));
     discovery.Tell(fmt::format("s-{}", cell), all.back()->addr(), cell, "ready");
   }
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, folder, Config(discovery, holders));
-  if (gatherer.addr().empty()) {
-    std::fprintf(stderr, "%s\n", gatherer.Log().c_str());
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, endpoints));
+  if (coordinator_process.addr().empty()) {
+    std::fprintf(stderr, "%s\n", coordinator_process.Log().c_str());
     std::exit(1);
   }
   Cost cost;
   net::SteadyClock clock;
   net::Micros began = clock.Now();
-  double before = gatherer.CpuMs();
+  double before = coordinator_process.CpuMs();
   while (clock.Now() - began < 2'000'000) ::usleep(100'000);
-  cost.idle_ms_a_second = (gatherer.CpuMs() - before) / 2;
-  net::Fd fd = net::Connect(gatherer.addr(), test_support::kPatience);
+  cost.idle_ms_a_second = (coordinator_process.CpuMs() - before) / 2;
+  net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
   constexpr int kFirst = 3;  // until nearly all connections are there
   for (int i = 0; i < kFirst + queries; ++i) {
-    if (i == 0 || i == kFirst) before = gatherer.CpuMs();
-    cost.whole += AskAll(fd, i, holders);
-    double used = gatherer.CpuMs() - before;
+    if (i == 0 || i == kFirst) before = coordinator_process.CpuMs();
+    cost.whole += AskAll(fd, i, endpoints);
+    double used = coordinator_process.CpuMs() - before;
     (i < kFirst ? cost.first_ms : cost.later_ms) = used / (i < kFirst ? i + 1 : i + 1 - kFirst);
   }
   return cost;
@@ -97,14 +97,14 @@
   std::vector<int> sizes;
   for (int i = 2; i < argc; ++i) sizes.push_back(std::atoi(argv[i]));
   if (sizes.empty()) sizes = {12, 60, 172};
-  test_support::Folder own;
+  test_support::TemporaryDirectory own;
   std::printf(
       "| holders | CPU ms a query, the first three | later | to a part, us | idle, ms a second | whole |\n"
       "|---|---|---|---|---|---|\n");
-  for (int holders : sizes) {
-    Cost cost = Measure(holders, queries, own.path());
-    std::printf("| %d | %.2f | %.2f | %.1f | %.2f | %d of %d |\n", holders, cost.first_ms, cost.later_ms,
-                cost.later_ms * 1e3 / holders, cost.idle_ms_a_second, cost.whole, queries + 3);
+  for (int endpoints : sizes) {
+    Cost cost = Measure(endpoints, queries, own.path());
+    std::printf("| %d | %.2f | %.2f | %.1f | %.2f | %d of %d |\n", endpoints, cost.first_ms, cost.later_ms,
+                cost.later_ms * 1e3 / endpoints, cost.idle_ms_a_second, cost.whole, queries + 3);
     std::fflush(stdout);
   }
 }
--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -24,30 +24,30 @@
 
   static Settings Make(std::uint64_t seed) {
     Settings s;
-    ClassSettings search{2'000'000, 4'000'000, 0.3, 5, Effect::kIdempotent, 5'000'000, 0, 0, 0.4, 1, 0.95};
-    ClassSettings report{3'000'000, 10'000'000, 0.1, 3, Effect::kIdempotent, 5'000'000, 0, 0, 1, 1, 0.9};
-    ClassSettings book{2'000'000, 5'000'000, 0, 1, Effect::kDeduplicated, 5'000'000, 0, 0, 1, 1, 0.9};
-    if (seed % 4 == 1) book.effect = Effect::kAtMostOnce;
-    s.classes = {search, report, book};
-    s.group_size = 2;
+    QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5, Effect::kIdempotent, 5'000'000, 0, 0, 0.4, 1, 0.95};
+    QueryClassSettings report{3'000'000, 10'000'000, 0.1, 3, Effect::kIdempotent, 5'000'000, 0, 0, 1, 1, 0.9};
+    QueryClassSettings permission_table{2'000'000, 5'000'000, 0, 1, Effect::kIdempotencyKey, 5'000'000, 0, 0, 1, 1, 0.9};
+    if (seed % 4 == 1) permission_table.effect = Effect::kNonIdempotent;
+    s.classes = {search, report, permission_table};
+    s.fleet_size = 2;
     s.cells = s.shards = 12;
     s.reach = 3;
     s.max_attempts = 3;
-    s.may_cancel = seed % 5 != 4;
-    s.may_copy = seed % 3 != 2;
-    s.may_retry_after = s.may_probe = true;
+    s.cancellation_allowed = seed % 5 != 4;
+    s.hedging_allowed = seed % 3 != 2;
+    s.retry_after_allowed = s.health_checks_allowed = true;
     s.max_retry_after_us = 500'000;
-    s.resolution_us = 5'000;
+    s.decision_interval_us = 5'000;
     s.grace_to_answer_us = 20'000;
-    s.stop_sending_within_us = 1'000'000;
-    s.start_capacity = 0.19;
-    s.cold_us = 18'000'000;
-    s.fall_multiple = 4;
-    s.fall_us = 2'000'000;
+    s.drain_grace_us = 1'000'000;
+    s.slow_start_capacity = 0.19;
+    s.slow_start_us = 18'000'000;
+    s.collapse_load_multiple = 4;
+    s.collapse_window_us = 2'000'000;
     s.has_retry_budget = seed % 7 == 6;
-    s.free_resends = 5;
-    s.further_ratio = 0.2;
-    s.resend_span_us = 10'000'000;
+    s.retry_budget_floor = 5;
+    s.retry_budget_ratio = 0.2;
+    s.retry_budget_window_us = 10'000'000;
     return s;
   }
 
@@ -57,60 +57,60 @@
     digest *= 0xff51afd7ed558ccdULL;
   }
 
-  void Tell(ListKind kind) {
-    ListNews news{kind, ++version, {}};
-    for (auto& [id, holder] : holders) news.replicas.push_back(holder.told);
+  void Tell(EndpointListKind kind) {
+    EndpointListUpdate news{kind, ++version, {}};
+    for (auto& [id, endpoint] : endpoints) news.replicas.push_back(endpoint.told);
     events.push_back(news);
   }
 
   void Arrive() {
-    QueryArrived query;
+    QueryReceived query;
     query.id = next_id++;
     query.number = ++number;
     query.class_index = static_cast<int>(random() % 3);
     query.parts = query.class_index == 0   ? 12
                   : query.class_index == 1 ? 6
                                            : 1 + static_cast<int>(random() % 2);
-    query.patience_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
+    query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
     events.push_back(query);
     auto first = static_cast<int>(random() % 12);
     double sum = 0;
     for (int i = 0; i < query.parts; ++i) sum += 1.0 / (i + 1);
     for (int i = 0; i < query.parts; ++i) {
-      events.push_back(PartArrived{next_id++, number, (first + i) % 12, 1.0 / (i + 1) / sum, 0, 0});
+      events.push_back(ShardRequestReceived{next_id++, number, (first + i) % 12, 1.0 / (i + 1) / sum, 0, 0});
     }
     if (Unit() < 0.01) gone.insert({now + 300'000, query.id});
   }
 
   struct Holder {
-    Replica told;
+    Endpoint told;
     Micros free_us = 0;
     bool silent = false;
     double errors = 0;
   };
   struct Due {
     Micros at;
-    AttemptEnded ended;
+    AttemptFinished ended;
     bool operator<(const Due& other) const { return at > other.at; }
   };
 
   void Do(const Send& send) {
     int attempt = attempts[send.part]++;
-    Holder& holder = holders[send.replica];
-    AttemptEnded ended{send.part, attempt, send.replica, OutcomeCode::kOk, 0, true, {}};
+    Holder& endpoint = endpoints[send.replica];
+    AttemptFinished ended{send.part, attempt, send.replica, AttemptOutcome::kOk, 0, true, {}};
     Micros at = now + send.timeout_us;
     double dice = Unit();
-    if (holder.silent) {
-      ended.code = OutcomeCode::kTimeout;
-    } else if (dice < holder.errors) {
-      ended.code = static_cast<OutcomeCode>(1 + random() % 5);
+    if (endpoint.silent) {
+      ended.code = AttemptOutcome::kTimeout;
+    } else if (dice < endpoint.errors) {
+      ended.code = static_cast<AttemptOutcome>(1 + random() % 5);
       at = std::min(at, now + 2'000);
     } else {
-      holder.free_us = std::max(holder.free_us, now) + static_cast<Micros>(40'000 + 80'000 * Unit());
-      if (holder.free_us > at) {
-        ended.code = OutcomeCode::kTimeout;
+      endpoint.free_us = std::max(endpoint.free_us, now) + static_cast<Micros>(40'000 + 80'000 * Unit());
+      if (endpoint.free_us > at) {
+        ended.code = AttemptOutcome::kTimeout;
       } else {
-        at = holder.free_us;
+        at = endpoint.free_us;
       }
     }
     ended.spent_us = at - now;
@@ -118,7 +118,7 @@
   }
   void Do(const Cancel& cancel) {
     if (Unit() < 0.7)
-      due.push({now + 5'000, {cancel.part, cancel.attempt, {}, OutcomeCode::kCancelled, 5'000, true, {}}});
+      due.push({now + 5'000, {cancel.part, cancel.attempt, {}, AttemptOutcome::kCancelled, 5'000, true, {}}});
   }
   void Do(const SetTimer& timer) { timers.insert({now + timer.span_us, timer.label}); }
   void Do(const auto&) {}
@@ -139,26 +139,26 @@
   }
 
   void Trouble() {
-    for (auto& [id, holder] : holders) {
-      if (Unit() < 0.01) holder.silent = !holder.silent;
-      if (Unit() < 0.01) holder.errors = holder.errors > 0 ? 0 : 0.6;
+    for (auto& [id, endpoint] : endpoints) {
+      if (Unit() < 0.01) endpoint.silent = !endpoint.silent;
+      if (Unit() < 0.01) endpoint.errors = endpoint.errors > 0 ? 0 : 0.6;
       if (Unit() < 0.02)
-        holder.told.availability = Availability::kDraining;
-      else if (holder.told.availability == Availability::kDraining && Unit() < 0.3) {
-        holder.told.availability = Availability::kReady;
-        holder.told.launched_us = now;
-        holder.silent = false;
+        endpoint.told.availability = Availability::kDraining;
+      else if (endpoint.told.availability == Availability::kDraining && Unit() < 0.3) {
+        endpoint.told.availability = Availability::kReady;
+        endpoint.told.started_us = now;
+        endpoint.silent = false;
       }
     }
-    Tell(ListKind::kFull);
+    Tell(EndpointListKind::kFull);
   }
 
   void Run() {
     for (int cell = 0; cell < 12; ++cell) {
-      ReplicaId id{static_cast<std::uint32_t>(cell + 1), 1};
-      holders[id].told = {id, 0, 0, cell, Availability::kReady, 1, 0};
+      EndpointId id{static_cast<std::uint32_t>(cell + 1), 1};
+      endpoints[id].told = {id, 0, 0, cell, Availability::kReady, 1, 0};
     }
-    Tell(ListKind::kCached);
+    Tell(EndpointListKind::kCached);
     std::vector<Action> actions;
     Micros next_trouble = 3'000'000, end = now + length_us, start = now;
     while (now < end) {
@@ -172,7 +172,7 @@
         timers.erase(timers.begin());
       }
       while (!gone.empty() && gone.begin()->first <= now) {
-        events.push_back(ClientGone{gone.begin()->second});
+        events.push_back(ClientDisconnected{gone.begin()->second});
         gone.erase(gone.begin());
       }
       if (events.empty()) continue;
@@ -191,14 +191,14 @@
 
   std::mt19937_64 random;
   Micros length_us, now = 1'000'000'000;
-  Aggregator module;
+  Router module;
   std::uint64_t digest = 0;
   std::size_t event_count = 0, action_count = 0;
   std::uint64_t version = 0;
   Id next_id = 1;
   std::int64_t number = 0;
   std::vector<Event> events;
-  std::map<ReplicaId, Holder> holders;
+  std::map<EndpointId, Holder> endpoints;
   std::map<Id, int> attempts;
   std::priority_queue<Due> due;
   std::multimap<Micros, std::uint64_t> timers;
--- a/simulator/codec.cpp
+++ b/simulator/codec.cpp
@@ -40,8 +40,8 @@
   std::uint32_t U32(const char* field) { return Int<std::uint32_t>(field); }
   std::uint64_t U64(const char* field) { return Int<std::uint64_t>(field); }
   float F32(const char* field) { return std::bit_cast<float>(U32(field)); }
-  ReplicaId Address(const char* field) {
-    ReplicaId id;
+  EndpointId Address(const char* field) {
+    EndpointId id;
     id.address = U32(field);
     id.port = U16(field);
     return id;
@@ -76,32 +76,32 @@
   std::string where_;
 };
 
-OutcomeCode Disposition(Reader& in) {
+AttemptOutcome Disposition(Reader& in) {
   int code = in.U16("disposition");
   switch (code) {
     case 200:
-      return OutcomeCode::kOk;
+      return AttemptOutcome::kOk;
     case 500:
-      return OutcomeCode::kError;
+      return AttemptOutcome::kError;
     case 503:
-      return OutcomeCode::kFull;
+      return AttemptOutcome::kFull;
     case 504:
-      return OutcomeCode::kTimeout;
+      return AttemptOutcome::kTimeout;
     case 502:
-      return OutcomeCode::kConnectFailed;
+      return AttemptOutcome::kConnectFailed;
     case 598:
-      return OutcomeCode::kReset;
+      return AttemptOutcome::kReset;
     case 499:
-      return OutcomeCode::kCancelled;
+      return AttemptOutcome::kCancelled;
     case 410:
-      return OutcomeCode::kMoot;
+      return AttemptOutcome::kNotSent;
     default:
       in.Complain("unknown disposition " + std::to_string(code));
   }
 }
 
-Replica Entry(Reader& in) {
-  Replica entry;
+Endpoint Entry(Reader& in) {
+  Endpoint entry;
   entry.id = in.Address("replica");
   entry.zone = in.U16("locality");
   entry.kind = in.U8("model");
@@ -110,7 +110,7 @@
   if (availability > 2) in.Complain("unknown availability " + std::to_string(availability));
   entry.availability = static_cast<Availability>(availability);
   entry.weight = in.F32("weight");
-  entry.launched_us = static_cast<Micros>(in.U64("launchedUs"));
+  entry.started_us = static_cast<Micros>(in.U64("launchedUs"));
   return entry;
 }
 
@@ -124,15 +124,15 @@
   auto shard = static_cast<int>(in.F32("shard"));
   int flags = in.U8("flags");
   std::uint64_t key = in.U64("object");
-  Micros patience_us = in.U32("patienceLeftUs");
-  if (shard >= 0) return PartArrived{id, number, shard, share_or_count, key, work_us};
-  return QueryArrived{id,          number,      static_cast<int>(share_or_count),
+  Micros timeout_remaining_us = in.U32("patienceLeftUs");
+  if (shard >= 0) return ShardRequestReceived{id, number, shard, share_or_count, key, work_us};
+  return QueryReceived{id,          number,      static_cast<int>(share_or_count),
                       class_index, tenant,      (flags & kFlagRepeated) != 0,
-                      key,         patience_us, work_us};
+                      key,         timeout_remaining_us, work_us};
 }
 
 Event Attempt(Reader& in) {
-  AttemptEnded ended;
+  AttemptFinished ended;
   ended.part = in.U32("ticket");
   ended.attempt = in.U8("leg");
   ended.replica = in.Address("replica");
@@ -144,7 +144,7 @@
 }
 
 Event Probe(Reader& in) {
-  ProbeEnded ended;
+  HealthCheckFinished ended;
   ended.replica = in.Address("replica");
   ended.code = Disposition(in);
   ended.spent_us = in.U32("spentUs");
@@ -238,7 +238,7 @@
       std::uint32_t count = in.U32("membersList");
       if (count > in.Left() / kEntryBytes)
         in.Complain("states " + std::to_string(count) + " entries, too many");
-      std::vector<Replica> list;
+      std::vector<Endpoint> list;
       list.reserve(count);
       for (std::uint32_t k = 0; k < count; ++k) list.push_back(Entry(in));
       in.End();
@@ -263,13 +263,13 @@
       case kKill:
         break;
       case kFleet: {
-        ListNews news;
+        EndpointListUpdate news;
         news.version = in.U64("serial");
         int how = in.U8("how");
         if (how > 3) in.Complain("unknown kind of list " + std::to_string(how));
-        news.kind = static_cast<ListKind>(how);
+        news.kind = static_cast<EndpointListKind>(how);
         int bank = in.U16("bank");
-        if (news.kind != ListKind::kFailed) {
+        if (news.kind != EndpointListKind::kFailed) {
           auto found = banks_.find(bank);
           if (found == banks_.end())
             in.Complain("names list " + std::to_string(bank) + ", which was never sent");
@@ -288,13 +288,13 @@
         event.what = Probe(in);
         break;
       case kHangup:
-        event.what = Event(ClientGone{in.U32("ticket")});
+        event.what = Event(ClientDisconnected{in.U32("ticket")});
         break;
       case kDue:
         event.what = Event(TimerFired{in.U64("label")});
         break;
       case kHeard: {
-        PeerMessage message;
+        GossipMessage message;
         message.from = in.U32("src");
         message.text = in.Bytes(in.U16("msg"), "msg");
         event.what = Event(std::move(message));
--- a/simulator/codec.h
+++ b/simulator/codec.h
@@ -17,7 +17,7 @@
 using routing::Action;
 using routing::Event;
 using routing::Micros;
-using routing::Replica;
+using routing::Endpoint;
 using routing::Settings;
 
 // What is wrong with a frame, and where.
@@ -49,7 +49,7 @@
   Batch Decode(std::string_view body);
 
  private:
-  std::map<int, std::vector<Replica>> banks_;
+  std::map<int, std::vector<Endpoint>> banks_;
 };
 
 // Collects the actions of one reply.
--- a/simulator/host.cpp
+++ b/simulator/host.cpp
@@ -34,7 +34,7 @@
     int who = event.instance;
     if (auto* created = std::get_if<Created>(&event.what)) {
       inbox.erase(who);
-      instances_.insert_or_assign(who, routing::Aggregator(created->settings, created->seed));
+      instances_.insert_or_assign(who, routing::Router(created->settings, created->seed));
       continue;
     }
     if (!instances_.contains(who)) {
@@ -51,10 +51,10 @@
   }
   std::vector<Action> actions;
   for (int who : order) {
-    auto mail = inbox.find(who);
-    if (mail == inbox.end()) continue;
+    auto event_queue = inbox.find(who);
+    if (event_queue == inbox.end()) continue;
     actions.clear();
-    instances_.at(who).Handle(batch.now, mail->second, actions);
+    instances_.at(who).Handle(batch.now, event_queue->second, actions);
     encoder_.Add(who, actions);
   }
   return encoder_.Finish();
--- a/simulator/host.h
+++ b/simulator/host.h
@@ -22,7 +22,7 @@
  private:
   Decoder decoder_;
   Encoder encoder_;
-  std::map<int, routing::Aggregator> instances_;
+  std::map<int, routing::Router> instances_;
 };
 
 }  // namespace liftrudder::simulator
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -17,19 +17,19 @@
 
 }  // namespace
 
-void Manage::Attach(net::Server* server) {
+void AdminHandler::Attach(net::Server* server) {
   std::lock_guard lock(mutex_);
   server_ = server;
 }
 
-net::HttpResponse Manage::SetAside(bool aside) {
+net::HttpResponse AdminHandler::SetAside(bool aside) {
   std::lock_guard lock(mutex_);
   if (server_ == nullptr) return Say(503, "not serving: it starts or ends");
   if (server_->SetAside(aside)) log::Info("told to {}", aside ? "drain" : "end the drain");
   return Say(200, aside ? "draining" : "the drain has ended");
 }
 
-net::HttpResponse Manage::Answer(const net::HttpMessage& call) {
+net::HttpResponse AdminHandler::Answer(const net::HttpMessage& call) {
   std::string_view path = call.Path();
   bool reads = path == "/healthcheck" || path == "/stats";
   bool writes = path == "/healthcheck/fail" || path == "/healthcheck/ok";
--- a/src/app/admin_handler.h
+++ b/src/app/admin_handler.h
@@ -13,10 +13,10 @@
 
 namespace liftrudder::app {
 
-class Manage {
+class AdminHandler {
  public:
   // `refresh`: brings the figures up to date that are not counted but looked up.
-  Manage(metrics::Figures& figures, std::function<void()> refresh)
+  AdminHandler(metrics::Figures& figures, std::function<void()> refresh)
       : figures_(figures), refresh_(std::move(refresh)) {}
 
   // From then on there is something to be ready; null: not any more, it ends.
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -20,7 +20,7 @@
 
 struct Options {
   std::string at = "127.0.0.1:8080", file;
-  std::string id, class_name, verdict, holder, reason, since, until;
+  std::string id, class_name, verdict, endpoint, reason, since, until;
   int limit = 20;
   bool summary = false, json = false;
 
@@ -32,7 +32,7 @@
     add("id", id);
     add("class", class_name);
     add("verdict", verdict);
-    add("holder", holder);
+    add("holder", endpoint);
     add("reason", reason);
     add("since", since);
     add("until", until);
@@ -70,14 +70,14 @@
                             .count();
   auto question = decision_log::ReadQuestion(options.Parameters(), now_us);
   if (const auto* wrong = std::get_if<std::string>(&question)) return Print(400, *wrong);
-  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::Arena::Open(options.file), std::get<decision_log::Question>(question));
+  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::RecordFile::Open(options.file), std::get<decision_log::Question>(question));
   return Print(reply.status, reply.body);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
   return kBadUsage;
 }
 
-int AskGatherer(const Options& options) {
+int AskCoordinator(const Options& options) {
   std::string target = "/-/why";
   for (const auto& [name, value] : options.Parameters())
     target += fmt::format("{}{}={}", target.find('?') == std::string::npos ? '?' : '&', name, Escaped(value));
@@ -108,33 +108,33 @@
 
 }  // namespace
 
-void AddWhyCommand(CLI::App& app, std::function<int()>& run) {
+void AddExplainCommand(CLI::App& app, std::function<int()>& run) {
   auto options = std::make_shared<Options>();
-  CLI::App* why =
+  CLI::App* reason =
       app.add_subcommand("why", "Why queries went where they went, and why they ended as they did");
-  why->add_option("id", options->id, "A call id, or the client's own X-Opaque-Id");
-  auto* at = why->add_option("--at", options->at, "Where the gatherer listens, HOST:PORT in numbers")
+  reason->add_option("id", options->id, "A call id, or the client's own X-Opaque-Id");
+  auto* at = reason->add_option("--at", options->at, "Where the gatherer listens, HOST:PORT in numbers")
                  ->capture_default_str();
-  why->add_option("--file", options->file, "A record's file in place of a running gatherer")->excludes(at);
-  why->add_option("--class", options->class_name, "Only queries of this class");
-  why->add_option("--verdict", options->verdict,
+  reason->add_option("--file", options->file, "A record's file in place of a running gatherer")->excludes(at);
+  reason->add_option("--class", options->class_name, "Only queries of this class");
+  reason->add_option("--verdict", options->verdict,
                   "open, whole, partial, refused, failed, late, gone or turned_away");
-  why->add_option("--holder", options->holder,
+  reason->add_option("--holder", options->endpoint,
                   "Only queries of which a part went to this holder (id or address)");
-  why->add_option("--reason", options->reason, "Only queries that ended for this reason, such as pressure");
-  why->add_option("--since", options->since,
+  reason->add_option("--reason", options->reason, "Only queries that ended for this reason, such as pressure");
+  reason->add_option("--since", options->since,
                   "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
-  why->add_option("--until", options->until, "Came no later");
-  why->add_option("--limit", options->limit, "At most so many, newest first")
+  reason->add_option("--until", options->until, "Came no later");
+  reason->add_option("--limit", options->limit, "At most so many, newest first")
       ->check(CLI::Range(1, 500))
       ->capture_default_str();
-  why->add_flag("--summary", options->summary,
+  reason->add_flag("--summary", options->summary,
                 "Counts of the last minute and since the start, by reason and holder");
-  why->add_flag("--json", options->json, "JSON in place of text");
-  why->footer(
+  reason->add_flag("--json", options->json, "JSON in place of text");
+  reason->footer(
       "Ends with 0; 1: nothing is kept of that id; 2: a filter or file that cannot be used; 3: no answer.");
-  why->callback([options, &run] {
-    run = [options] { return options->file.empty() ? AskGatherer(*options) : AskFile(*options); };
+  reason->callback([options, &run] {
+    run = [options] { return options->file.empty() ? AskCoordinator(*options) : AskFile(*options); };
   });
 }
 
--- a/src/app/explain_command.h
+++ b/src/app/explain_command.h
@@ -18,7 +18,7 @@
 constexpr int kNoAnswer = 3;  // the gatherer could not be reached, or had no time
 
 // Adds the sub-command; when it is chosen, `run` is set to what it does.
-void AddWhyCommand(CLI::App& app, std::function<int()>& run);
+void AddExplainCommand(CLI::App& app, std::function<int()>& run);
 
 }  // namespace liftrudder::app
 
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -90,7 +90,7 @@
     fmt::print("not good: {}\n", identity::Name(*denial));
     return kNotGood;
   }
-  const auto& caller = std::get<identity::Caller>(verified);
+  const auto& caller = std::get<identity::VerifiedToken>(verified);
   fmt::print("good until {}: tenant {}, subject {}\n", caller.until_us / 1'000'000,
              nlohmann::json(caller.tenant).dump(), nlohmann::json(caller.subject).dump());
   return kGood;
--- a/src/app/identity_files.cpp
+++ b/src/app/identity_files.cpp
@@ -19,19 +19,19 @@
 std::unique_ptr<IdentityFiles> IdentityFiles::Open(const std::string& operator_file, std::string_view text) {
   std::string_view member = net::json::Get(text, "identity");
   if (member.empty()) return nullptr;
-  auto read = identity::Book::Read(member);
+  auto read = identity::PermissionTable::Read(member);
   if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
   std::unique_ptr<IdentityFiles> out(
-      new IdentityFiles(operator_file, std::get<identity::Book>(std::move(read))));
+      new IdentityFiles(operator_file, std::get<identity::PermissionTable>(std::move(read))));
   out->TakeKeys();
   if (!out->said_.empty()) throw std::runtime_error(out->said_);
   return out;
 }
 
-IdentityFiles::IdentityFiles(std::string operator_file, identity::Book book)
+IdentityFiles::IdentityFiles(std::string operator_file, identity::PermissionTable permission_table)
     : operator_file_(std::move(operator_file)),
-      keys_file_(Beside(operator_file_, book.keys_file)),
-      callers_(std::move(book)) {}
+      keys_file_(Beside(operator_file_, permission_table.keys_file)),
+      authenticator_(std::move(permission_table)) {}
 
 void IdentityFiles::Look() {
   if (StampOf(keys_file_) != seen_) TakeKeys();
@@ -43,7 +43,7 @@
   std::vector<std::string> changes;
   std::string wrong;
   try {
-    wrong = callers_.TakeKeys(config::ReadFile(keys_file_), changes).value_or("");
+    wrong = authenticator_.TakeKeys(config::ReadFile(keys_file_), changes).value_or("");
   } catch (const std::runtime_error& error) {
     wrong = error.what();
   }
@@ -55,12 +55,12 @@
 
 void IdentityFiles::Reload() {
   try {
-    auto read = identity::Book::Read(net::json::Get(config::ReadFile(operator_file_), "identity"));
+    auto read = identity::PermissionTable::Read(net::json::Get(config::ReadFile(operator_file_), "identity"));
     if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
-    auto& book = std::get<identity::Book>(read);
-    std::string keys_file = Beside(operator_file_, book.keys_file);
+    auto& permission_table = std::get<identity::PermissionTable>(read);
+    std::string keys_file = Beside(operator_file_, permission_table.keys_file);
     std::vector<std::string> changes;
-    if (auto wrong = callers_.TakeBook(std::move(book), changes))
+    if (auto wrong = authenticator_.TakePermissions(std::move(permission_table), changes))
       throw std::runtime_error("identity: " + *wrong);
     keys_file_ = keys_file;
     Say(changes);
--- a/src/app/identity_files.h
+++ b/src/app/identity_files.h
@@ -19,7 +19,7 @@
   // keys turns everybody away.
   static std::unique_ptr<IdentityFiles> Open(const std::string& operator_file, std::string_view text);
 
-  identity::Callers& callers() { return callers_; }
+  identity::Authenticator& authenticator() { return authenticator_; }
   // Looks whether the key file has changed; to be called at least every kLookUs (files.h), so that a
   // withdrawal counts within a second of its file.
   void Look();
@@ -27,12 +27,12 @@
   void Reload();
 
  private:
-  IdentityFiles(std::string operator_file, identity::Book book);
+  IdentityFiles(std::string operator_file, identity::PermissionTable permission_table);
   void TakeKeys();
 
   const std::string operator_file_;
   std::string keys_file_;
-  identity::Callers callers_;
+  identity::Authenticator authenticator_;
   FileStamp seen_;
   std::string said_;  // of the last attempt that failed
 };
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -40,17 +40,17 @@
   auto read = identity::ReadStrictJson(text, kMostBytes);
   if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error("tls: " + *wrong);
   Names out;
-  auto need = [](identity::Members& members) {
+  auto need = [](identity::JsonMembers& members) {
     members.End();
     if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
   };
-  identity::Members members(std::get<Json>(read), "tls");
+  identity::JsonMembers members(std::get<Json>(read), "tls");
   if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
   const Json* pairs = members.Member("certificates");
   if (pairs == nullptr || !pairs->is_array() || pairs->empty() || pairs->size() > kMostPairs)
     throw std::runtime_error(fmt::format("tls: [certificates] must be a list of 1 to {}", kMostPairs));
   for (std::size_t i = 0; i < pairs->size(); ++i) {
-    identity::Members pair((*pairs)[i], fmt::format("tls: certificate {}", i + 1));
+    identity::JsonMembers pair((*pairs)[i], fmt::format("tls: certificate {}", i + 1));
     std::string certificate, key;
     if (pair.wrong.empty()) pair.Take("certificate", certificate);
     if (pair.wrong.empty()) pair.Take("key", key);
@@ -59,7 +59,7 @@
     out.pairs.emplace_back(Beside(operator_file_, certificate), Beside(operator_file_, key));
   }
   if (const Json* clients = members.Member("clients")) {
-    identity::Members of(*clients, "tls: clients");
+    identity::JsonMembers of(*clients, "tls: clients");
     if (of.wrong.empty()) of.Take("issuers", out.issuers);
     if (of.wrong.empty()) of.Take("revoked", out.revoked);
     if (of.wrong.empty()) of.Take("required", out.required);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -51,10 +51,10 @@
 }
 
 // In one pass: a list of a thousand is read while a drain runs, on a share of a core.
-coordinator::HolderEntry Entry(std::string_view text, const Config& config) {
-  coordinator::HolderEntry entry;
+coordinator::EndpointEntry Entry(std::string_view text, const Config& config) {
+  coordinator::EndpointEntry entry;
   bool stated = false;
-  bool ok = json::Members(text, [&](std::string_view key, std::string_view value) {
+  bool ok = json::JsonMembers(text, [&](std::string_view key, std::string_view value) {
     auto name = [&value] { return json::String(value).value_or(""); };
     auto integer = [&]() -> std::int64_t {
       auto number = json::Integer(value);
@@ -68,7 +68,7 @@
     if (key == "kind") entry.told.kind = Place(config.kinds, name());
     if (key == "weight") entry.told.weight = json::Number(value).value_or(1);
     // The module's clock starts at wall time.
-    if (key == "started_ms") entry.told.launched_us = integer() * 1000;
+    if (key == "started_ms") entry.told.started_us = integer() * 1000;
     if (key == "state") entry.told.availability = State(value);
     stated = stated || key == "state";
     return true;
@@ -81,12 +81,12 @@
 
 // A share of the memory that holds a minute and more of a busy gatherer's queries, and is not missed by
 // serving.
-WhyOptions Why(std::string_view text, int memory_mb) {
+DecisionLogOptions ReadDecisionLogOptions(std::string_view text, int memory_mb) {
   static constexpr std::int64_t kShare = 48, kLeast = kMiB, kMost = 8 * kMiB, kLargest = 64 * kMiB;
-  WhyOptions out;
+  DecisionLogOptions out;
   out.bytes = static_cast<std::size_t>(std::clamp(memory_mb * kMiB / kShare, kLeast, kMost));
   if (text.empty()) return out;
-  bool ok = json::Members(text, [&out](std::string_view name, std::string_view value) {
+  bool ok = json::JsonMembers(text, [&out](std::string_view name, std::string_view value) {
     if (name == "bytes") {
       auto bytes = json::Integer(value);
       if (!bytes || *bytes < 0 || *bytes > kLargest || (*bytes > 0 && *bytes < kLeast))
@@ -109,12 +109,12 @@
 
 }  // namespace
 
-coordinator::HolderList ParseHolders(std::string_view text, const Config& config) {
-  coordinator::HolderList list;
+coordinator::EndpointList ParseEndpointList(std::string_view text, const Config& config) {
+  coordinator::EndpointList list;
   std::optional<std::int64_t> version;
   std::optional<bool> full;
   std::string_view servers;
-  bool ok = json::Members(text, [&](std::string_view key, std::string_view value) {
+  bool ok = json::JsonMembers(text, [&](std::string_view key, std::string_view value) {
     if (key == "version") version = json::Integer(value);
     if (key == "full") full = json::Bool(value);
     if (key == "servers") servers = value;
@@ -123,7 +123,7 @@
   if (!ok || !version || *version < 0 || !full)
     throw std::runtime_error("holder list: no version, or not said whether full");
   list.version = static_cast<std::uint64_t>(*version);
-  list.kind = *full ? routing::ListKind::kFull : routing::ListKind::kDelta;
+  list.kind = *full ? routing::EndpointListKind::kFull : routing::EndpointListKind::kDelta;
   ok = json::Elements(servers, [&](std::string_view entry) {
     try {
       list.entries.push_back(Entry(entry, config));
@@ -137,7 +137,7 @@
   return list;
 }
 
-Budget ShareOut(int sockets, int memory_mb, int holders) {
+Budget ShareOut(int sockets, int memory_mb, int endpoints) {
   // Kept back: standard streams, listener, discovery's old and new watch, the clients that are just being
   // ended or turned away, and what is being accepted just now.
   constexpr int kReserve = 48;
@@ -153,12 +153,12 @@
   int threads = std::max(16, memory_mb * kPerMb * 2 / 3);
   int all = std::min(descriptors, threads);
   Budget budget;
-  budget.holders = holders;
+  budget.endpoints = endpoints;
   // A third of the limit may be held by requests alone, and the mute ones and the idle come on top of that.
   // Connections to holders have no thread and take none of the memory that those are counted in.
-  budget.holder_connections =
-      std::max(all / 4, std::min(holders + holders / kMore, descriptors * kMostOfEight / 8));
-  budget.client_connections = std::min(threads - all / 4, descriptors - budget.holder_connections);
+  budget.endpoint_connections =
+      std::max(all / 4, std::min(endpoints + endpoints / kMore, descriptors * kMostOfEight / 8));
+  budget.client_connections = std::min(threads - all / 4, descriptors - budget.endpoint_connections);
   budget.client_requests = std::min(budget.client_connections, std::max(4, sockets / 3));
   return budget;
 }
@@ -166,8 +166,8 @@
 void PlaceMgmt(Config& config, const std::string& address) {
   if (address.empty() || !config.mgmt.empty()) return;
   config.mgmt = address;
-  config.sockets -= net::CallServer::kDescriptors;
-  config.budget = ShareOut(config.sockets, config.memory_mb, config.budget.holders);
+  config.sockets -= net::AdminServer::kDescriptors;
+  config.budget = ShareOut(config.sockets, config.memory_mb, config.budget.endpoints);
 }
 
 Config Parse(std::string_view text) {
@@ -194,16 +194,16 @@
       std::max<int>(1, static_cast<int>(IntegerOr(bounds, "streamsPerConn", out.streams_per_connection)));
   std::string_view limits = json::Get(text, "limits");
   int memory_mb = static_cast<int>(IntegerOr(limits, "memory_mb", 192));
-  out.why = Why(json::Get(text, "why"), memory_mb);
+  out.decision_log = ReadDecisionLogOptions(json::Get(text, "why"), memory_mb);
   out.cores = json::Number(json::Get(limits, "cores")).value_or(out.cores);
   std::string_view known = json::Get(text, "known");
-  if (!known.empty()) out.known = ParseHolders(known, out);
-  out.known.kind = routing::ListKind::kCached;
+  if (!known.empty()) out.known = ParseEndpointList(known, out);
+  out.known.kind = routing::EndpointListKind::kCached;
   // The list may be short or old: there is a holder for each cell at least.
-  int holders = std::max(static_cast<int>(out.known.entries.size()), out.settings.cells);
+  int endpoints = std::max(static_cast<int>(out.known.entries.size()), out.settings.cells);
   out.sockets = static_cast<int>(IntegerOr(limits, "sockets", out.sockets));
-  out.memory_mb = memory_mb - static_cast<int>((out.why.bytes + kMiB - 1) / kMiB);
-  out.budget = ShareOut(out.sockets, out.memory_mb, holders);
+  out.memory_mb = memory_mb - static_cast<int>((out.decision_log.bytes + kMiB - 1) / kMiB);
+  out.budget = ShareOut(out.sockets, out.memory_mb, endpoints);
   PlaceMgmt(out, Text(text, "mgmt"));
   return out;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -15,12 +15,12 @@
 struct Budget {
   int client_connections = 0;
   int client_requests = 0;  // of them, with a request being read or answered
-  int holder_connections = 0;
-  int holders = 0;  // that these are for
+  int endpoint_connections = 0;
+  int endpoints = 0;  // that these are for
 };
 
 // The record of decisions.
-struct WhyOptions {
+struct DecisionLogOptions {
   std::size_t bytes = 0;  // all that it may claim; 0: nothing is recorded
   std::string file;       // where it outlives the program; empty: in memory only
 };
@@ -35,10 +35,10 @@
   routing::Micros idle_close_us = 30'000'000;
   int streams_per_connection = 100;
   double cores = 1;
-  coordinator::HolderList known;
+  coordinator::EndpointList known;
   int sockets = 1024, memory_mb = 192;  // the limits, of the memory what the record leaves
   Budget budget;                        // for the holders known at the start
-  WhyOptions why;
+  DecisionLogOptions decision_log;
 };
 
 // Throws std::runtime_error saying what is wrong.
@@ -48,11 +48,11 @@
 std::string ReadFile(const std::string& path);
 
 // A list in discovery's form; throws std::runtime_error when it is not one.
-coordinator::HolderList ParseHolders(std::string_view text, const Config& config);
+coordinator::EndpointList ParseEndpointList(std::string_view text, const Config& config);
 
 // How many connections of either side fit the limits; holders' share is kept back from clients, and holds one
 // for each of `holders` where that leaves clients enough.
-Budget ShareOut(int sockets, int memory_mb, int holders);
+Budget ShareOut(int sockets, int memory_mb, int endpoints);
 
 }  // namespace liftrudder::config
 
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using routing::CheckSettings;
-using routing::ClassSettings;
+using routing::QueryClassSettings;
 using routing::Effect;
 using routing::Micros;
 using routing::Settings;
@@ -36,8 +36,8 @@
 
 Effect ParseEffect(const std::string& name) {
   if (name == "idempotent") return Effect::kIdempotent;
-  if (name == "deduplicated") return Effect::kDeduplicated;
-  if (name == "at_most_once") return Effect::kAtMostOnce;
+  if (name == "deduplicated") return Effect::kIdempotencyKey;
+  if (name == "at_most_once") return Effect::kNonIdempotent;
   throw SettingsError("settings: 'effect' is '" + name + "', which is unknown");
 }
 
@@ -55,18 +55,18 @@
       throw SettingsError("settings: 'familyInfo' has no figures for class " + std::to_string(i));
     }
     const Json& grade = grades[i];
-    ClassSettings cls;
-    cls.aim_us = Get<Micros>(grade, "aimUs");
-    cls.give_up_us = Get<Micros>(grade, "giveUpUs");
-    cls.late_share = Get<double>(grade, "lateShare");
+    QueryClassSettings cls;
+    cls.latency_objective_us = Get<Micros>(grade, "aimUs");
+    cls.client_timeout_us = Get<Micros>(grade, "giveUpUs");
+    cls.late_value_fraction = Get<double>(grade, "lateShare");
     cls.worth = Get<double>(grade, "value");
     cls.effect = ParseEffect(Get<std::string>(grade, "effect"));
-    cls.repeat_window_us = GetOr<Micros>(grade, "repeatWindowUs", 0);
-    cls.aim_stretch = GetOr<double>(grade, "aimStretch", 0);
-    cls.fetch_parts = fetches[i];
+    cls.deduplication_window_us = GetOr<Micros>(grade, "repeatWindowUs", 0);
+    cls.objective_per_work = GetOr<double>(grade, "aimStretch", 0);
+    cls.fetch_phase_requests = fetches[i];
     cls.floor = floors[i];
-    cls.whole_at = wholes[i];
-    cls.incomplete_worth = incomplete[i];
+    cls.complete_coverage = wholes[i];
+    cls.partial_value_factor = incomplete[i];
     out.classes.push_back(cls);
   }
   if (conf.contains("projects")) {
@@ -75,37 +75,37 @@
     }
   }
   out.zone = Get<int>(conf, "az");
-  out.group_size = Get<int>(conf, "groupSize");
+  out.fleet_size = Get<int>(conf, "groupSize");
   out.ordinal = Get<int>(conf, "ordinal");
-  out.resolution_us = Get<Micros>(conf, "resolutionUs");
-  out.over_share_worth = GetOr<double>(conf, "overShareWorth", 1);
-  out.must_subscribe = GetOr<std::string>(conf, "registryMode", "automatic") == "subscribe";
+  out.decision_interval_us = Get<Micros>(conf, "resolutionUs");
+  out.over_quota_value_factor = GetOr<double>(conf, "overShareWorth", 1);
+  out.subscription_required = GetOr<std::string>(conf, "registryMode", "automatic") == "subscribe";
   out.cells = Get<int>(info, "cells");
   out.reach = Get<int>(info, "reach");
   out.shards = Get<int>(info, "slices");
-  out.parts_per_call = Get<int>(info, "perCall");
-  out.warm_keys = GetOr<bool>(info, "warmKeys", false);
+  out.max_requests_per_call = Get<int>(info, "perCall");
+  out.key_affinity = GetOr<bool>(info, "warmKeys", false);
   const Json& bounds = Need(conf, "bounds");
   out.max_attempts = Get<int>(bounds, "attemptsCap");
-  out.max_open = GetOr<int>(bounds, "maxOpen", 0);
-  out.may_cancel = Get<bool>(bounds, "cancelling");
-  out.may_probe = Get<bool>(bounds, "probes");
-  out.may_copy = Get<bool>(bounds, "secondCopies");
-  out.may_retry_after = Get<bool>(bounds, "retryAfter");
+  out.max_in_flight = GetOr<int>(bounds, "maxOpen", 0);
+  out.cancellation_allowed = Get<bool>(bounds, "cancelling");
+  out.health_checks_allowed = Get<bool>(bounds, "probes");
+  out.hedging_allowed = Get<bool>(bounds, "secondCopies");
+  out.retry_after_allowed = Get<bool>(bounds, "retryAfter");
   out.max_retry_after_us = GetOr<Micros>(bounds, "maxRetryAfterUs", 0);
   const Json& rules = Need(conf, "rules");
   out.grace_to_answer_us = Get<Micros>(rules, "graceToAnswerUs");
-  out.stop_sending_within_us = GetOr<Micros>(rules, "stopSendingWithinUs", 0);
-  out.ask_within_us = GetOr<Micros>(rules, "askWithinUs", 0);
-  out.start_capacity = GetOr<double>(rules, "startCapacity", 1);
-  out.cold_us = GetOr<Micros>(rules, "coldUs", 0);
-  out.fall_multiple = GetOr<double>(rules, "fallMultiple", 0);
-  out.fall_us = GetOr<Micros>(rules, "fallUs", 0);
+  out.drain_grace_us = GetOr<Micros>(rules, "stopSendingWithinUs", 0);
+  out.poll_deadline_us = GetOr<Micros>(rules, "askWithinUs", 0);
+  out.slow_start_capacity = GetOr<double>(rules, "startCapacity", 1);
+  out.slow_start_us = GetOr<Micros>(rules, "coldUs", 0);
+  out.collapse_load_multiple = GetOr<double>(rules, "fallMultiple", 0);
+  out.collapse_window_us = GetOr<Micros>(rules, "fallUs", 0);
   out.has_retry_budget = rules.contains("resendSpanUs");
   if (out.has_retry_budget) {
-    out.resend_span_us = Get<Micros>(rules, "resendSpanUs");
-    out.free_resends = GetOr<double>(rules, "freeResends", 0);
-    out.further_ratio = GetOr<double>(rules, "furtherRatio", 0);
+    out.retry_budget_window_us = Get<Micros>(rules, "resendSpanUs");
+    out.retry_budget_floor = GetOr<double>(rules, "freeResends", 0);
+    out.retry_budget_ratio = GetOr<double>(rules, "furtherRatio", 0);
   }
   return out;
 }
--- a/src/coordinator/admission.cpp
+++ b/src/coordinator/admission.cpp
@@ -8,21 +8,21 @@
 
 }  // namespace
 
-std::optional<Id> Core::Admit(QueryRequest request, std::shared_ptr<ClientReply> reply) {
+std::optional<Id> Coordinator::Admit(QueryRequest request, std::shared_ptr<ClientReply> reply) {
   int size = 1 + static_cast<int>(request.parts.size());
-  int most = settings_.max_open > 0 ? std::min(settings_.max_open, kMostOpen) : kMostOpen;
+  int most = settings_.max_in_flight > 0 ? std::min(settings_.max_in_flight, kMostOpen) : kMostOpen;
   if (open_.fetch_add(size) + size > most) {
     open_.fetch_sub(size);
     counters_.turned_away.Add();
     // Under the name that its client knows.
-    NoteDoor(decision_log::Door::kTooManyOpen, request.front, request.class_index, 503,
+    NoteIntake(decision_log::IntakeResult::kTooManyOpen, request.front, request.class_index, 503,
              request.label.empty() ? request.payload->call_id : request.label, open_.load() + size, most);
     return std::nullopt;
   }
   open_queries_.fetch_add(1);
   counters_.taken.Add();
   Id id = next_id_.fetch_add(static_cast<Id>(size));
-  Post(Arrival{id, std::move(request), std::move(reply)});
+  Post(QueryArrival{id, std::move(request), std::move(reply)});
   return id;
 }
 
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-Core::Core(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
-           const HolderDirectory& directory, metrics::Counters& counters)
+Coordinator::Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
+           const EndpointResolver& endpoint_registry, metrics::Counters& counters)
     : settings_(settings),
       aggregator_(settings, seed),
       clock_(clock),
-      directory_(directory),
+      endpoint_registry_(endpoint_registry),
       counters_(counters),
       pace_(settings) {}
 
 // Wakes the core's thread only for what begins a round sooner than it would wake: it need not wake for each
 // of the answers that one round takes.
-void Core::Post(Input input) {
+void Coordinator::Post(Input input) {
   std::lock_guard lock(mutex_);
   urgent_ = urgent_ || Urgent(input);
   queue_.push_back(std::move(input));
@@ -34,13 +34,13 @@
   wake_.notify_one();
 }
 
-void Core::Stop() {
+void Coordinator::Stop() {
   std::lock_guard lock(mutex_);
   stopping_ = true;
   wake_.notify_one();
 }
 
-void Core::Freshen() {
+void Coordinator::Freshen() {
   constexpr auto kLongest = std::chrono::milliseconds(200);
   std::unique_lock lock(mutex_);
   std::uint64_t mine = ++freshen_asked_;
@@ -48,20 +48,20 @@
   freshened_.wait_for(lock, kLongest, [&] { return freshen_done_ >= mine || stopping_; });
 }
 
-Micros Core::RoundAt(Micros due_us) const {
+Micros Coordinator::RoundAt(Micros due_us) const {
   if (urgent_ || freshen_asked_ > freshen_done_) return pace_.Soon();
   return queue_.empty() ? std::max(due_us, pace_.Later()) : pace_.Later();
 }
 
-std::vector<Input> Core::NextBatch(std::uint64_t& freshen) {
+std::vector<Input> Coordinator::NextBatch(std::uint64_t& freshen) {
   std::unique_lock lock(mutex_);
   while (true) {
     Micros now = clock_.Now();
-    Micros due = book_.NextExpiry();
+    Micros due = in_flight_.NextExpiry();
     if (!timers_.empty()) due = std::min(due, timers_.begin()->first);
     // The fronts' notes wait for the next round, or as long as this where there is none.
     constexpr Micros kNotesWait = 100'000;
-    bool notes = recorder_ != nullptr && recorder_->MailWaits();
+    bool notes = recorder_ != nullptr && recorder_->QueueWaits();
     if (notes) due = std::min(due, pace_.Last() + kNotesWait);
     Micros at = RoundAt(due);
     if (now >= at || stopping_) break;
@@ -78,7 +78,7 @@
   return batch;
 }
 
-void Core::Run() {
+void Coordinator::Run() {
   std::vector<routing::Action> actions;
   while (true) {
     std::uint64_t freshen = 0;
@@ -108,14 +108,14 @@
   EndRound(0);  // the fronts' last notes
 }
 
-void Core::TakeDue() {
+void Coordinator::TakeDue() {
   while (!timers_.empty() && timers_.begin()->first <= now_) {
     events_.push_back(routing::TimerFired{timers_.begin()->second});
     timers_.erase(timers_.begin());
   }
-  for (const auto& [key, holder] : book_.Expired(now_)) transport_->Withdraw(key, holder, Cause::kExpired);
+  for (const auto& [key, endpoint] : in_flight_.Expired(now_)) transport_->Withdraw(key, endpoint, Cause::kExpired);
 }
 
-void Core::Act(const routing::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
+void Coordinator::Act(const routing::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -19,23 +19,23 @@
 
 namespace liftrudder::coordinator {
 
-struct Arrival {
+struct QueryArrival {
   Id id = 0;
   QueryRequest request;
   std::shared_ptr<ClientReply> reply;
 };
-struct Hangup {
+struct ClientDisconnect {
   Id id = 0;
-  decision_log::Door door = decision_log::Door::kLeft;  // why its front waits no longer
+  decision_log::IntakeResult intake = decision_log::IntakeResult::kLeft;  // why its front waits no longer
 };
-using Input = std::variant<Arrival, Hangup, AttemptResult, routing::ListNews>;
+using Input = std::variant<QueryArrival, ClientDisconnect, AttemptResult, routing::EndpointListUpdate>;
 
-class Core {
+class Coordinator {
  public:
-  Core(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
-       const HolderDirectory& directory, metrics::Counters& counters);
+  Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
+       const EndpointResolver& endpoint_registry, metrics::Counters& counters);
 
-  void Attach(HolderTransport& transport) { transport_ = &transport; }
+  void Attach(EndpointTransport& transport) { transport_ = &transport; }
   // Before Run: called on the core's thread after each list, which may be longer than those before.
   void OnList(std::function<void()> on_list) { on_list_ = std::move(on_list); }
   // Before Run; without one nothing is recorded.
@@ -47,7 +47,7 @@
   void Post(Input input);
 
   // From a front's thread: what the record is to know of a client. Waits for nobody.
-  void NoteDoor(decision_log::Door door, decision_log::FrontKind front, int class_index, int status, std::string_view call_id,
+  void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index, int status, std::string_view call_id,
                 double figure = 0, double bound = 0);
   void NoteGiven(const std::vector<Served>& served, int status, std::size_t bytes, bool whole);
   // Has the record made readable up to now; waits a fifth of a second at most, on the caller's thread.
@@ -66,10 +66,10 @@
   Micros RoundAt(Micros due_us) const;
 
   // Stage intake: inputs to events.
-  void Take(Arrival& arrival);
-  void Take(Hangup& hangup);
+  void Take(QueryArrival& arrival);
+  void Take(ClientDisconnect& hangup);
   void Take(AttemptResult& result);
-  void Take(routing::ListNews& news);
+  void Take(routing::EndpointListUpdate& news);
   void TakeDue();
 
   // Stages route and send.
@@ -83,22 +83,22 @@
   void Act(const routing::Answer& answer);
   void Act(const routing::Refuse& refuse);
   void Act(const routing::Fail& fail);
-  void Finish(Id query, FinalAnswer answer, const routing::EndWhy& why);
+  void Finish(Id query, FinalAnswer answer, const routing::CompletionReason& reason);
   void CloseQuery(Id query, int parts);
 
   // What the record is told of; nothing when there is none.
   void Note(const decision_log::Note& note);
-  void RecordOpen(const Arrival& arrival);
+  void RecordOpen(const QueryArrival& arrival);
   void RecordHeld();
-  void RecordEnd(Id query, const FinalAnswer& answer, const routing::EndWhy& why, int pieces);
+  void RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason, int pieces);
   void EndRound(std::uint64_t freshen);
 
   const routing::Settings settings_;
-  routing::Aggregator aggregator_;
+  routing::Router aggregator_;
   const Clock& clock_;
-  const HolderDirectory& directory_;
+  const EndpointResolver& endpoint_registry_;
   metrics::Counters& counters_;
-  HolderTransport* transport_ = nullptr;
+  EndpointTransport* transport_ = nullptr;
   decision_log::Recorder* recorder_ = nullptr;
   std::function<void()> on_list_;
 
@@ -107,7 +107,7 @@
   std::deque<Input> queue_;
   bool stopping_ = false;
   bool urgent_ = false;  // something in the queue is not to wait for answers
-  Pace pace_;
+  RoundPacer pace_;
   Micros sleeps_until_us_ = 0;  // 0: it looks at the queue before it sleeps
   std::uint64_t freshen_asked_ = 0, freshen_done_ = 0;
   std::condition_variable freshened_;
@@ -117,10 +117,10 @@
   std::atomic<Id> next_id_{1};
 
   // The core's thread alone:
-  Book book_;
+  InFlightTable in_flight_;
   std::set<std::pair<Micros, std::uint64_t>> timers_;
   std::vector<routing::Event> events_;
-  std::vector<routing::PartHeld> held_;
+  std::vector<routing::PendingShardRequest> held_;
   std::vector<decision_log::OpenedPart> opened_parts_;
   Micros now_ = 0;
   std::int64_t number_ = 0;
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -15,32 +15,32 @@
 // it was heard here is not known; on a small share of a core, or while a watch was broken, that may be most
 // of it. The module picks others from the same list; what still waits for a connection is not sent, and goes
 // to them.
-void Directory::StopSending(HolderAddress& holder, Micros told_us) {
-  if (holder.stop_sending_us == 0) holder.stop_sending_us = told_us;
+void EndpointRegistry::StopSending(EndpointAddress& endpoint, Micros told_us) {
+  if (endpoint.drain_deadline_us == 0) endpoint.drain_deadline_us = told_us;
 }
 
-std::optional<routing::ListNews> Directory::Apply(const HolderList& list, Micros told_us) {
+std::optional<routing::EndpointListUpdate> EndpointRegistry::Apply(const EndpointList& list, Micros told_us) {
   std::lock_guard lock(mutex_);
-  if (list.kind != routing::ListKind::kCached) heard_ = true, told_.notify_all();
+  if (list.kind != routing::EndpointListKind::kCached) heard_ = true, told_.notify_all();
   // A list that came by another way late must not bring a drained holder back.
-  bool whole = list.kind != routing::ListKind::kDelta;
+  bool whole = list.kind != routing::EndpointListKind::kDelta;
   if (any_ && (whole ? list.version < version_ : list.version <= version_)) return std::nullopt;
   any_ = true;
   version_ = list.version;
-  routing::ListNews news;
+  routing::EndpointListUpdate news;
   news.kind = list.kind;
   news.version = list.version;
-  std::set<ReplicaId> named;
-  for (const HolderEntry& entry : list.entries) {
+  std::set<EndpointId> named;
+  for (const EndpointEntry& entry : list.entries) {
     auto [place, fresh] = ids_.try_emplace(entry.id);
-    if (fresh) place->second = ReplicaId{++given_, 1};
-    HolderAddress& holder = holders_[place->second];
-    holder.id = entry.id;
-    holder.addr = entry.addr;
+    if (fresh) place->second = EndpointId{++given_, 1};
+    EndpointAddress& endpoint = endpoints_[place->second];
+    endpoint.id = entry.id;
+    endpoint.addr = entry.addr;
     if (entry.told.availability == routing::Availability::kReady) {
-      holder.stop_sending_us = 0;
+      endpoint.drain_deadline_us = 0;
     } else {
-      StopSending(holder, told_us);
+      StopSending(endpoint, told_us);
     }
     if (entry.told.availability != routing::Availability::kGone) {
       gone_.erase(place->second);
@@ -51,9 +51,9 @@
     news.replicas.push_back(entry.told);
     news.replicas.back().id = place->second;
   }
-  for (auto& [id, holder] : holders_) {
+  for (auto& [id, endpoint] : endpoints_) {
     if (!whole || named.contains(id)) continue;
-    StopSending(holder, told_us);
+    StopSending(endpoint, told_us);
     gone_.try_emplace(id, told_us);
   }
   Forget(told_us);
@@ -63,41 +63,41 @@
 // Guards a long day, in which holders are replaced for ever, against growing with them. Nothing is out any
 // more at what was gone that long, older lists are ignored, and a newer one that names it again makes it a
 // new holder.
-void Directory::Forget(Micros now) {
+void EndpointRegistry::Forget(Micros now) {
   for (auto one = gone_.begin(); one != gone_.end();) {
     auto next = std::next(one);
     if (now - one->second > kForget) {
-      ids_.erase(holders_.at(one->first).id);
-      holders_.erase(one->first);
+      ids_.erase(endpoints_.at(one->first).id);
+      endpoints_.erase(one->first);
       gone_.erase(one);
     }
     one = next;
   }
 }
 
-HolderAddress Directory::Find(const ReplicaId& holder) const {
+EndpointAddress EndpointRegistry::Find(const EndpointId& endpoint) const {
   std::lock_guard lock(mutex_);
-  auto found = holders_.find(holder);
-  return found == holders_.end() ? HolderAddress{} : found->second;
+  auto found = endpoints_.find(endpoint);
+  return found == endpoints_.end() ? EndpointAddress{} : found->second;
 }
 
-void Directory::NothingNewer() {
+void EndpointRegistry::NothingNewer() {
   std::lock_guard lock(mutex_);
   heard_ = true;
   told_.notify_all();
 }
 
-bool Directory::WaitHeard(Micros wait_us) const {
+bool EndpointRegistry::WaitHeard(Micros wait_us) const {
   std::unique_lock lock(mutex_);
   return told_.wait_for(lock, std::chrono::microseconds(wait_us), [this] { return heard_; });
 }
 
-int Directory::Listed() const {
+int EndpointRegistry::Listed() const {
   std::lock_guard lock(mutex_);
-  return static_cast<int>(holders_.size() - gone_.size());
+  return static_cast<int>(endpoints_.size() - gone_.size());
 }
 
-std::uint64_t Directory::Version() const {
+std::uint64_t EndpointRegistry::Version() const {
   std::lock_guard lock(mutex_);
   return version_;
 }
--- a/src/coordinator/endpoint_registry.h
+++ b/src/coordinator/endpoint_registry.h
@@ -13,24 +13,24 @@
 
 namespace liftrudder::coordinator {
 
-struct HolderEntry {
+struct EndpointEntry {
   std::string id;
   std::string addr;
-  routing::Replica told;  // its id is given by the directory
+  routing::Endpoint told;  // its id is given by the directory
 };
 
-struct HolderList {
+struct EndpointList {
   std::uint64_t version = 0;
-  routing::ListKind kind = routing::ListKind::kFull;
-  std::vector<HolderEntry> entries;
+  routing::EndpointListKind kind = routing::EndpointListKind::kFull;
+  std::vector<EndpointEntry> entries;
 };
 
-class Directory : public HolderDirectory {
+class EndpointRegistry : public EndpointResolver {
  public:
 
   // What the module is to be told; nothing when the list is older than what is known.
-  std::optional<routing::ListNews> Apply(const HolderList& list, Micros told_us);
-  HolderAddress Find(const ReplicaId& holder) const override;
+  std::optional<routing::EndpointListUpdate> Apply(const EndpointList& list, Micros told_us);
+  EndpointAddress Find(const EndpointId& endpoint) const override;
   std::uint64_t Version() const;
   // Holders that are not gone, those that drain included.
   int Listed() const;
@@ -41,16 +41,16 @@
   bool WaitHeard(Micros wait_us) const;
 
  private:
-  static void StopSending(HolderAddress& holder, Micros told_us);
+  static void StopSending(EndpointAddress& endpoint, Micros told_us);
   void Forget(Micros now);
 
   mutable std::mutex mutex_;
   mutable std::condition_variable told_;
   bool any_ = false, heard_ = false;
   std::uint64_t version_ = 0;
-  std::map<std::string, ReplicaId> ids_;
-  std::map<ReplicaId, HolderAddress> holders_;
-  std::map<ReplicaId, Micros> gone_;  // since when; they are forgotten in time
+  std::map<std::string, EndpointId> ids_;
+  std::map<EndpointId, EndpointAddress> endpoints_;
+  std::map<EndpointId, Micros> gone_;  // since when; they are forgotten in time
   std::uint32_t given_ = 0;           // ids so far: none is given twice
 };
 
--- a/src/coordinator/in_flight_table.cpp
+++ b/src/coordinator/in_flight_table.cpp
@@ -5,37 +5,37 @@
 
 namespace liftrudder::coordinator {
 
-OutcomeCode OutcomeOf(Progress progress, Cause cause) {
+AttemptOutcome OutcomeOf(Progress progress, Cause cause) {
   bool may_have_run = progress >= Progress::kWhollyWritten;
   bool begun = progress >= Progress::kPartlyWritten;
   switch (cause) {
     case Cause::kServed:
-      return OutcomeCode::kOk;
+      return AttemptOutcome::kOk;
     case Cause::kBroke:
-      return OutcomeCode::kError;
+      return AttemptOutcome::kError;
     case Cause::kSkipped:
-      return OutcomeCode::kFull;
+      return AttemptOutcome::kFull;
     case Cause::kSpoilt:
       // The holder lives and has answered, if in a way of no use: an error, not the loss of its process.
-      return may_have_run ? OutcomeCode::kError : OutcomeCode::kConnectFailed;
+      return may_have_run ? AttemptOutcome::kError : AttemptOutcome::kConnectFailed;
     case Cause::kConnectionLost:
-      return may_have_run ? OutcomeCode::kReset : OutcomeCode::kConnectFailed;
+      return may_have_run ? AttemptOutcome::kReset : AttemptOutcome::kConnectFailed;
     case Cause::kWithdrawn:
       // A frame that has begun is written to its end all the same, so it may yet run.
-      return begun ? OutcomeCode::kCancelled : OutcomeCode::kMoot;
+      return begun ? AttemptOutcome::kCancelled : AttemptOutcome::kNotSent;
     case Cause::kExpired:
-      return begun ? OutcomeCode::kTimeout : OutcomeCode::kMoot;
+      return begun ? AttemptOutcome::kTimeout : AttemptOutcome::kNotSent;
     case Cause::kStale:
     case Cause::kLeft:
-      return OutcomeCode::kMoot;
+      return AttemptOutcome::kNotSent;
   }
-  return OutcomeCode::kError;
+  return AttemptOutcome::kError;
 }
 
-void Book::Open(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply) {
+void InFlightTable::Open(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply) {
   queries_[id] = {std::move(reply), request.deadline_us, id + 1, static_cast<int>(request.parts.size())};
   for (std::size_t i = 0; i < request.parts.size(); ++i) {
-    OpenPart part;
+    InFlightShardRequest part;
     part.query = id;
     part.class_index = request.class_index;
     part.request = request.parts[i];
@@ -44,60 +44,60 @@
   }
 }
 
-const OpenQuery* Book::Query(Id id) const {
+const InFlightQuery* InFlightTable::Query(Id id) const {
   auto found = queries_.find(id);
   return found == queries_.end() ? nullptr : &found->second;
 }
 
-OpenPart* Book::Part(Id id) {
+InFlightShardRequest* InFlightTable::Part(Id id) {
   auto found = parts_.find(id);
   return found == parts_.end() ? nullptr : &found->second;
 }
 
-int Book::Begin(Id part, OpenPart& entry, const OpenAttempt& attempt) {
+int InFlightTable::Begin(Id part, InFlightShardRequest& entry, const InFlightAttempt& attempt) {
   int number = static_cast<int>(entry.attempts.size());
   entry.attempts.push_back(attempt);
-  expiries_.insert({attempt.wait_until_us, {part, number}});
+  expiries_.insert({attempt.attempt_deadline_us, {part, number}});
   return number;
 }
 
-std::optional<routing::AttemptEnded> Book::End(AttemptResult result, Micros now) {
+std::optional<routing::AttemptFinished> InFlightTable::End(AttemptResult result, Micros now) {
   auto part = parts_.find(result.key.part);
   if (part == parts_.end()) return std::nullopt;
   auto index = static_cast<std::size_t>(result.key.attempt);
   if (index >= part->second.attempts.size() || !part->second.attempts[index].out) return std::nullopt;
-  OpenAttempt& attempt = part->second.attempts[index];
+  InFlightAttempt& attempt = part->second.attempts[index];
   attempt.out = false;
-  expiries_.erase({attempt.wait_until_us, result.key});
-  routing::AttemptEnded ended;
+  expiries_.erase({attempt.attempt_deadline_us, result.key});
+  routing::AttemptFinished ended;
   ended.part = result.key.part;
   ended.attempt = result.key.attempt;
-  ended.replica = attempt.holder;
+  ended.replica = attempt.endpoint;
   ended.code = OutcomeOf(result.progress, result.cause);
   ended.spent_us = now - attempt.sent_us;
   ended.load = std::move(result.load);
-  if (ended.code == OutcomeCode::kOk && !part->second.value && !part->second.over)
+  if (ended.code == AttemptOutcome::kOk && !part->second.value && !part->second.over)
     part->second.value = std::move(result.value);
   ended.part_done = part->second.over || part->second.value.has_value();
   DropIfDone(part);
   return ended;
 }
 
-std::vector<std::pair<AttemptKey, ReplicaId>> Book::Expired(Micros now) {
-  std::vector<std::pair<AttemptKey, ReplicaId>> due;
+std::vector<std::pair<AttemptKey, EndpointId>> InFlightTable::Expired(Micros now) {
+  std::vector<std::pair<AttemptKey, EndpointId>> due;
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     AttemptKey key = expiries_.begin()->second;
     expiries_.erase(expiries_.begin());
-    due.emplace_back(key, parts_.at(key.part).attempts[static_cast<std::size_t>(key.attempt)].holder);
+    due.emplace_back(key, parts_.at(key.part).attempts[static_cast<std::size_t>(key.attempt)].endpoint);
   }
   return due;
 }
 
-Micros Book::NextExpiry() const {
+Micros InFlightTable::NextExpiry() const {
   return expiries_.empty() ? std::numeric_limits<Micros>::max() : expiries_.begin()->first;
 }
 
-std::vector<Piece> Book::Close(Id id) {
+std::vector<Piece> InFlightTable::Close(Id id) {
   std::vector<Piece> pieces;
   auto query = queries_.find(id);
   if (query == queries_.end()) return pieces;
@@ -112,8 +112,8 @@
   return pieces;
 }
 
-void Book::DropIfDone(std::map<Id, OpenPart>::iterator part) {
-  if (part->second.over && std::ranges::none_of(part->second.attempts, &OpenAttempt::out)) parts_.erase(part);
+void InFlightTable::DropIfDone(std::map<Id, InFlightShardRequest>::iterator part) {
+  if (part->second.over && std::ranges::none_of(part->second.attempts, &InFlightAttempt::out)) parts_.erase(part);
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/in_flight_table.h
+++ b/src/coordinator/in_flight_table.h
@@ -12,42 +12,42 @@
 
 namespace liftrudder::coordinator {
 
-struct OpenAttempt {
-  ReplicaId holder;
+struct InFlightAttempt {
+  EndpointId endpoint;
   Micros sent_us = 0;
-  Micros wait_until_us = 0;
+  Micros attempt_deadline_us = 0;
   bool out = true;
 };
 
-struct OpenPart {
+struct InFlightShardRequest {
   Id query = 0;
   int class_index = 0;
-  PartRequest request;
+  ShardRequest request;
   std::shared_ptr<const Payload> payload;
-  std::vector<OpenAttempt> attempts;
+  std::vector<InFlightAttempt> attempts;
   std::optional<std::string> value;
   bool over = false;  // its query has ended
 };
 
-struct OpenQuery {
+struct InFlightQuery {
   std::shared_ptr<ClientReply> reply;
   Micros deadline_us = 0;
   Id first_part = 0;
   int parts = 0;
 };
 
-class Book {
+class InFlightTable {
  public:
   void Open(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply);
-  const OpenQuery* Query(Id id) const;
-  OpenPart* Part(Id id);
+  const InFlightQuery* Query(Id id) const;
+  InFlightShardRequest* Part(Id id);
 
   // Enters a new attempt; its number.
-  int Begin(Id part, OpenPart& entry, const OpenAttempt& attempt);
+  int Begin(Id part, InFlightShardRequest& entry, const InFlightAttempt& attempt);
   // Ends an attempt: the event for the module, or nothing when it had ended before.
-  std::optional<routing::AttemptEnded> End(AttemptResult result, Micros now);
+  std::optional<routing::AttemptFinished> End(AttemptResult result, Micros now);
   // Attempts whose wait is over; each is named once.
-  std::vector<std::pair<AttemptKey, ReplicaId>> Expired(Micros now);
+  std::vector<std::pair<AttemptKey, EndpointId>> Expired(Micros now);
   Micros NextExpiry() const;
 
   // Takes the query out; the pieces that are in, by shard as the client asked for them.
@@ -55,10 +55,10 @@
   bool Empty() const { return queries_.empty(); }
 
  private:
-  void DropIfDone(std::map<Id, OpenPart>::iterator part);
+  void DropIfDone(std::map<Id, InFlightShardRequest>::iterator part);
 
-  std::map<Id, OpenQuery> queries_;
-  std::map<Id, OpenPart> parts_;
+  std::map<Id, InFlightQuery> queries_;
+  std::map<Id, InFlightShardRequest> parts_;
   std::set<std::pair<Micros, AttemptKey>> expiries_;
 };
 
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -14,10 +14,10 @@
 
 using routing::Id;
 using routing::Micros;
-using routing::OutcomeCode;
-using routing::ReplicaId;
+using routing::AttemptOutcome;
+using routing::EndpointId;
 
-struct PartRequest {
+struct ShardRequest {
   int shard = 0;
   double weight = 0;
   Micros work_us = 0;
@@ -26,7 +26,7 @@
 
 // Whether the client of a query is still there: its front says so the moment it has gone, and what has not
 // been begun by then is not begun any more. Any thread.
-class Presence {
+class ClientPresence {
  public:
   void Leave() { gone_ = true; }
   bool Gone() const { return gone_; }
@@ -38,22 +38,22 @@
 // What every part of a query carries on, byte for byte as the client gave it.
 struct Payload {
   std::string call_id;
-  std::string dedup_key;  // only in a deduplicated class
+  std::string idempotency_key;  // only in a deduplicated class
   std::string statement;
   std::string target;                      // which index it is about, where a front has such a thing
-  std::shared_ptr<const Presence> client;  // null: nobody looks
+  std::shared_ptr<const ClientPresence> client;  // null: nobody looks
 };
 
 struct QueryRequest {
   int class_index = 0;
-  bool repeated = false;
+  bool is_retry = false;
   Micros received_us = 0;  // when its first byte was seen
   Micros deadline_us = 0;
   decision_log::FrontKind front = decision_log::FrontKind::kPlatform;
   std::string label;  // the client's own name for it, kNoteId bytes at most, where the front has such a
                       // thing; for the record alone
   std::shared_ptr<const Payload> payload;
-  std::vector<PartRequest> parts;
+  std::vector<ShardRequest> parts;
 };
 
 enum class Verdict { kAnswered, kRefused, kFailed };
@@ -75,7 +75,7 @@
 using decision_log::Cause;
 using decision_log::Progress;
 
-OutcomeCode OutcomeOf(Progress progress, Cause cause);
+AttemptOutcome OutcomeOf(Progress progress, Cause cause);
 
 struct AttemptKey {
   Id part = 0;
@@ -83,12 +83,12 @@
   auto operator<=>(const AttemptKey&) const = default;
 };
 
-struct AttemptOrder {
+struct AttemptRequest {
   AttemptKey key;
-  ReplicaId holder;
+  EndpointId endpoint;
   int shard = 0;
   int class_index = 0;
-  Micros wait_until_us = 0;
+  Micros attempt_deadline_us = 0;
   std::shared_ptr<const Payload> payload;
 };
 
@@ -115,30 +115,30 @@
 
 // Takes attempts to holders. No call blocks on a socket; each Start ends in exactly one result. What is started
 // in one round goes out with its end, so that parts for one holder can share a call.
-class HolderTransport {
+class EndpointTransport {
  public:
-  virtual ~HolderTransport() = default;
-  virtual void Start(AttemptOrder order) = 0;
+  virtual ~EndpointTransport() = default;
+  virtual void Start(AttemptRequest order) = 0;
   virtual void EndRound() = 0;
-  virtual void Withdraw(const AttemptKey& key, const ReplicaId& holder, Cause cause) = 0;
+  virtual void Withdraw(const AttemptKey& key, const EndpointId& endpoint, Cause cause) = 0;
   // Its holder is asked to give it up; it ends as soon as that is known, or as if it had not been asked.
   virtual void CallOff(const AttemptKey& key) = 0;
-  virtual void CloseIdle(const ReplicaId& holder) = 0;
+  virtual void CloseIdle(const EndpointId& endpoint) = 0;
   // Lets go of what is kept for holders that take nothing new and have nothing out.
   virtual void ForgetGone() = 0;
 };
 
-struct HolderAddress {
+struct EndpointAddress {
   std::string id;
   std::string addr;
-  Micros stop_sending_us = 0;  // told that it drains or is gone: nothing new from then on; 0: not told
+  Micros drain_deadline_us = 0;  // told that it drains or is gone: nothing new from then on; 0: not told
 };
 
 // The holders by their identity; safe from any thread.
-class HolderDirectory {
+class EndpointResolver {
  public:
-  virtual ~HolderDirectory() = default;
-  virtual HolderAddress Find(const ReplicaId& holder) const = 0;
+  virtual ~EndpointResolver() = default;
+  virtual EndpointAddress Find(const EndpointId& endpoint) const = 0;
 };
 
 class Clock {
--- a/src/coordinator/query_completion.cpp
+++ b/src/coordinator/query_completion.cpp
@@ -3,30 +3,30 @@
 
 namespace liftrudder::coordinator {
 
-void Core::Act(const routing::Answer& answer) {
+void Coordinator::Act(const routing::Answer& answer) {
   FinalAnswer out;
   out.verdict = Verdict::kAnswered;
   out.full = answer.full;
-  out.cut_by_time = answer.why.cause == routing::EndCause::kAim;
-  Finish(answer.query, std::move(out), answer.why);
+  out.cut_by_time = answer.reason.cause == routing::CompletionCause::kLatencyObjective;
+  Finish(answer.query, std::move(out), answer.reason);
 }
 
-void Core::Act(const routing::Refuse& refuse) {
+void Coordinator::Act(const routing::Refuse& refuse) {
   FinalAnswer out;
   out.verdict = Verdict::kRefused;
   out.retry_after_us = refuse.retry_after_us;
-  Finish(refuse.query, std::move(out), refuse.why);
+  Finish(refuse.query, std::move(out), refuse.reason);
 }
 
-void Core::Act(const routing::Fail& fail) { Finish(fail.query, {}, fail.why); }
+void Coordinator::Act(const routing::Fail& fail) { Finish(fail.query, {}, fail.reason); }
 
-void Core::Finish(Id id, FinalAnswer answer, const routing::EndWhy& why) {
-  const OpenQuery* query = book_.Query(id);
+void Coordinator::Finish(Id id, FinalAnswer answer, const routing::CompletionReason& reason) {
+  const InFlightQuery* query = in_flight_.Query(id);
   if (query == nullptr) return;
   std::shared_ptr<ClientReply> reply = query->reply;
   answer.parts = query->parts;
-  std::vector<Piece> pieces = book_.Close(id);
-  RecordEnd(id, answer, why, static_cast<int>(pieces.size()));
+  std::vector<Piece> pieces = in_flight_.Close(id);
+  RecordEnd(id, answer, reason, static_cast<int>(pieces.size()));
   if (answer.verdict == Verdict::kAnswered) answer.pieces = std::move(pieces);
   open_.fetch_sub(1 + answer.parts);
   open_queries_.fetch_sub(1);
@@ -44,8 +44,8 @@
   reply->Deliver(std::move(answer));
 }
 
-void Core::CloseQuery(Id id, int parts) {
-  book_.Close(id);
+void Coordinator::CloseQuery(Id id, int parts) {
+  in_flight_.Close(id);
   open_.fetch_sub(1 + parts);
   open_queries_.fetch_sub(1);
 }
--- a/src/coordinator/round_pacer.h
+++ b/src/coordinator/round_pacer.h
@@ -11,7 +11,7 @@
 
 namespace liftrudder::coordinator {
 
-class Pace {
+class RoundPacer {
  public:
   using Micros = routing::Micros;
 
@@ -20,27 +20,27 @@
   static constexpr double kRounds = 0.1;
   static constexpr double kMostApart = 0.01;
 
-  explicit Pace(const routing::Settings& settings) : resolution_us_(settings.resolution_us) {
-    Micros least = settings.classes.empty() ? 0 : settings.classes[0].aim_us;
-    for (const routing::ClassSettings& one : settings.classes) least = std::min(least, one.aim_us);
-    most_us_ = std::max(resolution_us_, static_cast<Micros>(kMostApart * static_cast<double>(least)));
-    apart_us_ = resolution_us_;
+  explicit RoundPacer(const routing::Settings& settings) : decision_interval_us_(settings.decision_interval_us) {
+    Micros least = settings.classes.empty() ? 0 : settings.classes[0].latency_objective_us;
+    for (const routing::QueryClassSettings& one : settings.classes) least = std::min(least, one.latency_objective_us);
+    most_us_ = std::max(decision_interval_us_, static_cast<Micros>(kMostApart * static_cast<double>(least)));
+    apart_us_ = decision_interval_us_;
   }
 
   void Began(Micros now_us) { began_us_ = now_us; }
   void Ended(Micros now_us) {
     auto share = static_cast<Micros>(static_cast<double>(now_us - began_us_) / kRounds);
-    apart_us_ = std::clamp(share, resolution_us_, most_us_);
+    apart_us_ = std::clamp(share, decision_interval_us_, most_us_);
   }
 
   // For an arrival or news of holders, which a client or a drain waits for.
-  Micros Soon() const { return began_us_ + resolution_us_; }
+  Micros Soon() const { return began_us_ + decision_interval_us_; }
   // For answers and timers, which one round takes together.
   Micros Later() const { return began_us_ + apart_us_; }
   Micros Last() const { return began_us_; }
 
  private:
-  Micros resolution_us_, most_us_ = 0;
+  Micros decision_interval_us_, most_us_ = 0;
   Micros apart_us_ = 0;  // from the beginning of the last round to that of the next
   Micros began_us_ = 0;
 };
--- a/src/decision_log/counts.cpp
+++ b/src/decision_log/counts.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::array<std::string_view, kVerdicts> kVerdictNames = {
     "open", "whole", "partial", "refused", "failed", "late", "gone", "turned_away"};
-constexpr std::array<std::string_view, kDoors> kDoorNames = {
+constexpr std::array<std::string_view, kIntakeResults> kIntakeResultNames = {
     "none", "unreadable", "malformed", "duplicate_id", "too_many_open", "too_many_connections",
     "late", "crowded",    "left"};
 constexpr std::array<std::string_view, kGroups> kGroupNames = {
@@ -56,24 +56,24 @@
 }  // namespace
 
 std::string_view Name(Verdict value) { return Pick(kVerdictNames, value); }
-std::string_view Name(Door value) { return Pick(kDoorNames, value); }
+std::string_view Name(IntakeResult value) { return Pick(kIntakeResultNames, value); }
 std::string_view Name(Group value) { return Pick(kGroupNames, value); }
 std::string_view Name(Lost value) { return Pick(kLostNames, value); }
 std::string_view Name(FrontKind value) { return Pick(kFrontNames, value); }
 std::string_view Name(Progress value) { return Pick(kProgressNames, value); }
 std::string_view Name(Cause value) { return Pick(kCauseNames, value); }
-std::string_view Name(routing::OutcomeCode value) { return Pick(kOutcomeNames, value); }
-std::string_view Name(routing::Standing value) { return Pick(kStandingNames, value); }
-std::string_view Name(routing::SendKind value) { return Pick(kSendNames, value); }
-std::string_view Name(routing::EndCause value) { return Pick(kEndNames, value); }
-std::string_view Name(routing::CancelWhy value) { return Pick(kCancelNames, value); }
-std::string_view Name(routing::CloseWhy value) { return Pick(kCloseNames, value); }
-std::string_view Name(routing::HeldWhy value) { return Pick(kHeldNames, value); }
+std::string_view Name(routing::AttemptOutcome value) { return Pick(kOutcomeNames, value); }
+std::string_view Name(routing::Eligibility value) { return Pick(kStandingNames, value); }
+std::string_view Name(routing::DispatchKind value) { return Pick(kSendNames, value); }
+std::string_view Name(routing::CompletionCause value) { return Pick(kEndNames, value); }
+std::string_view Name(routing::CancelReason value) { return Pick(kCancelNames, value); }
+std::string_view Name(routing::CloseReason value) { return Pick(kCloseNames, value); }
+std::string_view Name(routing::PendingReason value) { return Pick(kHeldNames, value); }
 
 std::optional<Verdict> VerdictOf(std::string_view name) { return Place<Verdict>(kVerdictNames, name); }
-std::optional<routing::EndCause> EndCauseOf(std::string_view name) {
-  return Place<routing::EndCause>(kEndNames, name);
+std::optional<routing::CompletionCause> EndCauseOf(std::string_view name) {
+  return Place<routing::CompletionCause>(kEndNames, name);
 }
-std::optional<Door> DoorOf(std::string_view name) { return Place<Door>(kDoorNames, name); }
+std::optional<IntakeResult> IntakeResultOf(std::string_view name) { return Place<IntakeResult>(kIntakeResultNames, name); }
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/event_queue.h
+++ b/src/decision_log/event_queue.h
@@ -18,7 +18,7 @@
 
 // What a front has to say: that it turned a request away, or what it gave a client.
 struct Note {
-  Door door = Door::kNone;  // kNone: a client was given something
+  IntakeResult intake = IntakeResult::kNone;  // kNone: a client was given something
   FrontKind front = FrontKind::kPlatform;
   std::uint8_t class_index = 0;
   std::uint8_t id_bytes = 0;
@@ -36,10 +36,10 @@
   void SetId(std::string_view id);
 };
 
-class Mailbox {
+class EventQueue {
  public:
   // `size`: a power of two.
-  explicit Mailbox(std::size_t size) : cells_(std::make_unique<Cell[]>(size)), mask_(size - 1) {
+  explicit EventQueue(std::size_t size) : cells_(std::make_unique<Cell[]>(size)), mask_(size - 1) {
     for (std::size_t i = 0; i < size; ++i) cells_[i].turn.store(i, std::memory_order_relaxed);
   }
 
--- a/src/decision_log/explain.cpp
+++ b/src/decision_log/explain.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 using Json = nlohmann::ordered_json;
-using routing::CloseWhy;
-using routing::EndCause;
-using routing::HeldWhy;
-using routing::OutcomeCode;
-using routing::SendKind;
-
-std::string ReasonOf(const Sighting& seen) {
-  return std::string(seen.verdict == Verdict::kTurnedAway ? Name(static_cast<Door>(seen.cause))
-                                                          : Name(static_cast<EndCause>(seen.cause)));
+using routing::CloseReason;
+using routing::CompletionCause;
+using routing::PendingReason;
+using routing::AttemptOutcome;
+using routing::DispatchKind;
+
+std::string ReasonOf(const QueryOccurrence& seen) {
+  return std::string(seen.verdict == Verdict::kRejected ? Name(static_cast<IntakeResult>(seen.cause))
+                                                          : Name(static_cast<CompletionCause>(seen.cause)));
 }
 
 std::string ClassOf(int index, const About& about) {
@@ -29,7 +29,7 @@
 std::string Absent(const Found& found, const Filter& filter, const About& about) {
   if (!filter.id) return "Nothing kept fits the filter.\n";
   std::string out;
-  for (const Sighting& seen : found.sightings) {
+  for (const QueryOccurrence& seen : found.occurrences) {
     std::string at = WallTime(seen.second * 1'000'000), of = ClassOf(seen.class_index, about);
     // Of one that found no room even at its arrival the end is not known.
     out += seen.verdict == Verdict::kOpen
@@ -40,9 +40,9 @@
   }
   if (!out.empty()) return out;
   out = fmt::format("{} was not seen", Escaped(*filter.id));
-  out += found.sightings_from > 0
+  out += found.occurrences_from > 0
              ? fmt::format(" since {}; what came before that is not remembered.\n",
-                           WallTime(found.sightings_from * 1'000'000))
+                           WallTime(found.occurrences_from * 1'000'000))
              : fmt::format(" since this gatherer started at {}.\n", WallTime(about.started_us));
   return out;
 }
@@ -66,20 +66,20 @@
   std::vector<Section> out;
   auto add = [&](const char* name) -> std::vector<Row>& { return out.emplace_back(Section{name, {}}).rows; };
   Rows<Verdict>(add("verdicts"), kTallyVerdict, kVerdicts);
-  Rows<EndCause>(add("reasons"), kTallyEnd, 13);
-  Rows<Door>(add("door"), kTallyDoor, kDoors);
-  Rows<SendKind>(add("sends"), kTallySend, 6);
-  Rows<OutcomeCode>(add("resent_after"), kTallyAfter, 8);
-  Rows<HeldWhy>(add("held"), kTallyHeld, 10);
+  Rows<CompletionCause>(add("reasons"), kTallyEnd, 13);
+  Rows<IntakeResult>(add("door"), kTallyIntake, kIntakeResults);
+  Rows<DispatchKind>(add("sends"), kTallySend, 6);
+  Rows<AttemptOutcome>(add("resent_after"), kTallyAfter, 8);
+  Rows<PendingReason>(add("held"), kTallyHeld, 10);
   Rows<Group>(add("let_go"), kTallyDropped, kGroups);
-  Rows<CloseWhy>(add("connections_closed"), kTallyClose, 2);
+  Rows<CloseReason>(add("connections_closed"), kTallyClose, 2);
   Rows<Lost>(add("not_written"), kTallyLost, 5);
   return out;
 }
 
 }  // namespace
 
-Telling::Telling(const Filter& filter, const About& about, bool json)
+TraceRenderer::TraceRenderer(const Filter& filter, const About& about, bool json)
     : filter_(filter), about_(about), json_(json) {
   if (json_) {
     out_ = fmt::format("{{\"gatherer\":{},\"started\":\"{}\",\"queries\":[", Json(Escaped(about.name)).dump(),
@@ -87,15 +87,15 @@
   }
 }
 
-bool Telling::Add(const Story& story) {
-  std::string one = json_ ? JsonOf(story) : TextOf(story);
+bool TraceRenderer::Add(const QueryTrace& trace) {
+  std::string one = json_ ? JsonOf(trace) : TextOf(trace);
   if (out_.size() + one.size() > kMostReply) return false;
   if (told_++ > 0) out_ += json_ ? ',' : '\n';
   out_ += one;
   return true;
 }
 
-std::string Telling::Finish(const Found& found) && {
+std::string TraceRenderer::Finish(const Found& found) && {
   if (json_) return std::move(out_) + "]," + Rest(found);
   if (told_ == 0) out_ = Absent(found, filter_, about_);
   if (found.more) out_ += "\nThere are more; narrow the filter.\n";
@@ -105,17 +105,17 @@
 }
 
 // The members behind the stories, and the closing brace.
-std::string Telling::Rest(const Found& found) const {
+std::string TraceRenderer::Rest(const Found& found) const {
   Json rest = {{"more", found.more}, {"busy_blocks", found.busy}, {"torn_blocks", found.torn}};
   if (filter_.id) {
     rest["seen"] = Json::array();
-    for (const Sighting& seen : found.sightings) {
+    for (const QueryOccurrence& seen : found.occurrences) {
       rest["seen"].push_back({{"at", WallTime(seen.second * 1'000'000)},
                               {"verdict", Name(seen.verdict)},
                               {"reason", ReasonOf(seen)},
                               {"class", ClassOf(seen.class_index, about_)}});
     }
-    if (found.sightings_from > 0) rest["seen_since"] = WallTime(found.sightings_from * 1'000'000);
+    if (found.occurrences_from > 0) rest["seen_since"] = WallTime(found.occurrences_from * 1'000'000);
   }
   if (told_ == 0) rest["text"] = Absent(found, filter_, about_);
   return rest.dump(-1, ' ', true, Json::error_handler_t::replace).substr(1);
@@ -135,10 +135,10 @@
                          summary.totals[row.kind]);
     }
   }
-  if (!summary.holders.empty()) {
+  if (!summary.endpoints.empty()) {
     out += fmt::format("holders, the last minute:\n  {:<30} {:>8} {:>13} {:>12} {:>8}\n", "holder", "sent",
                        "resent after", "given up for", "missing");
-    for (const Summary::Holder& one : summary.holders) {
+    for (const Summary::Holder& one : summary.endpoints) {
       out += fmt::format("  {:<30} {:>8} {:>13} {:>12} {:>8}\n", Escaped(one.name.id), one.sent,
                          one.resent_after, one.refused_for, one.missing);
     }
@@ -162,7 +162,7 @@
     out[section.name] = std::move(rows);
   }
   out["holders"] = Json::array();
-  for (const Summary::Holder& one : summary.holders) {
+  for (const Summary::Holder& one : summary.endpoints) {
     out["holders"].push_back({{"holder", Escaped(one.name.id)},
                               {"addr", Escaped(one.name.addr)},
                               {"sent", one.sent},
--- a/src/decision_log/explain.h
+++ b/src/decision_log/explain.h
@@ -13,17 +13,17 @@
 constexpr std::size_t kMostReply = 512 * 1024;  // bytes; queries beyond are left out and that is said
 
 // One query, in sentences or as an object.
-std::string TextOf(const Story& story);
-std::string JsonOf(const Story& story);
+std::string TextOf(const QueryTrace& trace);
+std::string JsonOf(const QueryTrace& trace);
 
 // The answer to a question, query by query, so that one at a time is held in memory. Never empty: where
 // nothing is kept, it says what is known. `filter` and `about` must outlive it.
-class Telling {
+class TraceRenderer {
  public:
-  Telling(const Filter& filter, const About& about, bool json);
+  TraceRenderer(const Filter& filter, const About& about, bool json);
 
   // False when the reply is full: this query and those after it are left out.
-  bool Add(const Story& story);
+  bool Add(const QueryTrace& trace);
   std::string Finish(const Found& found) &&;
 
  private:
@@ -43,7 +43,7 @@
 std::string Escaped(std::string_view text);
 // As 2026-12-01T09:30:00.000Z.
 std::string WallTime(std::int64_t us);
-bool MayHaveRun(routing::OutcomeCode code);
+bool MayHaveRun(routing::AttemptOutcome code);
 
 }  // namespace liftrudder::decision_log
 
--- a/src/decision_log/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 using Json = nlohmann::ordered_json;
-using routing::SendKind;
+using routing::DispatchKind;
 
 Json Number(double value) { return std::isfinite(value) ? Json(value) : Json(nullptr); }
 Json Milliseconds(std::int64_t us) { return Json(static_cast<double>(us) / 1000); }
 
-Json JsonOf(const std::vector<ConsideredStory>& considered) {
+Json JsonOf(const std::vector<CandidateTrace>& considered) {
   Json out = Json::array();
-  for (const ConsideredStory& one : considered) {
-    out.push_back({{"holder", Escaped(one.holder.id)},
+  for (const CandidateTrace& one : considered) {
+    out.push_back({{"holder", Escaped(one.endpoint.id)},
                    {"out", one.out},
                    {"standing", Name(one.standing)},
                    {"eligible", one.eligible}});
@@ -24,14 +24,14 @@
   return out;
 }
 
-Json JsonOf(const AttemptStory& one) {
+Json JsonOf(const AttemptTrace& one) {
   Json out = {{"attempt", one.number},
-              {"holder", Escaped(one.holder.id)},
-              {"addr", Escaped(one.holder.addr)},
+              {"holder", Escaped(one.endpoint.id)},
+              {"addr", Escaped(one.endpoint.addr)},
               {"at_ms", Milliseconds(one.at_us)},
               {"timeout_ms", Milliseconds(one.timeout_us)},
               {"why", Name(one.kind)}};
-  if (one.kind == SendKind::kResend) out["after"] = Name(one.after);
+  if (one.kind == DispatchKind::kRetry) out["after"] = Name(one.after);
   out["considered"] = JsonOf(one.considered);
   if (one.unlisted > 0) out["unlisted"] = one.unlisted;
   if (one.cancelled_us)
@@ -48,48 +48,48 @@
 
 }  // namespace
 
-std::string JsonOf(const Story& story) {
-  Json out = {{"id", Escaped(story.call_id)}, {"verdict", Name(story.verdict)}};
-  if (!story.label.empty()) out["label"] = Escaped(story.label);
-  if (story.id_cut) out["id_cut"] = true;
-  if (story.repeated) out["repeated"] = true;
-  if (story.events_cut) out["events_cut"] = true;
-  if (story.torn) out["torn"] = true;
-  out["front"] = Name(story.front);
-  out["class"] = Escaped(story.class_name);
-  out["arrived"] = WallTime(story.arrived_us);
-  out["arrived_us"] = story.arrived_us;
-  out["budget_ms"] = Milliseconds(story.budget_us);
-  bool door = story.door != Door::kNone;
-  out["reason"] = door ? Name(story.door) : Name(story.cause);
-  if (story.verdict != Verdict::kOpen) {
-    out["figure"] = Number(story.figure);
-    out["bound"] = Number(story.bound);
-    out["ended_ms"] = Milliseconds(story.ended_us);
+std::string JsonOf(const QueryTrace& trace) {
+  Json out = {{"id", Escaped(trace.call_id)}, {"verdict", Name(trace.verdict)}};
+  if (!trace.label.empty()) out["label"] = Escaped(trace.label);
+  if (trace.id_cut) out["id_cut"] = true;
+  if (trace.is_retry) out["repeated"] = true;
+  if (trace.events_cut) out["events_cut"] = true;
+  if (trace.torn) out["torn"] = true;
+  out["front"] = Name(trace.front);
+  out["class"] = Escaped(trace.class_name);
+  out["arrived"] = WallTime(trace.arrived_us);
+  out["arrived_us"] = trace.arrived_us;
+  out["budget_ms"] = Milliseconds(trace.budget_us);
+  bool intake = trace.intake != IntakeResult::kNone;
+  out["reason"] = intake ? Name(trace.intake) : Name(trace.cause);
+  if (trace.verdict != Verdict::kOpen) {
+    out["figure"] = Number(trace.figure);
+    out["bound"] = Number(trace.bound);
+    out["ended_ms"] = Milliseconds(trace.ended_us);
   }
-  if (story.blamed.number != 0) out["holder"] = Escaped(story.blamed.id);
-  if (story.retry_after_us > 0) out["retry_after_ms"] = Milliseconds(story.retry_after_us);
-  if (story.verdict == Verdict::kPartial || story.verdict == Verdict::kWhole) out["pieces"] = story.pieces;
-  out["parts_told"] = story.parts_told;
+  if (trace.blamed.number != 0) out["holder"] = Escaped(trace.blamed.id);
+  if (trace.retry_after_us > 0) out["retry_after_ms"] = Milliseconds(trace.retry_after_us);
+  if (trace.verdict == Verdict::kPartial || trace.verdict == Verdict::kComplete) out["pieces"] = trace.pieces;
+  out["parts_told"] = trace.parts_told;
   Json parts = Json::array();
-  for (const PartStory& part : story.parts) {
+  for (const ShardRequestTrace& part : trace.parts) {
     Json one = {{"shard", part.shard}, {"weight", Number(part.weight)}};
     if (part.work_us > 0) one["work_us"] = part.work_us;
     one["attempts"] = Json::array();
-    for (const AttemptStory& attempt : part.attempts) one["attempts"].push_back(JsonOf(attempt));
-    for (const HeldStory& held : part.held) {
-      Json why = {{"at_ms", Milliseconds(held.at_us)},
-                  {"why", Name(held.why)},
+    for (const AttemptTrace& attempt : part.attempts) one["attempts"].push_back(JsonOf(attempt));
+    for (const PendingTrace& held : part.held) {
+      Json reason = {{"at_ms", Milliseconds(held.at_us)},
+                  {"why", Name(held.reason)},
                   {"figure", Number(held.figure)},
                   {"bound", Number(held.bound)}};
-      if (!held.considered.empty()) why["considered"] = JsonOf(held.considered);
-      one["held"].push_back(std::move(why));
+      if (!held.considered.empty()) reason["considered"] = JsonOf(held.considered);
+      one["held"].push_back(std::move(reason));
     }
     parts.push_back(std::move(one));
   }
   out["parts"] = std::move(parts);
   out["given"] = Json::array();
-  for (const GivenStory& given : story.given) {
+  for (const ResponseTrace& given : trace.given) {
     out["given"].push_back({{"at_ms", Milliseconds(given.at_us)},
                             {"status", given.status},
                             {"bytes", given.bytes},
--- a/src/decision_log/explain_service.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -15,7 +15,7 @@
 namespace liftrudder::decision_log {
 namespace {
 
-constexpr std::size_t kMostStories = 500;
+constexpr std::size_t kMaxTraces = 500;
 constexpr double kReadsPerSecond = 2,
                  kReadBurst = 10;  // a reading of 50 queries as JSON takes some 15 ms of a core
 // Between pieces of a scan the core is left to others: a scan costs some 30 ms of pauses a MiB, and no query
@@ -59,7 +59,7 @@
     } else if (name == "class") {
       out.filter.class_name = value;
     } else if (name == "holder") {
-      out.filter.holder = value;
+      out.filter.endpoint = value;
     } else if (name == "verdict") {
       out.filter.verdict = VerdictOf(value);
       if (!out.filter.verdict)
@@ -67,7 +67,7 @@
             "verdict: '{}' is none of open, whole, partial, refused, failed, late, gone, turned_away",
             Escaped(value));
     } else if (name == "reason") {
-      if (!EndCauseOf(value) && !DoorOf(value))
+      if (!EndCauseOf(value) && !IntakeResultOf(value))
         return fmt::format("reason: '{}' is none that this program gives", Escaped(value));
       out.filter.reason = value;
     } else if (name == "since" || name == "until") {
@@ -78,8 +78,8 @@
       (name == "since" ? out.filter.from_us : out.filter.to_us) = *time;
     } else if (name == "limit") {
       auto limit = Real(value);
-      if (!limit || *limit < 1 || *limit > kMostStories || *limit != std::floor(*limit))
-        return fmt::format("limit: '{}' is no whole number from 1 to {}", Escaped(value), kMostStories);
+      if (!limit || *limit < 1 || *limit > kMaxTraces || *limit != std::floor(*limit))
+        return fmt::format("limit: '{}' is no whole number from 1 to {}", Escaped(value), kMaxTraces);
       out.filter.limit = static_cast<std::size_t>(*limit);
     } else if (name == "format") {
       if (value != "json" && value != "text")
@@ -107,18 +107,18 @@
     out.body = question.json ? JsonOf(summary, reader.about()) : TextOf(summary, reader.about());
     return out;
   }
-  Telling telling(question.filter, reader.about(), question.json);
-  Found found = reader.Find(question.filter, [&telling](const Story& story) { return telling.Add(story); });
+  TraceRenderer renderer(question.filter, reader.about(), question.json);
+  Found found = reader.Find(question.filter, [&renderer](const QueryTrace& trace) { return renderer.Add(trace); });
   if (question.filter.id && found.told == 0) out.status = 404;
-  out.body = std::move(telling).Finish(found);
+  out.body = std::move(renderer).Finish(found);
   return out;
 }
 
 }  // namespace
 
-Reply AnswerFrom(const Arena& arena, const Question& question) { return AnswerWith(Reader(arena), question); }
+Reply AnswerFrom(const RecordFile& record_file, const Question& question) { return AnswerWith(Reader(record_file), question); }
 
-Reply Desk::Ask(const Parameters& parameters) {
+Reply ExplainService::Ask(const Parameters& parameters) {
   Reply out;
   bool free = false;
   if (!busy_.compare_exchange_strong(free, true)) {
@@ -139,7 +139,7 @@
   if (const auto* wrong = std::get_if<std::string>(&question)) return {400, false, *wrong + "\n", 0};
   tokens_ -= 1;
   freshen_();
-  return AnswerWith(Reader(arena_, [] { std::this_thread::sleep_for(kPause); }),
+  return AnswerWith(Reader(record_file_, [] { std::this_thread::sleep_for(kPause); }),
                     std::get<Question>(question));
 }
 
--- a/src/decision_log/explain_service.h
+++ b/src/decision_log/explain_service.h
@@ -35,19 +35,19 @@
 };
 
 // The answer of a record that needs no bounds, such as a file.
-Reply AnswerFrom(const Arena& arena, const Question& question);
+Reply AnswerFrom(const RecordFile& record_file, const Question& question);
 
-class Desk {
+class ExplainService {
  public:
   // `freshen` has the writer make all readable that it knows; called before each reading, bounded in time by
   // whoever gives it. `now` is the program's clock.
-  Desk(const Arena& arena, std::function<void()> freshen, std::function<std::int64_t()> now)
-      : arena_(arena), freshen_(std::move(freshen)), now_(std::move(now)) {}
+  ExplainService(const RecordFile& record_file, std::function<void()> freshen, std::function<std::int64_t()> now)
+      : record_file_(record_file), freshen_(std::move(freshen)), now_(std::move(now)) {}
 
   Reply Ask(const Parameters& parameters);
 
  private:
-  const Arena& arena_;
+  const RecordFile& record_file_;
   std::function<void()> freshen_;
   std::function<std::int64_t()> now_;
   std::atomic<bool> busy_{false};
--- a/src/decision_log/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -28,16 +28,16 @@
 
 }  // namespace
 
-Reader::Reader(const Arena& arena, std::function<void()> pause)
-    : arena_(arena), pause_(std::move(pause)), about_(arena.ReadAbout()) {}
+Reader::Reader(const RecordFile& record_file, std::function<void()> pause)
+    : record_file_(record_file), pause_(std::move(pause)), about_(record_file.ReadAbout()) {}
 
-HolderName Reader::Holder(std::uint32_t number) const {
-  const Layout& layout = arena_.layout();
-  std::array<std::uint64_t, kHolderWords> words;
-  HolderName out{number, "#" + std::to_string(number), ""};
+EndpointName Reader::Holder(std::uint32_t number) const {
+  const Layout& layout = record_file_.layout();
+  std::array<std::uint64_t, kEndpointWords> words;
+  EndpointName out{number, "#" + std::to_string(number), ""};
   if (number == 0) return {0, "", ""};
-  auto cell = arena_.ReadCell(layout.holder_at + number % layout.holders * kHolderWords, words);
-  if (cell != Arena::Cell::kGood || Low(words[1]) != number) return out;
+  auto cell = record_file_.ReadCell(layout.endpoint_at + number % layout.endpoints * kEndpointWords, words);
+  if (cell != RecordFile::Cell::kGood || Low(words[1]) != number) return out;
   out.id = Text(words.data() + 2, std::min<std::size_t>(Byte(words[1], 4), 72));
   out.addr = Text(words.data() + 11, std::min<std::size_t>(Byte(words[1], 5), 40));
   return out;
@@ -45,7 +45,7 @@
 
 // Where the filter is decided by a query's first block, or can be ruled out there, the others are not read.
 std::vector<Reader::Head> Reader::Heads(const Filter& filter, Found& found) const {
-  const Layout& layout = arena_.layout();
+  const Layout& layout = record_file_.layout();
   std::vector<Head> heads;
   std::array<std::uint64_t, kBlockWords> words;
   std::uint64_t id_hash = filter.id ? HashId(*filter.id) : 0,
@@ -54,22 +54,22 @@
     if (pause_ && block % kPauseEvery == kPauseEvery - 1) pause_();
     std::size_t at = layout.block_at + block * kBlockWords;
     // A glance at the unguarded words first: most blocks are not heads, or not of interest.
-    std::uint64_t use = arena_.Load(at + 1), link = arena_.Load(at + 2);
+    std::uint64_t use = record_file_.Load(at + 1), link = record_file_.Load(at + 2);
     if (Low(use) == 0 || (use >> 32 & 0xffff) != 0) continue;
     if (filter.verdict && Byte(link, 4) != static_cast<std::uint8_t>(*filter.verdict)) continue;
     auto named = [&](std::size_t word) {
-      std::uint64_t hash = arena_.Load(at + kBlockHeadWords + word);
+      std::uint64_t hash = record_file_.Load(at + kBlockHeadWords + word);
       return hash == id_hash || hash == label_hash;
     };
     if (filter.id && !named(3) && !named(4)) continue;
-    switch (arena_.ReadCell(at, words)) {
-      case Arena::Cell::kBusy:
+    switch (record_file_.ReadCell(at, words)) {
+      case RecordFile::Cell::kBusy:
         ++found.busy;
         continue;
-      case Arena::Cell::kTorn:
-        found.torn += Low(arena_.Load(at + 1)) != 0 ? 1 : 0;
+      case RecordFile::Cell::kTorn:
+        found.torn += Low(record_file_.Load(at + 1)) != 0 ? 1 : 0;
         continue;
-      case Arena::Cell::kGood:
+      case RecordFile::Cell::kGood:
         break;
     }
     if (Low(words[1]) != 0 && (words[1] >> 32 & 0xffff) == 0)
@@ -81,78 +81,78 @@
   return heads;
 }
 
-std::optional<Story> Reader::Read(Head head, Found& found) const {
-  const Layout& layout = arena_.layout();
-  Story story;
-  story.serial = head.serial;
+std::optional<QueryTrace> Reader::Read(Head head, Found& found) const {
+  const Layout& layout = record_file_.layout();
+  QueryTrace trace;
+  trace.serial = head.serial;
   std::array<std::uint64_t, kBlockWords> words;
   std::uint32_t block = head.block;
   for (std::size_t index = 0; block != kNoBlock && index < kMostChain; ++index) {
-    auto cell = block < layout.blocks ? arena_.ReadCell(layout.block_at + block * kBlockWords, words)
-                                      : Arena::Cell::kTorn;
-    bool good = cell == Arena::Cell::kGood;
+    auto cell = block < layout.blocks ? record_file_.ReadCell(layout.block_at + block * kBlockWords, words)
+                                      : RecordFile::Cell::kTorn;
+    bool good = cell == RecordFile::Cell::kGood;
     // Nobody's any more: it was let go of while it was read, which is no damage.
-    bool freed = block < layout.blocks && Low(arena_.Load(layout.block_at + block * kBlockWords + 1)) == 0;
-    found.busy += cell == Arena::Cell::kBusy ? 1 : 0;
-    found.torn += cell == Arena::Cell::kTorn && !freed ? 1 : 0;
+    bool freed = block < layout.blocks && Low(record_file_.Load(layout.block_at + block * kBlockWords + 1)) == 0;
+    found.busy += cell == RecordFile::Cell::kBusy ? 1 : 0;
+    found.torn += cell == RecordFile::Cell::kTorn && !freed ? 1 : 0;
     // Let go of while it was read: the block is another's now. Of the head, the whole query is gone then.
     bool its = good && Low(words[1]) == head.serial && (words[1] >> 32 & 0xffff) == (index & 0xffff);
     if (!its && index == 0) return std::nullopt;
     if (!its) {
-      story.torn = true;
+      trace.torn = true;
       break;
     }
     if (index == 0) {
       std::uint8_t flags = Byte(words[2], 6);
-      story.verdict = static_cast<Verdict>(Byte(words[2], 4));
-      story.events_cut = (flags & kFlagCut) != 0;
-      story.id_cut = (flags & kFlagIdCut) != 0;
-      story.repeated = (flags & kFlagRepeated) != 0;
+      trace.verdict = static_cast<Verdict>(Byte(words[2], 4));
+      trace.events_cut = (flags & kFlagCut) != 0;
+      trace.id_cut = (flags & kFlagIdCut) != 0;
+      trace.is_retry = (flags & kFlagRepeated) != 0;
     }
     std::size_t used = std::min<std::size_t>(words[1] >> 48, kBlockWords - kBlockHeadWords);
-    if (!Decode(words.data() + kBlockHeadWords, used, story)) {
+    if (!Decode(words.data() + kBlockHeadWords, used, trace)) {
       ++found.torn;
-      story.torn = true;
+      trace.torn = true;
     }
     block = Low(words[2]);
   }
-  story.class_name = static_cast<std::size_t>(story.class_index) < about_.classes.size()
-                         ? about_.classes[static_cast<std::size_t>(story.class_index)]
+  trace.class_name = static_cast<std::size_t>(trace.class_index) < about_.classes.size()
+                         ? about_.classes[static_cast<std::size_t>(trace.class_index)]
                          : "";
-  return story;
+  return trace;
 }
 
-std::vector<ConsideredStory> Reader::Choice(const std::uint64_t* words, std::size_t count) const {
-  std::vector<ConsideredStory> out;
+std::vector<CandidateTrace> Reader::Choice(const std::uint64_t* words, std::size_t count) const {
+  std::vector<CandidateTrace> out;
   for (std::size_t i = 0; i < count; ++i) {
     std::uint32_t high = High(words[i]);
     out.push_back({Holder(Low(words[i])), static_cast<int>(high & 0xffff),
-                   static_cast<routing::Standing>(high >> 16 & 0xff), (high >> 24) != 0});
+                   static_cast<routing::Eligibility>(high >> 16 & 0xff), (high >> 24) != 0});
   }
   return out;
 }
 
 // False when a block's words are no events.
-bool Reader::Decode(const std::uint64_t* words, std::size_t count, Story& story) const {
+bool Reader::Decode(const std::uint64_t* words, std::size_t count, QueryTrace& trace) const {
   for (std::size_t at = 0; at < count;) {
     const std::uint64_t* event = words + at;
     auto kind = static_cast<EventKind>(Byte(event[0], 0));
     std::size_t size = Byte(event[0], 1);
     std::uint32_t operand = event[0] >> 16 & 0xffff, time = High(event[0]);
     static constexpr std::size_t kLeast[] = {1, 5, 2, 3, 2, 2, 3, 4, 2, 5};
-    if (kind == EventKind::kNone || kind > EventKind::kDoor ||
+    if (kind == EventKind::kNone || kind > EventKind::kIntake ||
         size < kLeast[static_cast<std::size_t>(kind)] || at + size > count)
       return false;
     at += size;
     bool of_part = kind == EventKind::kPart || kind == EventKind::kSend || kind == EventKind::kEnd ||
                    kind == EventKind::kCancel || kind == EventKind::kHeld;
     if (of_part && operand >= kMostParts) return false;
-    auto part = [&]() -> PartStory* {
-      if (operand >= story.parts.size()) story.parts.resize(operand + 1);
-      return &story.parts[operand];
+    auto part = [&]() -> ShardRequestTrace* {
+      if (operand >= trace.parts.size()) trace.parts.resize(operand + 1);
+      return &trace.parts[operand];
     };
-    auto attempt = [&](std::uint8_t number) -> AttemptStory* {
-      for (AttemptStory& one : part()->attempts) {
+    auto attempt = [&](std::uint8_t number) -> AttemptTrace* {
+      for (AttemptTrace& one : part()->attempts) {
         if (one.number == number) return &one;
       }
       return nullptr;
@@ -162,15 +162,15 @@
         std::size_t id = operand & 0xff, label = operand >> 8;
         std::size_t id_words = (id + 7) / 8;
         if (5 + id_words + (label + 7) / 8 > size) return false;
-        story.arrived_us = static_cast<std::int64_t>(event[1]);
-        story.budget_us = Low(event[2]);
-        story.parts_told = static_cast<int>(High(event[2]) & 0xffff);
-        story.class_index = Byte(event[2], 6);
-        story.front = static_cast<FrontKind>(Byte(event[2], 7));
-        story.id_hash = event[3];
-        story.label_hash = event[4];
-        story.call_id = Text(event + 5, id);
-        story.label = Text(event + 5 + id_words, label);
+        trace.arrived_us = static_cast<std::int64_t>(event[1]);
+        trace.budget_us = Low(event[2]);
+        trace.parts_told = static_cast<int>(High(event[2]) & 0xffff);
+        trace.class_index = Byte(event[2], 6);
+        trace.front = static_cast<FrontKind>(Byte(event[2], 7));
+        trace.id_hash = event[3];
+        trace.label_hash = event[4];
+        trace.call_id = Text(event + 5, id);
+        trace.label = Text(event + 5 + id_words, label);
         break;
       }
       case EventKind::kPart:
@@ -179,12 +179,12 @@
         part()->work_us = High(event[1]);
         break;
       case EventKind::kSend: {
-        AttemptStory sent;
+        AttemptTrace sent;
         std::uint32_t how = High(event[1]);
         sent.number = static_cast<int>(how & 0xff);
-        sent.kind = static_cast<routing::SendKind>(how >> 8 & 0xff);
-        sent.after = static_cast<routing::OutcomeCode>(how >> 16 & 0xff);
-        sent.holder = Holder(Low(event[1]));
+        sent.kind = static_cast<routing::DispatchKind>(how >> 8 & 0xff);
+        sent.after = static_cast<routing::AttemptOutcome>(how >> 16 & 0xff);
+        sent.endpoint = Holder(Low(event[1]));
         sent.at_us = time;
         sent.timeout_us = Low(event[2]);
         sent.unlisted = static_cast<int>(High(event[2]));
@@ -193,49 +193,49 @@
         break;
       }
       case EventKind::kEnd:
-        if (AttemptStory* one = attempt(Byte(event[1], 0))) {
+        if (AttemptTrace* one = attempt(Byte(event[1], 0))) {
           one->ended_us = time;
-          one->outcome = static_cast<routing::OutcomeCode>(Byte(event[1], 1));
+          one->outcome = static_cast<routing::AttemptOutcome>(Byte(event[1], 1));
           one->progress = static_cast<Progress>(Byte(event[1], 2));
           one->cause = static_cast<Cause>(Byte(event[1], 3));
         }
         break;
       case EventKind::kCancel:
-        if (AttemptStory* one = attempt(Byte(event[1], 0))) {
+        if (AttemptTrace* one = attempt(Byte(event[1], 0))) {
           one->cancelled_us = time;
-          one->cancel_why = static_cast<routing::CancelWhy>(Byte(event[1], 1));
+          one->cancel_why = static_cast<routing::CancelReason>(Byte(event[1], 1));
         }
         break;
       case EventKind::kHeld:
-        part()->held.push_back({time, static_cast<routing::HeldWhy>(Byte(event[2], 0)), Real(Low(event[1])),
+        part()->held.push_back({time, static_cast<routing::PendingReason>(Byte(event[2], 0)), Real(Low(event[1])),
                                 Real(High(event[1])),
                                 Choice(event + 3, std::min<std::size_t>(Byte(event[2], 4), size - 3))});
         break;
       case EventKind::kFinal:
-        story.verdict = static_cast<Verdict>(operand & 0xff);
-        story.cause = static_cast<routing::EndCause>(operand >> 8);
-        story.ended_us = time;
-        story.figure = Real(Low(event[1]));
-        story.bound = Real(High(event[1]));
-        story.blamed = Holder(Low(event[2]));
-        story.retry_after_us = High(event[2]);
-        story.pieces = static_cast<int>(Low(event[3]));
-        story.door = static_cast<Door>(Byte(event[3], 4));
+        trace.verdict = static_cast<Verdict>(operand & 0xff);
+        trace.cause = static_cast<routing::CompletionCause>(operand >> 8);
+        trace.ended_us = time;
+        trace.figure = Real(Low(event[1]));
+        trace.bound = Real(High(event[1]));
+        trace.blamed = Holder(Low(event[2]));
+        trace.retry_after_us = High(event[2]);
+        trace.pieces = static_cast<int>(Low(event[3]));
+        trace.intake = static_cast<IntakeResult>(Byte(event[3], 4));
         break;
       case EventKind::kGiven:
-        story.given.push_back({time, static_cast<int>(operand), Low(event[1]), High(event[1]) != 0});
+        trace.given.push_back({time, static_cast<int>(operand), Low(event[1]), High(event[1]) != 0});
         break;
-      case EventKind::kDoor:
-        story.arrived_us = static_cast<std::int64_t>(event[1]);
-        story.given.push_back({0, static_cast<int>(Low(event[2])), 0, true});
-        story.parts_told = static_cast<int>(High(event[2]) & 0xffff);
-        story.class_index = Byte(event[2], 6);
-        story.front = static_cast<FrontKind>(Byte(event[2], 7));
-        story.id_hash = event[3];
-        story.figure = Real(Low(event[4]));
-        story.bound = Real(High(event[4]));
-        story.door = static_cast<Door>(operand >> 8);
-        story.call_id = Text(event + 5, std::min<std::size_t>(operand & 0xff, (size - 5) * 8));
+      case EventKind::kIntake:
+        trace.arrived_us = static_cast<std::int64_t>(event[1]);
+        trace.given.push_back({0, static_cast<int>(Low(event[2])), 0, true});
+        trace.parts_told = static_cast<int>(High(event[2]) & 0xffff);
+        trace.class_index = Byte(event[2], 6);
+        trace.front = static_cast<FrontKind>(Byte(event[2], 7));
+        trace.id_hash = event[3];
+        trace.figure = Real(Low(event[4]));
+        trace.bound = Real(High(event[4]));
+        trace.intake = static_cast<IntakeResult>(operand >> 8);
+        trace.call_id = Text(event + 5, std::min<std::size_t>(operand & 0xff, (size - 5) * 8));
         break;
       case EventKind::kNone:
         break;
@@ -244,30 +244,30 @@
   return true;
 }
 
-bool Reader::Matches(const Story& story, const Filter& filter) const {
-  if (filter.verdict && story.verdict != *filter.verdict) return false;
-  if (filter.class_name && story.class_name != *filter.class_name) return false;
-  if (filter.from_us && story.arrived_us < *filter.from_us) return false;
-  if (filter.to_us && story.arrived_us > *filter.to_us) return false;
+bool Reader::Matches(const QueryTrace& trace, const Filter& filter) const {
+  if (filter.verdict && trace.verdict != *filter.verdict) return false;
+  if (filter.class_name && trace.class_name != *filter.class_name) return false;
+  if (filter.from_us && trace.arrived_us < *filter.from_us) return false;
+  if (filter.to_us && trace.arrived_us > *filter.to_us) return false;
   if (filter.reason) {
-    bool ends = story.verdict != Verdict::kTurnedAway && *filter.reason == Name(story.cause);
-    if (!ends && (story.door == Door::kNone || *filter.reason != Name(story.door))) return false;
+    bool ends = trace.verdict != Verdict::kRejected && *filter.reason == Name(trace.cause);
+    if (!ends && (trace.intake == IntakeResult::kNone || *filter.reason != Name(trace.intake))) return false;
   }
   if (filter.id) {
     std::uint64_t hash = HashId(*filter.id), label = HashLabel(*filter.id);
-    bool labelled = !story.label.empty() && story.label_hash == label;
+    bool labelled = !trace.label.empty() && trace.label_hash == label;
     // An id that was kept whole is compared itself; a door's may be a label that its front had cut.
-    bool named = (story.id_hash == hash && (story.id_cut || story.call_id == *filter.id)) ||
-                 (story.verdict == Verdict::kTurnedAway && story.id_hash == label);
+    bool named = (trace.id_hash == hash && (trace.id_cut || trace.call_id == *filter.id)) ||
+                 (trace.verdict == Verdict::kRejected && trace.id_hash == label);
     if (!labelled && !named) return false;
   }
-  if (filter.holder) {
-    auto here = [&](const HolderName& name) {
-      return name.id == *filter.holder || name.addr == *filter.holder;
+  if (filter.endpoint) {
+    auto here = [&](const EndpointName& name) {
+      return name.id == *filter.endpoint || name.addr == *filter.endpoint;
     };
-    bool any = here(story.blamed);
-    for (const PartStory& part : story.parts) {
-      for (const AttemptStory& one : part.attempts) any = any || here(one.holder);
+    bool any = here(trace.blamed);
+    for (const ShardRequestTrace& part : trace.parts) {
+      for (const AttemptTrace& one : part.attempts) any = any || here(one.endpoint);
     }
     if (!any) return false;
   }
@@ -275,38 +275,38 @@
 }
 
 void Reader::Sight(const std::string& id, Found& found) const {
-  const Layout& layout = arena_.layout();
+  const Layout& layout = record_file_.layout();
   std::uint64_t hash = HashId(id), label = HashLabel(id);
   std::uint32_t oldest = 0xffffffff;
   bool full = true;
   for (std::size_t i = 0; i < layout.seen; ++i) {
-    std::uint64_t first = arena_.Load(layout.seen_at + 2 * i),
-                  second = arena_.Load(layout.seen_at + 2 * i + 1);
+    std::uint64_t first = record_file_.Load(layout.seen_at + 2 * i),
+                  second = record_file_.Load(layout.seen_at + 2 * i + 1);
     if (second == 0) {
       full = full && first != 0;
       continue;
     }
     oldest = std::min(oldest, Low(second));
     if ((first != hash && first != label) || (second >> 56) != (first & 0xff)) continue;
-    found.sightings.push_back(
+    found.occurrences.push_back(
         {Low(second), static_cast<Verdict>(Byte(second, 4)), Byte(second, 5), Byte(second, 6)});
   }
-  found.sightings_from = full && oldest != 0xffffffff ? oldest : 0;
-  std::ranges::sort(found.sightings, {}, &Sighting::second);
-  std::size_t many = found.sightings.size();
-  if (many > kMostSightings)
-    found.sightings.erase(found.sightings.begin(), found.sightings.end() - kMostSightings);
+  found.occurrences_from = full && oldest != 0xffffffff ? oldest : 0;
+  std::ranges::sort(found.occurrences, {}, &QueryOccurrence::second);
+  std::size_t many = found.occurrences.size();
+  if (many > kMaxOccurrences)
+    found.occurrences.erase(found.occurrences.begin(), found.occurrences.end() - kMaxOccurrences);
 }
 
-Found Reader::Find(const Filter& filter, const std::function<bool(const Story&)>& each) const {
+Found Reader::Find(const Filter& filter, const std::function<bool(const QueryTrace&)>& each) const {
   Found found;
   std::vector<Head> heads = Heads(filter, found);
   std::size_t read = 0;
   for (const Head& head : heads) {
     if (pause_ && ++read % (kPauseEvery / 4) == 0) pause_();
-    auto story = Read(head, found);
-    if (!story || !Matches(*story, filter)) continue;
-    if (found.told >= filter.limit || !each(*story)) {
+    auto trace = Read(head, found);
+    if (!trace || !Matches(*trace, filter)) continue;
+    if (found.told >= filter.limit || !each(*trace)) {
       found.more = true;
       break;
     }
@@ -317,21 +317,21 @@
 }
 
 Summary Reader::Summarize() const {
-  const Layout& layout = arena_.layout();
+  const Layout& layout = record_file_.layout();
   Summary out;
   out.bytes = layout.bytes;
   out.blocks = layout.blocks;
   for (std::size_t block = 0; block < layout.blocks; ++block)
-    out.blocks_used += Low(arena_.Load(layout.block_at + block * kBlockWords + 1)) != 0 ? 1 : 0;
+    out.blocks_used += Low(record_file_.Load(layout.block_at + block * kBlockWords + 1)) != 0 ? 1 : 0;
   out.totals.resize(kTallies);
   out.last_minute.resize(kTallies);
-  for (std::size_t kind = 0; kind < kTallies; ++kind) out.totals[kind] = arena_.Load(layout.total_at + kind);
+  for (std::size_t kind = 0; kind < kTallies; ++kind) out.totals[kind] = record_file_.Load(layout.total_at + kind);
   for (std::size_t i = 0; i < kSeconds * kTallies; ++i)
-    out.now_s = std::max<std::int64_t>(out.now_s, High(arena_.Load(layout.tally_at + i)));
+    out.now_s = std::max<std::int64_t>(out.now_s, High(record_file_.Load(layout.tally_at + i)));
   std::map<std::int64_t, std::uint64_t> dropped;
   for (std::size_t second = 0; second < kSeconds; ++second) {
     for (std::size_t kind = 0; kind < kTallies; ++kind) {
-      std::uint64_t word = arena_.Load(layout.tally_at + second * kTallies + kind);
+      std::uint64_t word = record_file_.Load(layout.tally_at + second * kTallies + kind);
       if (word == 0 || High(word) + 60 <= out.now_s) continue;
       out.last_minute[kind] += Low(word);
       if (kind >= kTallyDropped && kind < kTallyClose) dropped[High(word)] += Low(word);
@@ -339,25 +339,25 @@
   }
   out.dropped.assign(dropped.begin(), dropped.end());
   std::int64_t bucket = out.now_s / kBucketSeconds;
-  std::array<std::uint64_t, kHolderWords> words;
-  for (std::size_t slot = 0; slot < layout.holders; ++slot) {
-    if (arena_.ReadCell(layout.holder_at + slot * kHolderWords, words) != Arena::Cell::kGood ||
+  std::array<std::uint64_t, kEndpointWords> words;
+  for (std::size_t slot = 0; slot < layout.endpoints; ++slot) {
+    if (record_file_.ReadCell(layout.endpoint_at + slot * kEndpointWords, words) != RecordFile::Cell::kGood ||
         Low(words[1]) == 0)
       continue;
-    Summary::Holder holder;
-    holder.name = Holder(Low(words[1]));
-    std::uint64_t* counts[] = {&holder.sent, &holder.resent_after, &holder.refused_for, &holder.missing};
-    for (std::size_t i = 0; i < kHolderTallies; ++i) {
-      std::uint64_t word = arena_.Load(layout.holder_tally_at + slot * kHolderTallies + i);
+    Summary::Holder endpoint;
+    endpoint.name = Holder(Low(words[1]));
+    std::uint64_t* counts[] = {&endpoint.sent, &endpoint.resent_after, &endpoint.refused_for, &endpoint.missing};
+    for (std::size_t i = 0; i < kEndpointCounts; ++i) {
+      std::uint64_t word = record_file_.Load(layout.endpoint_count_at + slot * kEndpointCounts + i);
       // The bucket's number is kept short: it comes round again after six days.
       auto age = static_cast<std::uint16_t>(static_cast<std::uint64_t>(bucket) - (word >> 48));
-      if (word == 0 || age >= kHolderTallies) continue;
+      if (word == 0 || age >= kEndpointCounts) continue;
       for (int kind = 0; kind < 4; ++kind) *counts[kind] += word >> kind * kTallyBits & kMostTally;
     }
-    if (holder.sent + holder.resent_after + holder.refused_for + holder.missing > 0)
-      out.holders.push_back(std::move(holder));
+    if (endpoint.sent + endpoint.resent_after + endpoint.refused_for + endpoint.missing > 0)
+      out.endpoints.push_back(std::move(endpoint));
   }
-  std::ranges::sort(out.holders, [](const auto& a, const auto& b) {
+  std::ranges::sort(out.endpoints, [](const auto& a, const auto& b) {
     return a.resent_after + a.refused_for + a.missing > b.resent_after + b.refused_for + b.missing;
   });
   return out;
--- a/src/decision_log/record_file.cpp
+++ b/src/decision_log/record_file.cpp
@@ -21,7 +21,7 @@
 constexpr int kTurns = 4;                                // tries at a cell that is being written
 
 // The head's words: magic, version and block size, size of the whole, start, name, classes, checksum.
-constexpr std::size_t kHeadStart = 3, kHeadName = 4, kNameBytes = 64, kHeadClasses = 16;
+constexpr std::size_t kCanary = 3, kHeadName = 4, kNameBytes = 64, kHeadClasses = 16;
 constexpr std::size_t kHeadUsed = kHeadClasses + kMostClasses * kClassName / 8;
 constexpr std::size_t kHeadSum = kHeaderBytes / 8 - 1;
 
@@ -47,12 +47,12 @@
 Layout Layout::Of(std::size_t bytes) {
   Layout out;
   out.bytes = std::clamp(bytes, kLeastBytes, kMostBytes) / kPage * kPage;
-  out.holders = kHolders;
+  out.endpoints = kMaxEndpoints;
   out.seen = out.bytes / 8 / 16;
   std::size_t at = kHeaderBytes / 8;
   auto take = [&at](std::size_t words) { return std::exchange(at, at + words); };
-  out.holder_at = take(out.holders * kHolderWords);
-  out.holder_tally_at = take(out.holders * kHolderTallies);
+  out.endpoint_at = take(out.endpoints * kEndpointWords);
+  out.endpoint_count_at = take(out.endpoints * kEndpointCounts);
   out.total_at = take(kTallies);
   out.tally_at = take(kSeconds * kTallies);
   out.seen_at = take(out.seen * 2);
@@ -61,18 +61,18 @@
   return out;
 }
 
-Arena Arena::InMemory(std::size_t bytes, const About& about) {
+RecordFile RecordFile::InMemory(std::size_t bytes, const About& about) {
   Layout layout = Layout::Of(bytes);
   void* memory = ::mmap(nullptr, layout.bytes, PROT_READ | PROT_WRITE,
                         MAP_PRIVATE | MAP_ANONYMOUS | MAP_POPULATE, -1, 0);
   if (memory == MAP_FAILED)
     throw std::runtime_error("record: no memory for " + std::to_string(layout.bytes) + " bytes");
-  Arena arena(static_cast<std::uint64_t*>(memory), layout, false);
-  arena.WriteHead(about);
-  return arena;
+  RecordFile record_file(static_cast<std::uint64_t*>(memory), layout, false);
+  record_file.WriteHead(about);
+  return record_file;
 }
 
-Arena Arena::InFile(const std::string& path, std::size_t bytes, const About& about) {
+RecordFile RecordFile::InFile(const std::string& path, std::size_t bytes, const About& about) {
   Layout layout = Layout::Of(bytes);
   std::string old = path + ".old";
   if (::rename(path.c_str(), old.c_str()) != 0 && errno != ENOENT)
@@ -86,12 +86,12 @@
   }
   void* memory = ::mmap(nullptr, layout.bytes, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_POPULATE, file.fd, 0);
   if (memory == MAP_FAILED) Bad(path, std::string("cannot be mapped: ") + std::strerror(errno));
-  Arena arena(static_cast<std::uint64_t*>(memory), layout, true);
-  arena.WriteHead(about);
-  return arena;
+  RecordFile record_file(static_cast<std::uint64_t*>(memory), layout, true);
+  record_file.WriteHead(about);
+  return record_file;
 }
 
-Arena Arena::Open(const std::string& path) {
+RecordFile RecordFile::Open(const std::string& path) {
   Descriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC)};
   if (file.fd < 0) Bad(path, std::string("cannot be opened: ") + std::strerror(errno));
   struct stat about {};
@@ -105,7 +105,7 @@
   if (memory == MAP_FAILED) Bad(path, "no memory to read it");
   Layout whole;
   whole.bytes = size;
-  Arena held(static_cast<std::uint64_t*>(memory), whole, true);
+  RecordFile held(static_cast<std::uint64_t*>(memory), whole, true);
   for (std::size_t got = 0; got < size;) {
     ssize_t more = ::pread(file.fd, static_cast<char*>(memory) + got, size - got, static_cast<off_t>(got));
     if (more <= 0) Bad(path, "cut short while it was read, at byte " + std::to_string(got));
@@ -128,18 +128,18 @@
   return held;
 }
 
-Arena::Arena(Arena&& other) noexcept
+RecordFile::RecordFile(RecordFile&& other) noexcept
     : words_(std::exchange(other.words_, nullptr)), layout_(other.layout_), summed_(other.summed_) {}
 
-Arena::~Arena() {
+RecordFile::~RecordFile() {
   if (words_ != nullptr) ::munmap(words_, layout_.bytes);
 }
 
-void Arena::WriteHead(const About& about) {
+void RecordFile::WriteHead(const About& about) {
   char* bytes = reinterpret_cast<char*>(words_);
   words_[1] = std::uint64_t{kBlockWords * 8} << 32 | kFormatVersion;
   words_[2] = layout_.bytes;
-  words_[kHeadStart] = static_cast<std::uint64_t>(about.started_us);
+  words_[kCanary] = static_cast<std::uint64_t>(about.started_us);
   std::memcpy(bytes + kHeadName * 8, about.name.data(), std::min(about.name.size(), kNameBytes - 1));
   for (std::size_t i = 0; i < std::min(about.classes.size(), kMostClasses); ++i) {
     std::memcpy(bytes + kHeadClasses * 8 + i * kClassName, about.classes[i].data(),
@@ -149,10 +149,10 @@
   words_[kHeadSum] = Sum(words_, kHeadUsed);
 }
 
-About Arena::ReadAbout() const {
+About RecordFile::ReadAbout() const {
   const char* bytes = reinterpret_cast<const char*>(words_);
   About out;
-  out.started_us = static_cast<std::int64_t>(words_[kHeadStart]);
+  out.started_us = static_cast<std::int64_t>(words_[kCanary]);
   out.name = Cut(bytes + kHeadName * 8, kNameBytes);
   for (std::size_t i = 0; i < kMostClasses; ++i) {
     std::string name = Cut(bytes + kHeadClasses * 8 + i * kClassName, kClassName);
@@ -162,19 +162,19 @@
   return out;
 }
 
-void Arena::BeginCell(std::size_t at) {
+void RecordFile::BeginCell(std::size_t at) {
   // The release of each word that follows keeps it behind this one for whoever acquires it.
   Store(at, (Load(at) & 0xffffffff) | 1);
 }
 
-void Arena::EndCell(std::size_t at, std::size_t words) {
+void RecordFile::EndCell(std::size_t at, std::size_t words) {
   std::uint64_t sequence = (Load(at) & 0xffffffff) + 1;
   // Only the writer writes, so it may read its own words plainly.
   std::uint64_t sum = summed_ ? Sum(words_ + at + 1, words - 1) : 0;
   Store(at, sum << 32 | (sequence & 0xffffffff));
 }
 
-Arena::Cell Arena::ReadCell(std::size_t at, std::span<std::uint64_t> out) const {
+RecordFile::Cell RecordFile::ReadCell(std::size_t at, std::span<std::uint64_t> out) const {
   for (int turn = 0; turn < kTurns; ++turn) {
     std::uint64_t before = Load(at);
     if ((before & 1) != 0) continue;
--- a/src/decision_log/record_file.h
+++ b/src/decision_log/record_file.h
@@ -19,11 +19,11 @@
 constexpr std::size_t kHeaderBytes = 4096;
 constexpr std::size_t kBlockWords = 32;     // 256 bytes
 constexpr std::size_t kBlockHeadWords = 3;  // of them: sequence and checksum; entry and use; next and verdict
-constexpr std::size_t kHolderWords = 16;    // a holder's name and address
-constexpr std::size_t kHolders = 1024;      // of whom names and tallies are kept at a time
+constexpr std::size_t kEndpointWords = 16;    // a holder's name and address
+constexpr std::size_t kMaxEndpoints = 1024;      // of whom names and tallies are kept at a time
 // A word for each of eight buckets of kBucketSeconds: the bucket's number, and 12 bits for each of four
 // kinds.
-constexpr std::size_t kHolderTallies = 8;
+constexpr std::size_t kEndpointCounts = 8;
 constexpr int kTallyBits = 12;
 constexpr std::uint64_t kMostTally = (1u << kTallyBits) - 1;  // it counts no further
 constexpr std::size_t kSeconds = 64;                          // of which counts are kept second by second
@@ -37,8 +37,8 @@
 // Where everything lies. All counts follow from the size alone, so a reader can check them.
 struct Layout {
   std::size_t bytes = 0;  // of the whole, a multiple of 4,096
-  std::size_t holders = 0, seen = 0, blocks = 0;
-  std::size_t holder_at = 0, holder_tally_at = 0, tally_at = 0, total_at = 0, seen_at = 0,
+  std::size_t endpoints = 0, seen = 0, blocks = 0;
+  std::size_t endpoint_at = 0, endpoint_count_at = 0, tally_at = 0, total_at = 0, seen_at = 0,
               block_at = 0;  // words
 
   // `bytes` from kLeastBytes to kMostBytes; it is rounded down to whole pages.
@@ -52,21 +52,21 @@
   std::vector<std::string> classes;  // at most kMostClasses, cut at 31 bytes
 };
 
-class Arena {
+class RecordFile {
  public:
   // Claimed and touched now, so that no page is missing later. Throws std::runtime_error when it cannot be
   // had.
-  static Arena InMemory(std::size_t bytes, const About& about);
+  static RecordFile InMemory(std::size_t bytes, const About& about);
   // The same in a file, whose room on the disk is claimed too. A file that is there already is kept as
   // PATH.old, as a kill may just have left it. Throws std::runtime_error naming the file and what failed.
-  static Arena InFile(const std::string& path, std::size_t bytes, const About& about);
+  static RecordFile InFile(const std::string& path, std::size_t bytes, const About& about);
   // To read what is there, of a running program or a dead one. Throws std::runtime_error saying what is wrong
   // with the file: not a record, another version, cut short, a head that does not fit its checksum.
-  static Arena Open(const std::string& path);
+  static RecordFile Open(const std::string& path);
 
-  Arena(Arena&& other) noexcept;
-  Arena& operator=(Arena&& other) = delete;
-  ~Arena();
+  RecordFile(RecordFile&& other) noexcept;
+  RecordFile& operator=(RecordFile&& other) = delete;
+  ~RecordFile();
 
   const Layout& layout() const { return layout_; }
   About ReadAbout() const;
@@ -87,7 +87,7 @@
   Cell ReadCell(std::size_t at, std::span<std::uint64_t> out) const;
 
  private:
-  Arena(std::uint64_t* words, const Layout& layout, bool summed)
+  RecordFile(std::uint64_t* words, const Layout& layout, bool summed)
       : words_(words), layout_(layout), summed_(summed) {}
   void WriteHead(const About& about);
 
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -10,14 +10,14 @@
 namespace liftrudder::decision_log {
 namespace {
 
-constexpr std::size_t kMailSize = 256;    // notes
-constexpr int kMailWake = kMailSize / 2;  // from here on the core is woken for them
+constexpr std::size_t kQueueSize = 256;    // notes
+constexpr int kMailWake = kQueueSize / 2;  // from here on the core is woken for them
 constexpr std::size_t kLabelBytes = 48;
 constexpr std::uint32_t kBlocksShare = 16;  // one query may hold this part of all blocks at most,
 constexpr std::uint32_t kMostBlocks = 256;  // and no more than these, as a reader holds a whole query
                                             // unpacked one query may hold this part of all blocks at most
-constexpr double kDoorRate = 20;            // refusals at the door kept a second, in the long run
-constexpr double kDoorBurst = 40;
+constexpr double kIntakeRate = 20;            // refusals at the door kept a second, in the long run
+constexpr double kIntakeBurst = 40;
 constexpr std::size_t kMostEvent = kBlockWords - kBlockHeadWords;
 constexpr std::size_t kIndexSlot = 8;  // bytes
 
@@ -30,8 +30,8 @@
 // What lies beside an arena of so many blocks: of each a query's entry, its place in Retention, a place in
 // two lists and a mark; the index; the mailbox.
 std::size_t Beside(std::size_t blocks, std::size_t entry_bytes) {
-  std::size_t each = entry_bytes + Retention::BytesEach() + 2 * sizeof(std::uint32_t) + 1;
-  return blocks * each + std::bit_ceil(blocks * 2) * kIndexSlot + kMailSize * Mailbox::BytesEach();
+  std::size_t each = entry_bytes + RetentionPolicy::BytesEach() + 2 * sizeof(std::uint32_t) + 1;
+  return blocks * each + std::bit_ceil(blocks * 2) * kIndexSlot + kQueueSize * EventQueue::BytesEach();
 }
 
 // The largest arena that, with what lies beside it, stays within `bytes`.
@@ -71,14 +71,14 @@
 }
 
 Recorder::Recorder(std::size_t bytes, const std::string& path, const About& about, std::uint64_t seed)
-    : arena_(path.empty() ? Arena::InMemory(ArenaBytes(bytes, sizeof(Entry)), about)
-                          : Arena::InFile(path, ArenaBytes(bytes, sizeof(Entry)), about)),
-      retention_(arena_.layout().blocks, seed),
-      mail_(kMailSize),
-      entries_(arena_.layout().blocks),
-      is_dirty_(arena_.layout().blocks),
-      index_(std::bit_ceil(arena_.layout().blocks * 2)) {
-  auto blocks = static_cast<std::uint32_t>(arena_.layout().blocks);
+    : record_file_(path.empty() ? RecordFile::InMemory(ArenaBytes(bytes, sizeof(Entry)), about)
+                          : RecordFile::InFile(path, ArenaBytes(bytes, sizeof(Entry)), about)),
+      retention_(record_file_.layout().blocks, seed),
+      event_queue_(kQueueSize),
+      entries_(record_file_.layout().blocks),
+      is_dirty_(record_file_.layout().blocks),
+      index_(std::bit_ceil(record_file_.layout().blocks * 2)) {
+  auto blocks = static_cast<std::uint32_t>(record_file_.layout().blocks);
   free_blocks_.reserve(blocks);
   dirty_.reserve(blocks);
   for (std::uint32_t block = blocks; block > 0; --block) {
@@ -87,14 +87,14 @@
     free_entry_ = block - 1;
   }
   most_blocks_ = std::clamp<std::uint32_t>(blocks / kBlocksShare, 4, kMostBlocks);
-  claimed_ = arena_.layout().bytes + entries_.capacity() * sizeof(Entry) + retention_.BytesHeld() +
+  claimed_ = record_file_.layout().bytes + entries_.capacity() * sizeof(Entry) + retention_.BytesHeld() +
              (free_blocks_.capacity() + dirty_.capacity()) * sizeof(std::uint32_t) + is_dirty_.capacity() +
-             index_.capacity() * sizeof(Slot) + mail_.Size() * Mailbox::BytesEach();
+             index_.capacity() * sizeof(Slot) + event_queue_.Size() * EventQueue::BytesEach();
 }
 
 bool Recorder::Tell(const Note& note) {
-  if (!mail_.Push(note)) return true;
-  return mail_waits_.fetch_add(1, std::memory_order_relaxed) + 1 >= kMailWake;
+  if (!event_queue_.Push(note)) return true;
+  return queue_waits_.fetch_add(1, std::memory_order_relaxed) + 1 >= kMailWake;
 }
 
 // ---- Blocks and entries ----
@@ -103,7 +103,7 @@
   if (is_dirty_[block] != 0) return;
   is_dirty_[block] = 1;
   dirty_.push_back(block);
-  arena_.BeginCell(WordOf(block));
+  record_file_.BeginCell(WordOf(block));
 }
 
 std::uint32_t Recorder::TakeBlock() {
@@ -119,14 +119,14 @@
 
 void Recorder::LetGo(std::uint32_t number) {
   Entry& entry = entries_[number];
-  std::uint64_t verdict = arena_.Load(WordOf(entry.head) + 2);
+  std::uint64_t verdict = record_file_.Load(WordOf(entry.head) + 2);
   Group group = static_cast<Group>(verdict >> 58);
   Count(kTallyDropped + static_cast<std::size_t>(group));
   retention_.Drop(number);
   for (std::uint32_t block = entry.head; block != kNoBlock;) {
     // One word says that it is nobody's; what else it holds is overwritten when it is taken again.
-    auto next = static_cast<std::uint32_t>(arena_.Load(WordOf(block) + 2));
-    arena_.Store(WordOf(block) + 1, 0);
+    auto next = static_cast<std::uint32_t>(record_file_.Load(WordOf(block) + 2));
+    record_file_.Store(WordOf(block) + 1, 0);
     free_blocks_.push_back(block);
     block = next;
   }
@@ -154,8 +154,8 @@
   entry.head = entry.tail = block;
   entry.blocks = 1;
   Touch(block);
-  arena_.Store(WordOf(block) + 1, entry.serial);
-  arena_.Store(WordOf(block) + 2, kNoBlock);
+  record_file_.Store(WordOf(block) + 1, entry.serial);
+  record_file_.Store(WordOf(block) + 2, kNoBlock);
   if (query != 0) IndexPut(query, number);
   return &entry;
 }
@@ -172,11 +172,11 @@
     return kNoBlock;
   }
   Touch(block);
-  arena_.Store(WordOf(block) + 1, Pair(entry.serial, entry.blocks));
-  arena_.Store(WordOf(block) + 2, kNoBlock);
+  record_file_.Store(WordOf(block) + 1, Pair(entry.serial, entry.blocks));
+  record_file_.Store(WordOf(block) + 2, kNoBlock);
   Touch(entry.tail);
-  std::uint64_t link = arena_.Load(WordOf(entry.tail) + 2);
-  arena_.Store(WordOf(entry.tail) + 2, (link & ~std::uint64_t{0xffffffff}) | block);
+  std::uint64_t link = record_file_.Load(WordOf(entry.tail) + 2);
+  record_file_.Store(WordOf(entry.tail) + 2, (link & ~std::uint64_t{0xffffffff}) | block);
   entry.tail = block;
   ++entry.blocks;
   if (entry.kept) retention_.Grow(number);
@@ -184,33 +184,33 @@
 }
 
 void Recorder::Append(Entry& entry, std::span<const std::uint64_t> words) {
-  std::uint64_t use = arena_.Load(WordOf(entry.tail) + 1);
+  std::uint64_t use = record_file_.Load(WordOf(entry.tail) + 1);
   std::size_t used = use >> 48;
   if (used + words.size() > kMostEvent) {
     std::uint32_t serial = entry.serial;
     if (NewBlock(entry) == kNoBlock) {
-      Count(kTallyLost + static_cast<std::size_t>(Lost::kCut));
+      Count(kTallyLost + static_cast<std::size_t>(Lost::kCutoff));
       if (entry.serial != serial) return;
       Touch(entry.head);
-      arena_.Store(WordOf(entry.head) + 2,
-                   arena_.Load(WordOf(entry.head) + 2) | std::uint64_t{kFlagCut} << 48);
+      record_file_.Store(WordOf(entry.head) + 2,
+                   record_file_.Load(WordOf(entry.head) + 2) | std::uint64_t{kFlagCut} << 48);
       return;
     }
-    use = arena_.Load(WordOf(entry.tail) + 1);
+    use = record_file_.Load(WordOf(entry.tail) + 1);
     used = 0;
   }
   Touch(entry.tail);
   std::size_t at = WordOf(entry.tail);
-  for (std::size_t i = 0; i < words.size(); ++i) arena_.Store(at + kBlockHeadWords + used + i, words[i]);
-  arena_.Store(at + 1, (use & 0xffffffffffffULL) | std::uint64_t{used + words.size()} << 48);
+  for (std::size_t i = 0; i < words.size(); ++i) record_file_.Store(at + kBlockHeadWords + used + i, words[i]);
+  record_file_.Store(at + 1, (use & 0xffffffffffffULL) | std::uint64_t{used + words.size()} << 48);
 }
 
 // The head's third word: next block, verdict, cause, flags, and the group (6 bits from 58) it is kept in.
 void Recorder::SetHead(const Entry& entry, Verdict verdict, std::uint8_t cause, std::uint8_t flags) {
   Touch(entry.head);
-  std::uint64_t word = arena_.Load(WordOf(entry.head) + 2);
+  std::uint64_t word = record_file_.Load(WordOf(entry.head) + 2);
   std::uint64_t kept_flags = word >> 48 & 0xff;
-  arena_.Store(WordOf(entry.head) + 2, (word & 0xffffffff) |
+  record_file_.Store(WordOf(entry.head) + 2, (word & 0xffffffff) |
                                            std::uint64_t{static_cast<std::uint8_t>(verdict)} << 32 |
                                            std::uint64_t{cause} << 40 | (kept_flags | flags) << 48);
 }
@@ -262,7 +262,7 @@
 
 void Recorder::AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const {
   for (std::size_t i = 0; i < choice.count; ++i) {
-    const routing::Considered& one = choice.replicas[i];
+    const routing::Candidate& one = choice.replicas[i];
     words[count++] =
         Pair(one.replica.address, std::uint32_t{one.out} |
                                       std::uint32_t{static_cast<std::uint8_t>(one.standing)} << 16 |
@@ -271,9 +271,9 @@
 }
 
 void Recorder::Holder(std::uint32_t number, std::string_view id, std::string_view addr) {
-  const Layout& layout = arena_.layout();
-  std::size_t at = layout.holder_at + number % layout.holders * kHolderWords;
-  std::array<std::uint64_t, kHolderWords> words{};
+  const Layout& layout = record_file_.layout();
+  std::size_t at = layout.endpoint_at + number % layout.endpoints * kEndpointWords;
+  std::array<std::uint64_t, kEndpointWords> words{};
   // Words 1 to 15: number and lengths, 72 bytes of id, 40 of address.
   id = id.substr(0, 72);
   addr = addr.substr(0, 40);
@@ -281,17 +281,17 @@
   PutText(id, words.data() + 2);
   PutText(addr, words.data() + 11);
   bool same = true;
-  for (std::size_t i = 1; i < kHolderWords; ++i) same = same && arena_.Load(at + i) == words[i];
+  for (std::size_t i = 1; i < kEndpointWords; ++i) same = same && record_file_.Load(at + i) == words[i];
   if (same) return;
-  auto before = static_cast<std::uint32_t>(arena_.Load(at + 1));
+  auto before = static_cast<std::uint32_t>(record_file_.Load(at + 1));
   if (before != 0 && before != number) {
-    Count(kTallyLost + static_cast<std::size_t>(Lost::kHolderName));
-    std::size_t tally = layout.holder_tally_at + number % layout.holders * kHolderTallies;
-    for (std::size_t i = 0; i < kHolderTallies; ++i) arena_.Store(tally + i, 0);
+    Count(kTallyLost + static_cast<std::size_t>(Lost::kEndpointName));
+    std::size_t tally = layout.endpoint_count_at + number % layout.endpoints * kEndpointCounts;
+    for (std::size_t i = 0; i < kEndpointCounts; ++i) record_file_.Store(tally + i, 0);
   }
-  arena_.BeginCell(at);
-  for (std::size_t i = 1; i < kHolderWords; ++i) arena_.Store(at + i, words[i]);
-  arena_.EndCell(at, kHolderWords);
+  record_file_.BeginCell(at);
+  for (std::size_t i = 1; i < kEndpointWords; ++i) record_file_.Store(at + i, words[i]);
+  record_file_.EndCell(at, kEndpointWords);
 }
 
 void Recorder::Open(const Opened& query, std::span<const OpenedPart> parts) {
@@ -324,7 +324,7 @@
   words[0] = First(EventKind::kOpen, count, static_cast<std::uint32_t>(id.size() | label.size() << 8), 0);
   Append(*entry, {words.data(), count});
   std::uint8_t flags =
-      (id.size() < query.call_id.size() ? kFlagIdCut : 0) | (query.repeated ? kFlagRepeated : 0);
+      (id.size() < query.call_id.size() ? kFlagIdCut : 0) | (query.is_retry ? kFlagRepeated : 0);
   SetHead(*entry, Verdict::kOpen, 0, flags);
   for (std::size_t i = 0; i < parts.size(); ++i) {
     const OpenedPart& part = parts[i];
@@ -337,24 +337,24 @@
 }
 
 void Recorder::Sent(std::uint32_t query, int part, int attempt, const routing::Send& send) {
-  std::uint32_t holder = send.replica.address;
-  CountHolder(holder, HolderTally::kSent);
-  Count(kTallySend + static_cast<std::size_t>(send.why.kind));
-  if (send.why.kind == routing::SendKind::kResend)
-    Count(kTallyAfter + static_cast<std::size_t>(send.why.after));
+  std::uint32_t endpoint = send.replica.address;
+  CountEndpoint(endpoint, EndpointCount::kSent);
+  Count(kTallySend + static_cast<std::size_t>(send.reason.kind));
+  if (send.reason.kind == routing::DispatchKind::kRetry)
+    Count(kTallyAfter + static_cast<std::size_t>(send.reason.after));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   if (attempt > 0) {
     entry->eventful = true;
-    if (entry->blamed != 0 && send.why.kind == routing::SendKind::kResend)
-      CountHolder(entry->blamed, HolderTally::kResentAfter);
+    if (entry->blamed != 0 && send.reason.kind == routing::DispatchKind::kRetry)
+      CountEndpoint(entry->blamed, EndpointCount::kResentAfter);
   }
   std::array<std::uint64_t, kMostEvent> words;
-  const routing::Choice& choice = send.why.choice;
+  const routing::Choice& choice = send.reason.choice;
   words[1] =
-      Pair(holder, static_cast<std::uint32_t>(attempt & 0xff) |
-                       std::uint32_t{static_cast<std::uint8_t>(send.why.kind)} << 8 |
-                       static_cast<std::uint32_t>(send.why.after) << 16 | std::uint32_t{choice.count} << 24);
+      Pair(endpoint, static_cast<std::uint32_t>(attempt & 0xff) |
+                       std::uint32_t{static_cast<std::uint8_t>(send.reason.kind)} << 8 |
+                       static_cast<std::uint32_t>(send.reason.after) << 16 | std::uint32_t{choice.count} << 24);
   words[2] = Pair(static_cast<std::uint32_t>(std::clamp<std::int64_t>(send.timeout_us, 0, 0xffffffff)),
                   choice.unlisted);
   std::size_t count = 3;
@@ -363,13 +363,13 @@
   Append(*entry, {words.data(), count});
 }
 
-void Recorder::Ended(std::uint32_t query, int part, int attempt, std::uint32_t holder,
-                     routing::OutcomeCode code, Progress progress, Cause cause) {
+void Recorder::Ended(std::uint32_t query, int part, int attempt, std::uint32_t endpoint,
+                     routing::AttemptOutcome code, Progress progress, Cause cause) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  using routing::OutcomeCode;
-  if (code != OutcomeCode::kOk && code != OutcomeCode::kCancelled && code != OutcomeCode::kMoot)
-    entry->blamed = holder;
+  using routing::AttemptOutcome;
+  if (code != AttemptOutcome::kOk && code != AttemptOutcome::kCancelled && code != AttemptOutcome::kNotSent)
+    entry->blamed = endpoint;
   std::uint64_t words[2] = {First(EventKind::kEnd, 2, static_cast<std::uint32_t>(part), Since(*entry)),
                             static_cast<std::uint64_t>(attempt & 0xff) |
                                 static_cast<std::uint64_t>(code) << 8 |
@@ -381,26 +381,26 @@
 void Recorder::Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  using routing::CancelWhy;
-  entry->eventful |= cancel.why == CancelWhy::kLooksSick || cancel.why == CancelWhy::kDeadConnection;
+  using routing::CancelReason;
+  entry->eventful |= cancel.reason == CancelReason::kEndpointOutlier || cancel.reason == CancelReason::kDeadConnection;
   std::uint64_t words[2] = {First(EventKind::kCancel, 2, static_cast<std::uint32_t>(part), Since(*entry)),
                             static_cast<std::uint64_t>(cancel.attempt & 0xff) |
-                                std::uint64_t{static_cast<std::uint8_t>(cancel.why)} << 8};
+                                std::uint64_t{static_cast<std::uint8_t>(cancel.reason)} << 8};
   Append(*entry, words);
 }
 
 void Recorder::Closed(const routing::Close& close) {
-  Count(kTallyClose + static_cast<std::size_t>(close.why));
+  Count(kTallyClose + static_cast<std::size_t>(close.reason));
 }
 
-void Recorder::Held(std::uint32_t query, int part, const routing::PartHeld& held) {
-  Count(kTallyHeld + static_cast<std::size_t>(held.why));
+void Recorder::Held(std::uint32_t query, int part, const routing::PendingShardRequest& held) {
+  Count(kTallyHeld + static_cast<std::size_t>(held.reason));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  entry->eventful |= held.why != routing::HeldWhy::kCut && held.why != routing::HeldWhy::kHeadStart;
+  entry->eventful |= held.reason != routing::PendingReason::kCutoff && held.reason != routing::PendingReason::kCanary;
   std::array<std::uint64_t, kMostEvent> words;
   words[1] = Pair(held.figure, held.bound);
-  words[2] = Pair(static_cast<std::uint8_t>(held.why),
+  words[2] = Pair(static_cast<std::uint8_t>(held.reason),
                   std::uint32_t{held.choice.count} | std::uint32_t{held.choice.unlisted} << 8);
   std::size_t count = 3;
   AddChoice(held.choice, words.data(), count);
@@ -408,27 +408,27 @@
   Append(*entry, {words.data(), count});
 }
 
-void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::EndWhy& why, Door door,
+void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason, IntakeResult intake,
                      std::int64_t retry_after_us, int pieces) {
   Count(kTallyVerdict + static_cast<std::size_t>(verdict));
-  Count(kTallyEnd + static_cast<std::size_t>(why.cause));
-  if (door != Door::kNone) Count(kTallyDoor + static_cast<std::size_t>(door));
+  Count(kTallyEnd + static_cast<std::size_t>(reason.cause));
+  if (intake != IntakeResult::kNone) Count(kTallyIntake + static_cast<std::size_t>(intake));
   Entry* entry = Find(query);
   if (entry == nullptr || entry->ended) return;
   entry->ended = true;
   bool given_up = verdict == Verdict::kRefused || verdict == Verdict::kFailed || verdict == Verdict::kLate;
-  std::uint32_t whose = why.replica.address != 0 ? why.replica.address : entry->blamed;
-  if (given_up && whose != 0 && why.cause != routing::EndCause::kPressure)
-    CountHolder(whose, HolderTally::kRefusedFor);
-  if (verdict == Verdict::kPartial && entry->blamed != 0) CountHolder(entry->blamed, HolderTally::kMissing);
-  auto cause = static_cast<std::uint8_t>(why.cause);
+  std::uint32_t whose = reason.replica.address != 0 ? reason.replica.address : entry->blamed;
+  if (given_up && whose != 0 && reason.cause != routing::CompletionCause::kLoad)
+    CountEndpoint(whose, EndpointCount::kRefusedFor);
+  if (verdict == Verdict::kPartial && entry->blamed != 0) CountEndpoint(entry->blamed, EndpointCount::kMissing);
+  auto cause = static_cast<std::uint8_t>(reason.cause);
   std::uint64_t words[4] = {
       First(EventKind::kFinal, 4, static_cast<std::uint32_t>(verdict) | std::uint32_t{cause} << 8,
             Since(*entry)),
-      Pair(why.figure, why.bound),
-      Pair(why.replica.address,
+      Pair(reason.figure, reason.bound),
+      Pair(reason.replica.address,
            static_cast<std::uint32_t>(std::clamp<std::int64_t>(retry_after_us, 0, 0xffffffff))),
-      Pair(static_cast<std::uint32_t>(pieces), static_cast<std::uint8_t>(door))};
+      Pair(static_cast<std::uint32_t>(pieces), static_cast<std::uint8_t>(intake))};
   std::uint32_t serial = entry->serial;
   Append(*entry, words);
   if (entry->serial != serial) return;
@@ -439,27 +439,27 @@
                 : entry->eventful                                          ? Group::kEventful
                                                                            : Group::kOrdinary;
   SetHead(*entry, verdict, cause, 0);
-  arena_.Store(WordOf(entry->head) + 2,
-               arena_.Load(WordOf(entry->head) + 2) | std::uint64_t{static_cast<std::uint8_t>(group)} << 58);
+  record_file_.Store(WordOf(entry->head) + 2,
+               record_file_.Load(WordOf(entry->head) + 2) | std::uint64_t{static_cast<std::uint8_t>(group)} << 58);
   entry->kept = true;
   retention_.Keep(static_cast<std::uint32_t>(entry - entries_.data()),
-                  Retention::Stratum(group, entry->class_index), now_us_, entry->blocks);
+                  RetentionPolicy::Stratum(group, entry->class_index), now_us_, entry->blocks);
   // Both hashes stand in the first event.
   std::size_t first = WordOf(entry->head) + kBlockHeadWords;
-  Seen(arena_.Load(first + 3), verdict, entry->class_index, cause);
-  if (std::uint64_t label = arena_.Load(first + 4)) Seen(label, verdict, entry->class_index, cause);
+  Seen(record_file_.Load(first + 3), verdict, entry->class_index, cause);
+  if (std::uint64_t label = record_file_.Load(first + 4)) Seen(label, verdict, entry->class_index, cause);
 }
 
 // ---- What the fronts tell ----
 
 void Recorder::Flush() {
-  mail_waits_.store(0, std::memory_order_relaxed);
+  queue_waits_.store(0, std::memory_order_relaxed);
   Note note;
-  for (std::size_t i = 0; i < mail_.Size() && mail_.Pop(note); ++i) Take(note);
-  if (std::uint64_t lost = mail_.TakeLost())
-    Count(kTallyLost + static_cast<std::size_t>(Lost::kMailFull), lost);
+  for (std::size_t i = 0; i < event_queue_.Size() && event_queue_.Pop(note); ++i) Take(note);
+  if (std::uint64_t lost = event_queue_.TakeLost())
+    Count(kTallyLost + static_cast<std::size_t>(Lost::kQueueFull), lost);
   for (std::uint32_t block : dirty_) {
-    arena_.EndCell(WordOf(block), kBlockWords);
+    record_file_.EndCell(WordOf(block), kBlockWords);
     is_dirty_[block] = 0;
   }
   dirty_.clear();
@@ -467,7 +467,7 @@
 }
 
 void Recorder::Take(const Note& note) {
-  if (note.door != Door::kNone) return TakeDoor(note);
+  if (note.intake != IntakeResult::kNone) return TakeIntake(note);
   Entry* entry = Find(note.query);
   if (entry == nullptr) return;
   auto time =
@@ -477,18 +477,18 @@
   Append(*entry, words);
 }
 
-void Recorder::TakeDoor(const Note& note) {
-  Count(kTallyDoor + static_cast<std::size_t>(note.door));
-  Count(kTallyVerdict + static_cast<std::size_t>(Verdict::kTurnedAway));
-  auto cause = static_cast<std::uint8_t>(static_cast<std::size_t>(note.door));
-  if (note.id_bytes > 0) Seen(note.id_hash, Verdict::kTurnedAway, note.class_index, cause);
+void Recorder::TakeIntake(const Note& note) {
+  Count(kTallyIntake + static_cast<std::size_t>(note.intake));
+  Count(kTallyVerdict + static_cast<std::size_t>(Verdict::kRejected));
+  auto cause = static_cast<std::uint8_t>(static_cast<std::size_t>(note.intake));
+  if (note.id_bytes > 0) Seen(note.id_hash, Verdict::kRejected, note.class_index, cause);
   // Guards the record, and the core's time, against a flood of what cannot be read: it is counted all the
   // same.
-  double passed = static_cast<double>(now_us_ - door_us_) / 1e6;
-  door_tokens_ = std::min(kDoorBurst, door_tokens_ + std::max(passed, 0.0) * kDoorRate);
-  door_us_ = now_us_;
-  if (door_tokens_ < 1) return Count(kTallyLost + static_cast<std::size_t>(Lost::kDoorRate));
-  door_tokens_ -= 1;
+  double passed = static_cast<double>(now_us_ - intake_us_) / 1e6;
+  intake_tokens_ = std::min(kIntakeBurst, intake_tokens_ + std::max(passed, 0.0) * kIntakeRate);
+  intake_us_ = now_us_;
+  if (intake_tokens_ < 1) return Count(kTallyLost + static_cast<std::size_t>(Lost::kIntakeRate));
+  intake_tokens_ -= 1;
   Entry* entry = NewEntry(0, note.at_us);
   if (entry == nullptr) return;
   entry->class_index = note.class_index;
@@ -500,51 +500,51 @@
   words[3] = note.id_hash;
   words[4] = Pair(note.figure, note.bound);
   std::size_t count = 5 + PutText({note.id.data(), note.id_bytes}, words.data() + 5);
-  words[0] = First(EventKind::kDoor, count, note.id_bytes | std::uint32_t{cause} << 8, 0);
+  words[0] = First(EventKind::kIntake, count, note.id_bytes | std::uint32_t{cause} << 8, 0);
   Append(*entry, {words.data(), count});
-  SetHead(*entry, Verdict::kTurnedAway, cause, note.id_cut ? kFlagIdCut : 0);
-  arena_.Store(WordOf(entry->head) + 2,
-               arena_.Load(WordOf(entry->head) + 2) |
-                   std::uint64_t{static_cast<std::uint8_t>(Group::kTurnedAway)} << 58);
+  SetHead(*entry, Verdict::kRejected, cause, note.id_cut ? kFlagIdCut : 0);
+  record_file_.Store(WordOf(entry->head) + 2,
+               record_file_.Load(WordOf(entry->head) + 2) |
+                   std::uint64_t{static_cast<std::uint8_t>(Group::kRejected)} << 58);
   retention_.Keep(static_cast<std::uint32_t>(entry - entries_.data()),
-                  Retention::Stratum(Group::kTurnedAway, note.class_index), now_us_, entry->blocks);
+                  RetentionPolicy::Stratum(Group::kRejected, note.class_index), now_us_, entry->blocks);
 }
 
 // ---- Counts ----
 
 // A word is a second and a count: a slot that an older second has is begun anew, and one word never tears.
 void Recorder::Count(std::size_t kind, std::uint64_t n) {
-  const Layout& layout = arena_.layout();
-  arena_.Store(layout.total_at + kind, arena_.Load(layout.total_at + kind) + n);
+  const Layout& layout = record_file_.layout();
+  record_file_.Store(layout.total_at + kind, record_file_.Load(layout.total_at + kind) + n);
   auto second = static_cast<std::uint32_t>(now_us_ / 1'000'000);
   std::size_t at = layout.tally_at + second % kSeconds * kTallies + kind;
-  std::uint64_t word = arena_.Load(at);
+  std::uint64_t word = record_file_.Load(at);
   std::uint64_t count = word >> 32 == second ? (word & 0xffffffff) + n : n;
-  arena_.Store(at, std::uint64_t{second} << 32 | std::min<std::uint64_t>(count, 0xffffffff));
+  record_file_.Store(at, std::uint64_t{second} << 32 | std::min<std::uint64_t>(count, 0xffffffff));
 }
 
-void Recorder::CountHolder(std::uint32_t holder, HolderTally kind) {
-  const Layout& layout = arena_.layout();
+void Recorder::CountEndpoint(std::uint32_t endpoint, EndpointCount kind) {
+  const Layout& layout = record_file_.layout();
   auto bucket = static_cast<std::uint32_t>(now_us_ / 1'000'000 / kBucketSeconds);
   std::size_t at =
-      layout.holder_tally_at + holder % layout.holders * kHolderTallies + bucket % kHolderTallies;
-  std::uint64_t word = arena_.Load(at);
+      layout.endpoint_count_at + endpoint % layout.endpoints * kEndpointCounts + bucket % kEndpointCounts;
+  std::uint64_t word = record_file_.Load(at);
   std::uint64_t mark = bucket & 0xffff;
   if (word >> 48 != mark) word = mark << 48;
   int shift = static_cast<int>(kind) * kTallyBits;
   if ((word >> shift & kMostTally) < kMostTally) word += std::uint64_t{1} << shift;
-  arena_.Store(at, word);
+  record_file_.Store(at, word);
 }
 
 // Two words: the id's hash; the second, verdict, class, cause and, against a torn pair, eight bits of the
 // hash.
 void Recorder::Seen(std::uint64_t id_hash, Verdict verdict, std::uint8_t class_index, std::uint8_t cause) {
-  const Layout& layout = arena_.layout();
+  const Layout& layout = record_file_.layout();
   std::size_t at = layout.seen_at + next_seen_++ % layout.seen * 2;
   auto second = static_cast<std::uint32_t>(now_us_ / 1'000'000);
-  arena_.Store(at + 1, 0);
-  arena_.Store(at, id_hash);
-  arena_.Store(at + 1, Pair(second, std::uint32_t{static_cast<std::uint8_t>(verdict)} |
+  record_file_.Store(at + 1, 0);
+  record_file_.Store(at, id_hash);
+  record_file_.Store(at + 1, Pair(second, std::uint32_t{static_cast<std::uint8_t>(verdict)} |
                                         std::uint32_t{class_index} << 8 | std::uint32_t{cause} << 16 |
                                         static_cast<std::uint32_t>(id_hash & 0xff) << 24));
 }
--- a/src/decision_log/recorder.h
+++ b/src/decision_log/recorder.h
@@ -32,7 +32,7 @@
   kHeld,
   kFinal,
   kGiven,
-  kDoor
+  kIntake
 };
 
 constexpr std::uint32_t kNoBlock = ~std::uint32_t{0};
@@ -45,7 +45,7 @@
   std::int64_t arrived_us = 0, deadline_us = 0;
   int class_index = 0;
   FrontKind front = FrontKind::kPlatform;
-  bool repeated = false;
+  bool is_retry = false;
   std::string_view call_id, label;  // label: the client's own name for it, where the front has such a thing
 };
 struct OpenedPart {
@@ -62,25 +62,25 @@
 
   // Exactly what has been claimed, in bytes.
   std::size_t Claimed() const { return claimed_; }
-  const Arena& arena() const { return arena_; }
+  const RecordFile& record_file() const { return record_file_; }
 
   // From a front's thread: dropped and counted when the box is full. Says whether the box is filling up, so
   // that the core should be woken.
   bool Tell(const Note& note);
-  bool MailWaits() const { return mail_waits_.load(std::memory_order_relaxed) > 0; }
+  bool QueueWaits() const { return queue_waits_.load(std::memory_order_relaxed) > 0; }
 
   // ---- The core's thread ----
   void Now(std::int64_t now_us) { now_us_ = now_us; }
   void Holder(std::uint32_t number, std::string_view id, std::string_view addr);
   void Open(const Opened& query, std::span<const OpenedPart> parts);
   void Sent(std::uint32_t query, int part, int attempt, const routing::Send& send);
-  void Ended(std::uint32_t query, int part, int attempt, std::uint32_t holder, routing::OutcomeCode code,
+  void Ended(std::uint32_t query, int part, int attempt, std::uint32_t endpoint, routing::AttemptOutcome code,
              Progress progress, Cause cause);
   void Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel);
   void Closed(const routing::Close& close);
-  void Held(std::uint32_t query, int part, const routing::PartHeld& held);
+  void Held(std::uint32_t query, int part, const routing::PendingShardRequest& held);
   // The module's last word, or the front's (`door`) where that came first.
-  void Final(std::uint32_t query, Verdict verdict, const routing::EndWhy& why, Door door,
+  void Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason, IntakeResult intake,
              std::int64_t retry_after_us, int pieces);
   // Takes the fronts' notes in and makes all that was written since the last call readable.
   void Flush();
@@ -110,23 +110,23 @@
   void Append(Entry& entry, std::span<const std::uint64_t> words);
   void SetHead(const Entry& entry, Verdict verdict, std::uint8_t cause, std::uint8_t flags);
   void Touch(std::uint32_t block);
-  std::size_t WordOf(std::uint32_t block) const { return arena_.layout().block_at + block * kBlockWords; }
+  std::size_t WordOf(std::uint32_t block) const { return record_file_.layout().block_at + block * kBlockWords; }
   std::uint32_t Since(const Entry& entry) const;
   std::uint64_t First(EventKind kind, std::size_t words, std::uint32_t operand, std::uint32_t time) const;
   void AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const;
 
   void Count(std::size_t kind, std::uint64_t n = 1);
-  void CountHolder(std::uint32_t holder, HolderTally kind);
+  void CountEndpoint(std::uint32_t endpoint, EndpointCount kind);
   void Seen(std::uint64_t id_hash, Verdict verdict, std::uint8_t class_index, std::uint8_t cause);
   void Take(const Note& note);
-  void TakeDoor(const Note& note);
+  void TakeIntake(const Note& note);
 
   void IndexPut(std::uint32_t query, std::uint32_t entry);
   void IndexErase(std::uint32_t query);
 
-  Arena arena_;
-  Retention retention_;
-  Mailbox mail_;
+  RecordFile record_file_;
+  RetentionPolicy retention_;
+  EventQueue event_queue_;
   std::size_t claimed_ = 0;
   std::vector<Entry> entries_;
   std::vector<std::uint32_t> free_blocks_, dirty_;
@@ -140,10 +140,10 @@
   std::uint32_t most_blocks_ = 0;  // of one query
   std::uint64_t next_seen_ = 0;
   std::int64_t now_us_ = 0;
-  double door_tokens_ = 0;
-  std::int64_t door_us_ = 0;
+  double intake_tokens_ = 0;
+  std::int64_t intake_us_ = 0;
   std::atomic<std::uint64_t> flushes_{0};
-  std::atomic<int> mail_waits_{0};
+  std::atomic<int> queue_waits_{0};
 };
 
 // Of a call id, whole; what readers look it up by.
--- a/src/decision_log/retention_policy.cpp
+++ b/src/decision_log/retention_policy.cpp
@@ -11,20 +11,20 @@
 
 }  // namespace
 
-Retention::Retention(std::size_t entries, std::uint64_t seed) : places_(entries), random_(seed | 1) {}
+RetentionPolicy::RetentionPolicy(std::size_t entries, std::uint64_t seed) : places_(entries), random_(seed | 1) {}
 
-std::size_t Retention::Stratum(Group group, std::size_t class_index) {
+std::size_t RetentionPolicy::Stratum(Group group, std::size_t class_index) {
   return static_cast<std::size_t>(group) * kClassStrata + std::min(class_index, kClassStrata - 1);
 }
 
-std::uint64_t Retention::Random() {  // xorshift64: spreads victims, guards nothing
+std::uint64_t RetentionPolicy::Random() {  // xorshift64: spreads victims, guards nothing
   random_ ^= random_ << 13;
   random_ ^= random_ >> 7;
   random_ ^= random_ << 17;
   return random_;
 }
 
-void Retention::Keep(std::uint32_t entry, std::size_t stratum_index, std::int64_t now_us,
+void RetentionPolicy::Keep(std::uint32_t entry, std::size_t stratum_index, std::int64_t now_us,
                      std::uint32_t blocks) {
   StratumState& stratum = strata_[stratum_index];
   Slice& slice = SliceFor(stratum, now_us);
@@ -37,14 +37,14 @@
   stratum.blocks += blocks;
 }
 
-void Retention::Grow(std::uint32_t entry) {
+void RetentionPolicy::Grow(std::uint32_t entry) {
   Place& place = places_[entry];
   ++place.blocks;
   ++strata_[place.stratum].blocks;
   ++strata_[place.stratum].slices[place.slice].blocks;
 }
 
-void Retention::Drop(std::uint32_t entry) {
+void RetentionPolicy::Drop(std::uint32_t entry) {
   Place& place = places_[entry];
   StratumState& stratum = strata_[place.stratum];
   Slice& slice = stratum.slices[place.slice];
@@ -55,7 +55,7 @@
   place = {};
 }
 
-std::optional<std::uint32_t> Retention::Victim(std::int64_t now_us) {
+std::optional<std::uint32_t> RetentionPolicy::Victim(std::int64_t now_us) {
   // The stratum furthest over its share; one block alone is never more than a share that is not used
   // elsewhere.
   std::size_t worst = 0;
@@ -82,7 +82,7 @@
   return fullest->any;
 }
 
-Retention::Slice& Retention::SliceFor(StratumState& stratum, std::int64_t now_us) {
+RetentionPolicy::Slice& RetentionPolicy::SliceFor(StratumState& stratum, std::int64_t now_us) {
   Slice* newest = &stratum.slices[stratum.newest];
   if (newest->used && now_us < newest->from_us + kSliceUs) return *newest;
   if (newest->used && newest->any == kNone) newest->used = false;
@@ -97,7 +97,7 @@
 }
 
 // The two neighbours in time that together are narrowest for their age become one.
-void Retention::Merge(StratumState& stratum, std::int64_t now_us) {
+void RetentionPolicy::Merge(StratumState& stratum, std::int64_t now_us) {
   std::array<std::size_t, kSlices> order;
   for (std::size_t i = 0; i < kSlices; ++i) order[i] = i;
   std::ranges::sort(order, {}, [&](std::size_t i) { return stratum.slices[i].from_us; });
@@ -122,7 +122,7 @@
   next = {};
 }
 
-void Retention::Link(Slice& slice, std::uint32_t entry) {
+void RetentionPolicy::Link(Slice& slice, std::uint32_t entry) {
   if (slice.any == kNone) {
     places_[entry].before = places_[entry].after = entry;
   } else {
@@ -134,7 +134,7 @@
   if (slice.any == kNone) slice.any = entry;
 }
 
-void Retention::Unlink(Slice& slice, std::uint32_t entry) {
+void RetentionPolicy::Unlink(Slice& slice, std::uint32_t entry) {
   Place& place = places_[entry];
   if (slice.any == entry) slice.any = place.after == entry ? kNone : place.after;
   places_[place.before].after = place.after;
--- a/src/decision_log/retention_policy.h
+++ b/src/decision_log/retention_policy.h
@@ -23,10 +23,10 @@
 constexpr std::size_t kSlices = 24;           // of a stratum
 constexpr std::int64_t kSliceUs = 1'000'000;  // the narrowest
 
-class Retention {
+class RetentionPolicy {
  public:
   // `entries`: how many queries can be kept at once, each named by a number below that.
-  Retention(std::size_t entries, std::uint64_t seed);
+  RetentionPolicy(std::size_t entries, std::uint64_t seed);
 
   static std::size_t Stratum(Group group, std::size_t class_index);
 
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -214,13 +214,13 @@
   return out;
 }
 
-ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::Directory& directory,
-                       coordinator::Core& core, const coordinator::Clock& clock)
+ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::EndpointRegistry& endpoint_registry,
+                       coordinator::Coordinator& coordinator, const coordinator::Clock& clock)
     : zone_(std::move(zone)),
       service_(std::move(service)),
       listener_(std::move(listener)),
-      directory_(directory),
-      core_(core),
+      endpoint_registry_(endpoint_registry),
+      coordinator_(coordinator),
       clock_(clock) {
   Tell(true);
   if (listener_.Valid()) thread_ = net::Thread([this] { Loop(); });
@@ -264,18 +264,18 @@
 
 // The difference between what the zone now says and what was told.
 void ZoneSource::Tell(bool first) {
-  coordinator::HolderList list;
+  coordinator::EndpointList list;
   list.version = ++version_;
-  list.kind = first ? routing::ListKind::kFull : routing::ListKind::kDelta;
-  std::map<std::string, coordinator::HolderEntry> now = Holders(zone_, service_);
+  list.kind = first ? routing::EndpointListKind::kFull : routing::EndpointListKind::kDelta;
+  std::map<std::string, coordinator::EndpointEntry> now = Holders(zone_, service_);
   for (auto& [id, entry] : now) {
     auto before = told_.find(id);
     bool ready = before != told_.end() && before->second.told.availability == routing::Availability::kReady;
     // One that appears in an update has most likely just started; taken for warm it could be pushed over.
-    if (!first && !ready && entry.told.launched_us == 0) entry.told.launched_us = clock_.Now();
-    if (ready && entry.told.launched_us == 0) entry.told.launched_us = before->second.told.launched_us;
+    if (!first && !ready && entry.told.started_us == 0) entry.told.started_us = clock_.Now();
+    if (ready && entry.told.started_us == 0) entry.told.started_us = before->second.told.started_us;
     bool same = ready && before->second.addr == entry.addr && before->second.told.cell == entry.told.cell &&
-                before->second.told.launched_us == entry.told.launched_us;
+                before->second.told.started_us == entry.told.started_us;
     if (!same) list.entries.push_back(entry);
   }
   for (auto& [id, entry] : told_) {
@@ -283,9 +283,9 @@
     entry.told.availability = routing::Availability::kDraining;
     list.entries.push_back(entry);
   }
-  for (coordinator::HolderEntry& entry : list.entries) told_[entry.id] = entry;
+  for (coordinator::EndpointEntry& entry : list.entries) told_[entry.id] = entry;
   if (list.entries.empty() && !first) return;
-  if (auto news = directory_.Apply(list, clock_.Now())) core_.Post(std::move(*news));
+  if (auto news = endpoint_registry_.Apply(list, clock_.Now())) coordinator_.Post(std::move(*news));
   log::Info("zone {}: {} holders, {} changed", zone_.origin, now.size(), list.entries.size());
 }
 
--- a/src/dns/update.h
+++ b/src/dns/update.h
@@ -25,7 +25,7 @@
 // removed is a drain. Listens on a loopback address only, one connection at a time.
 class ZoneSource {
  public:
-  ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::Directory& directory, coordinator::Core& core,
+  ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
              const coordinator::Clock& clock);
   ~ZoneSource();
 
@@ -37,10 +37,10 @@
   Zone zone_;
   const std::string service_;
   net::Fd listener_;
-  coordinator::Directory& directory_;
-  coordinator::Core& core_;
+  coordinator::EndpointRegistry& endpoint_registry_;
+  coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
-  std::map<std::string, coordinator::HolderEntry> told_;
+  std::map<std::string, coordinator::EndpointEntry> told_;
   std::uint64_t version_ = 0;
   std::atomic<bool> stopping_{false};
   net::Thread thread_;
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -236,11 +236,11 @@
   return zone;
 }
 
-std::map<std::string, coordinator::HolderEntry> Holders(const Zone& zone, const std::string& service) {
-  std::map<std::string, coordinator::HolderEntry> out;
+std::map<std::string, coordinator::EndpointEntry> Holders(const Zone& zone, const std::string& service) {
+  std::map<std::string, coordinator::EndpointEntry> out;
   for (const Record& record : zone.records) {
     if (record.type != kTypeSrv || record.name != service || record.data.size() < 7) continue;
-    coordinator::HolderEntry entry;
+    coordinator::EndpointEntry entry;
     entry.id = NameText(std::string_view(record.data).substr(6));
     auto address = std::ranges::find_if(zone.records, [&entry](const Record& other) {
       return other.type == kTypeA && other.name == entry.id;
@@ -252,7 +252,7 @@
     entry.addr = fmt::format("{}.{}.{}.{}:{}", byte(ip, 0), byte(ip, 1), byte(ip, 2), byte(ip, 3),
                              byte(record.data, 4) << 8 | byte(record.data, 5));
     entry.told.cell = static_cast<int>(std::clamp<std::int64_t>(*cell, 0, 65535));
-    entry.told.launched_us = 1000 * Note(zone, entry.id, "started_ms").value_or(0);
+    entry.told.started_us = 1000 * Note(zone, entry.id, "started_ms").value_or(0);
     out[entry.id] = std::move(entry);
   }
   return out;
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -38,7 +38,7 @@
 std::optional<std::string> WireName(std::string_view name);
 
 // The holders that a service's SRV records name, by target. One without an address or a cell is left out.
-std::map<std::string, coordinator::HolderEntry> Holders(const Zone& zone, const std::string& service);
+std::map<std::string, coordinator::EndpointEntry> Holders(const Zone& zone, const std::string& service);
 
 }  // namespace liftrudder::dns
 
--- a/src/identity/authenticator.cpp
+++ b/src/identity/authenticator.cpp
@@ -23,53 +23,53 @@
 
 }  // namespace
 
-Callers::Callers(Book book)
-    : gate_(Rules{book.issuer, book.audience, book.skew_us}, book.most_cached),
-      book_(std::make_shared<const Book>(std::move(book))) {}
+Authenticator::Authenticator(PermissionTable permission_table)
+    : token_verifier_(Rules{permission_table.issuer, permission_table.audience, permission_table.skew_us}, permission_table.most_cached),
+      permission_table_(std::make_shared<const PermissionTable>(std::move(permission_table))) {}
 
-std::shared_ptr<const Book> Callers::book() const {
+std::shared_ptr<const PermissionTable> Authenticator::permission_table() const {
   std::lock_guard lock(mutex_);
-  return book_;
+  return permission_table_;
 }
 
-std::optional<std::string> Callers::TakeKeys(std::string_view text, std::vector<std::string>& changes) {
+std::optional<std::string> Authenticator::TakeKeys(std::string_view text, std::vector<std::string>& changes) {
   auto read = KeySet::Read(text);
   if (auto* wrong = std::get_if<std::string>(&read)) return std::move(*wrong);
   auto keys = std::get<std::shared_ptr<const KeySet>>(read);
-  auto before = gate_.keys();
-  if (auto wrong = gate_.Replace(keys)) return wrong;
+  auto before = token_verifier_.keys();
+  if (auto wrong = token_verifier_.Replace(keys)) return wrong;
   changes = Differences(*before, *keys);
   return std::nullopt;
 }
 
-std::optional<std::string> Callers::TakeBook(Book book, std::vector<std::string>& changes) {
-  std::shared_ptr<const Book> before = this->book();
+std::optional<std::string> Authenticator::TakePermissions(PermissionTable permission_table, std::vector<std::string>& changes) {
+  std::shared_ptr<const PermissionTable> before = this->permission_table();
   // Cached tokens were held against these; a program that changed them in service would need both at once.
-  if (book.issuer != before->issuer || book.audience != before->audience || book.skew_us != before->skew_us ||
-      book.work_per_s != before->work_per_s || book.most_open != before->most_open)
+  if (permission_table.issuer != before->issuer || permission_table.audience != before->audience || permission_table.skew_us != before->skew_us ||
+      permission_table.work_per_s != before->work_per_s || permission_table.most_open != before->most_open)
     return "issuer, audience, skewS, workPerS and mostOpen change with a restart only";
-  for (const auto& [name, rights] : before->tenants)
-    if (!book.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' is gone", name));
-  for (const auto& [name, rights] : book.tenants) {
+  for (const auto& [name, permissions] : before->tenants)
+    if (!permission_table.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' is gone", name));
+  for (const auto& [name, permissions] : permission_table.tenants) {
     auto old = before->tenants.find(name);
     if (old == before->tenants.end()) changes.push_back(fmt::format("tenant '{}' is new", name));
     // Rights that are the same stay the same object: what was begun under them goes on.
-    if (old != before->tenants.end() && *old->second == *rights) book.tenants[name] = old->second;
-    if (old != before->tenants.end() && !(*old->second == *rights))
+    if (old != before->tenants.end() && *old->second == *permissions) permission_table.tenants[name] = old->second;
+    if (old != before->tenants.end() && !(*old->second == *permissions))
       changes.push_back(fmt::format("tenant '{}' has other rights", name));
   }
   std::lock_guard lock(mutex_);
-  book_ = std::make_shared<const Book>(std::move(book));
+  permission_table_ = std::make_shared<const PermissionTable>(std::move(permission_table));
   return std::nullopt;
 }
 
-std::variant<Visitor, Refusal> Callers::Admit(const Presented& presented, Micros now_us) {
+std::variant<Principal, Refusal> Authenticator::Admit(const Presented& presented, Micros now_us) {
   if (!presented.wrong.empty()) return Refusal{"certificate: " + presented.wrong, true, ""};
-  std::shared_ptr<const Book> book = this->book();
-  Caller caller;
+  std::shared_ptr<const PermissionTable> permission_table = this->permission_table();
+  VerifiedToken caller;
   for (const std::string& name : presented.names) {
-    auto owner = book->by_certificate.find(name);
-    if (owner == book->by_certificate.end()) continue;
+    auto owner = permission_table->by_certificate.find(name);
+    if (owner == permission_table->by_certificate.end()) continue;
     if (!caller.tenant.empty() && caller.tenant != owner->second)
       return Refusal{"a certificate with names of two tenants", true, caller.tenant};
     // Never the same text as a token's subject: they have different accounts.
@@ -79,10 +79,10 @@
   if (presented.authorization != nullptr) {
     auto token = Bearer(*presented.authorization);
     if (!token) return Refusal{"no bearer token", true, ""};
-    auto admitted = gate_.Admit(*token, now_us);
+    auto admitted = token_verifier_.Admit(*token, now_us);
     if (const auto* denial = std::get_if<Denial>(&admitted))
       return Refusal{std::string(Name(*denial)), true, ""};
-    auto& told = std::get<Caller>(admitted);
+    auto& told = std::get<VerifiedToken>(admitted);
     if (!caller.tenant.empty() && caller.tenant != told.tenant)
       return Refusal{"a token of another tenant than the certificate", true, told.tenant};
     caller = std::move(told);
@@ -90,14 +90,14 @@
     return Refusal{presented.names.empty() ? "no token" : "no token, and no tenant for the certificate", true,
                    ""};
   }
-  auto found = book->tenants.find(caller.tenant);
-  if (found == book->tenants.end()) return Refusal{"unknown tenant", true, caller.tenant};
+  auto found = permission_table->tenants.find(caller.tenant);
+  if (found == permission_table->tenants.end()) return Refusal{"unknown tenant", true, caller.tenant};
   if (!found->second->networks.empty() && !found->second->networks.Contain(presented.address))
     return Refusal{"not from this network", false, caller.tenant};
-  return Visitor{std::move(caller.tenant), std::move(caller.subject), found->second};
+  return Principal{std::move(caller.tenant), std::move(caller.subject), found->second};
 }
 
-bool Audit::Take(Micros now_us, std::int64_t& unwritten) {
+bool AuditLimiter::Take(Micros now_us, std::int64_t& unwritten) {
   tokens_ = std::min(kBurst, tokens_ + kLinesPerSecond * static_cast<double>(now_us - filled_us_) / 1e6);
   filled_us_ = now_us;
   if (tokens_ < 1) {
--- a/src/identity/authenticator.h
+++ b/src/identity/authenticator.h
@@ -17,9 +17,9 @@
 namespace liftrudder::identity {
 
 // Who was let in, with the rights that hold for this request whatever changes meanwhile.
-struct Visitor {
+struct Principal {
   std::string tenant, subject;
-  std::shared_ptr<const Rights> rights;
+  std::shared_ptr<const Permissions> permissions;
 };
 
 // What a request and its connection show of who asks.
@@ -34,35 +34,35 @@
 
 // `why` is for the audit alone; a caller learns only whether it is unknown or not let in from there.
 struct Refusal {
-  std::string why;
+  std::string reason;
   bool unknown = true;  // 401; else 403
   std::string tenant;   // where the token was good
 };
 
-class Callers {
+class Authenticator {
  public:
-  explicit Callers(Book book);
+  explicit Authenticator(PermissionTable permission_table);
 
   // The newer keys or rights hold for every request after; or nothing changes and it says why. What changed
   // is a line each in `changes`.
   std::optional<std::string> TakeKeys(std::string_view text, std::vector<std::string>& changes);
-  std::optional<std::string> TakeBook(Book book, std::vector<std::string>& changes);
+  std::optional<std::string> TakePermissions(PermissionTable permission_table, std::vector<std::string>& changes);
 
   // A token says who asks; where there is none, the certificate. Where both name a tenant it must be the
   // same, so that a token that was taken is no use on another tenant's connection.
-  std::variant<Visitor, Refusal> Admit(const Presented& presented, Micros now_us);
+  std::variant<Principal, Refusal> Admit(const Presented& presented, Micros now_us);
 
-  std::shared_ptr<const Book> book() const;
+  std::shared_ptr<const PermissionTable> permission_table() const;
 
  private:
-  Gate gate_;
+  TokenVerifier token_verifier_;
   mutable std::mutex mutex_;
-  std::shared_ptr<const Book> book_;
+  std::shared_ptr<const PermissionTable> permission_table_;
 };
 
 // Bounds what is written of refusals: so many lines a second, and how many there were besides. Not for
 // several threads without a lock of the caller's.
-class Audit {
+class AuditLimiter {
  public:
   // Whether this refusal's line is written; `unwritten` says how many were not since the last that was.
   bool Take(Micros now_us, std::int64_t& unwritten);
--- a/src/identity/json_members.h
+++ b/src/identity/json_members.h
@@ -14,9 +14,9 @@
 
 // One member after the other, each told where it stands; what is not known is an error, since a right that is
 // misspelt would be one that is not held against anybody.
-class Members {
+class JsonMembers {
  public:
-  Members(const nlohmann::json& object, std::string where) : object_(object), where_(std::move(where)) {
+  JsonMembers(const nlohmann::json& object, std::string where) : object_(object), where_(std::move(where)) {
     if (!object.is_object()) Wrong("is not an object");
   }
 
--- a/src/identity/permissions.cpp
+++ b/src/identity/permissions.cpp
@@ -27,8 +27,8 @@
           }};
 }
 
-std::string ReadRights(const Json& value, const std::string& where, Rights& out) {
-  Members reader(value, where);
+std::string ReadPermissions(const Json& value, const std::string& where, Permissions& out) {
+  JsonMembers reader(value, where);
   if (!reader.wrong.empty()) return reader.wrong;
   std::vector<std::string> indices, networks, certificates;
   reader.Take("indices", indices);
@@ -94,12 +94,12 @@
   return false;
 }
 
-std::variant<Book, std::string> Book::Read(std::string_view text) {
+std::variant<PermissionTable, std::string> PermissionTable::Read(std::string_view text) {
   constexpr std::size_t kMostDepth = 24;  // filters are queries, and those nest
-  auto read = ReadStrictJson(text, kMostBookBytes, kMostDepth);
+  auto read = ReadStrictJson(text, kMaxPermissionTableBytes, kMostDepth);
   if (const auto* wrong = std::get_if<std::string>(&read)) return "identity: " + *wrong;
-  Book out;
-  Members reader(std::get<Json>(read), "identity");
+  PermissionTable out;
+  JsonMembers reader(std::get<Json>(read), "identity");
   if (!reader.wrong.empty()) return reader.wrong;
   reader.Take("keys", out.keys_file);
   reader.Take("issuer", out.issuer);
@@ -120,15 +120,15 @@
     auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20; };
     if (name.empty() || name.size() > kMostClaim || std::ranges::any_of(name, control))
       return fmt::format("identity: a tenant's name has 1 to {} bytes, none a control character", kMostClaim);
-    auto rights = std::make_shared<Rights>();
-    std::string wrong = ReadRights(value, fmt::format("identity: tenant '{}'", name), *rights);
+    auto permissions = std::make_shared<Permissions>();
+    std::string wrong = ReadPermissions(value, fmt::format("identity: tenant '{}'", name), *permissions);
     if (!wrong.empty()) return wrong;
-    for (const std::string& one : rights->certificates) {
+    for (const std::string& one : permissions->certificates) {
       if (auto [owner, is_new] = out.by_certificate.emplace(one, name); !is_new)
         return fmt::format("identity: tenant '{}': [certificates] '{}' is tenant '{}''s already", name, one,
                            owner->second);
     }
-    out.tenants[name] = std::move(rights);
+    out.tenants[name] = std::move(permissions);
   }
   reader.End();
   if (!reader.wrong.empty()) return reader.wrong;
--- a/src/identity/permissions.h
+++ b/src/identity/permissions.h
@@ -18,7 +18,7 @@
 
 namespace liftrudder::identity {
 
-constexpr std::size_t kMostBookBytes = 1024 * 1024;
+constexpr std::size_t kMaxPermissionTableBytes = 1024 * 1024;
 constexpr std::size_t kMostTenants = 4096;
 constexpr std::size_t kMostNetworks = 64;      // of one tenant
 constexpr std::size_t kMostCertificates = 64;  // names of one tenant's
@@ -37,7 +37,7 @@
   std::vector<std::shared_ptr<cidr_addr>> prefixes_;
 };
 
-struct Rights {
+struct Permissions {
   std::set<std::string, std::less<>> indices;  // "*": all
   bool partial = true;                         // answers in part
   bool scrolls = true;
@@ -47,21 +47,21 @@
   Networks networks;   // empty: from anywhere
   std::set<std::string> certificates;  // names of clients' certificates that are its own, as dns:a.example
 
-  bool operator==(const Rights&) const = default;
+  bool operator==(const Permissions&) const = default;
   bool MayIndex(std::string_view name) const { return indices.contains(name) || indices.contains("*"); }
 };
 
-struct Book {
+struct PermissionTable {
   std::string keys_file, issuer, audience;
   Micros skew_us = 5'000'000;
   std::size_t most_cached = 1024;
   // Of all tenants together, shared out by weight; 0: no limit. Work is counted in parts of queries.
   std::int64_t work_per_s = 0, most_open = 0;
-  std::map<std::string, std::shared_ptr<const Rights>, std::less<>> tenants;
+  std::map<std::string, std::shared_ptr<const Permissions>, std::less<>> tenants;
   std::map<std::string, std::string, std::less<>> by_certificate;  // a certificate's name: its tenant
 
   // The file's "identity" member, or what is wrong and where.
-  static std::variant<Book, std::string> Read(std::string_view text);
+  static std::variant<PermissionTable, std::string> Read(std::string_view text);
 };
 
 }  // namespace liftrudder::identity
