--- a/src/identity/token.cpp
+++ b/src/identity/token.cpp
@@ -79,7 +79,7 @@
   return found->is_array() && std::ranges::any_of(*found, [&](const Json& one) { return one == audience; });
 }
 
-std::variant<Caller, Denial> ReadClaims(const Json& claims, const Rules& rules, Micros now_us) {
+std::variant<VerifiedToken, Denial> ReadClaims(const Json& claims, const Rules& rules, Micros now_us) {
   if (!claims.is_object()) return Denial::kBadClaims;
   auto issuer = Text(claims, "iss");
   if (!issuer || *issuer != rules.issuer) return Denial::kNoIssuer;
@@ -94,13 +94,13 @@
   if (*expiry - issued.value_or(now_us) > rules.most_life_us) return Denial::kTooLongLived;
   auto tenant = Text(claims, "tenant"), subject = Text(claims, "sub");
   if (!tenant || !subject) return Denial::kNoTenant;
-  return Caller{*tenant, *subject, "", {}, from_us, *expiry + rules.skew_us};
+  return VerifiedToken{*tenant, *subject, "", {}, from_us, *expiry + rules.skew_us};
 }
 
 }  // namespace
 
-std::string_view Name(Denial why) {
-  auto place = static_cast<std::size_t>(why);
+std::string_view Name(Denial reason) {
+  auto place = static_cast<std::size_t>(reason);
   return place < kNames.size() ? kNames[place] : "unknown";
 }
 
@@ -119,7 +119,7 @@
   return Denial::kKeyWithdrawn;
 }
 
-std::variant<Caller, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
+std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
                                     Micros now_us) {
   if (token.size() > kMostToken) return Denial::kTooLong;
   auto first = token.find('.'), last = token.rfind('.');
@@ -140,13 +140,13 @@
   if (key == nullptr) return Denial::kUnknownKey;
   // The key says how it signs; what the header claims must only agree.
   if ((*algorithm == "ES256") != (key->algorithm == Algorithm::kEs256)) return Denial::kWrongAlgorithm;
-  if (Denial why = MayVouch(key, now_us); why != Denial::kNone) return why;
+  if (Denial reason = MayVouch(key, now_us); reason != Denial::kNone) return reason;
   // Nothing of the claims is looked at before the signature holds.
   if (!Signed(*key, token.substr(0, last), *signature)) return Denial::kBadSignature;
   auto claims = ReadStrictJson(*payload, kMostToken);
   if (!std::holds_alternative<Json>(claims)) return Denial::kBadClaims;
   auto out = ReadClaims(std::get<Json>(claims), rules, now_us);
-  if (Caller* caller = std::get_if<Caller>(&out)) {
+  if (VerifiedToken* caller = std::get_if<VerifiedToken>(&out)) {
     caller->kid = *kid;
     caller->key = key->thumbprint;
   }
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -39,7 +39,7 @@
   kNoTenant,
 };
 
-std::string_view Name(Denial why);
+std::string_view Name(Denial reason);
 
 struct Rules {
   std::string issuer, audience;
@@ -47,7 +47,7 @@
   Micros most_life_us = 86400'000'000;  // from `iat`, or from now where there is none, to `exp`
 };
 
-struct Caller {
+struct VerifiedToken {
   std::string tenant, subject;
   std::string kid;
   Thumbprint key{};
@@ -55,7 +55,7 @@
 };
 
 // The caller, or why not. A denied token's own words are told nobody.
-std::variant<Caller, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
+std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
                                     Micros now_us);
 
 // Whether the key may vouch at that moment, by its state alone; kNone: it may. A key that is not in the set
--- a/src/identity/token_verifier.cpp
+++ b/src/identity/token_verifier.cpp
@@ -4,10 +4,10 @@
 
 namespace liftrudder::identity {
 
-Gate::Gate(Rules rules, std::size_t most_cached)
+TokenVerifier::TokenVerifier(Rules rules, std::size_t most_cached)
     : rules_(std::move(rules)), most_cached_(most_cached), keys_(std::make_shared<const KeySet>()) {}
 
-std::optional<std::string> Gate::Replace(std::shared_ptr<const KeySet> keys) {
+std::optional<std::string> TokenVerifier::Replace(std::shared_ptr<const KeySet> keys) {
   std::lock_guard lock(mutex_);
   if (auto wrong = known_.Take(*keys)) return wrong;
   keys_ = std::move(keys);
@@ -21,17 +21,17 @@
   return std::nullopt;
 }
 
-std::shared_ptr<const KeySet> Gate::keys() const {
+std::shared_ptr<const KeySet> TokenVerifier::keys() const {
   std::lock_guard lock(mutex_);
   return keys_;
 }
 
-std::size_t Gate::Cached() const {
+std::size_t TokenVerifier::Cached() const {
   std::lock_guard lock(mutex_);
   return cache_.size();
 }
 
-std::variant<Caller, Denial> Gate::Admit(std::string_view token, Micros now_us) {
+std::variant<VerifiedToken, Denial> TokenVerifier::Admit(std::string_view token, Micros now_us) {
   if (token.size() > kMostToken) return Denial::kTooLong;
   Digest digest;
   ::SHA256(reinterpret_cast<const unsigned char*>(token.data()), token.size(), digest.data());
@@ -41,10 +41,10 @@
     keys = keys_;
     auto found = cache_.find(digest);
     if (found != cache_.end()) {
-      const Caller& caller = found->second.caller;
+      const VerifiedToken& caller = found->second.caller;
       const Key* key = keys_->Find(caller.kid);
-      Denial why = MayVouch(key, now_us);
-      if (why != Denial::kNone) return why;
+      Denial reason = MayVouch(key, now_us);
+      if (reason != Denial::kNone) return reason;
       if (now_us >= caller.until_us) return Denial::kExpired;
       // A clock that stepped back.
       if (now_us < caller.from_us) return Denial::kNotYet;
@@ -55,19 +55,19 @@
     }
   }
   auto out = Verify(token, *keys, rules_, now_us);
-  if (const Caller* caller = std::get_if<Caller>(&out)) {
+  if (const VerifiedToken* caller = std::get_if<VerifiedToken>(&out)) {
     std::lock_guard lock(mutex_);
     // Guards against a withdrawal that came while the signature was checked: held against the newest set once
     // more.
     const Key* key = keys_->Find(caller->kid);
-    if (Denial why = MayVouch(key, now_us); why != Denial::kNone) return why;
+    if (Denial reason = MayVouch(key, now_us); reason != Denial::kNone) return reason;
     if (key->thumbprint != caller->key) return Denial::kUnknownKey;
     Remember(digest, *caller);
   }
   return out;
 }
 
-void Gate::Remember(const Digest& digest, const Caller& caller) {
+void TokenVerifier::Remember(const Digest& digest, const VerifiedToken& caller) {
   if (most_cached_ == 0 || cache_.contains(digest)) return;
   while (cache_.size() >= most_cached_) {
     cache_.erase(by_age_.front());
--- a/src/identity/token_verifier.h
+++ b/src/identity/token_verifier.h
@@ -22,27 +22,27 @@
 
 namespace liftrudder::identity {
 
-class Gate {
+class TokenVerifier {
  public:
   // `most_cached`: tokens whose verification is remembered.
-  Gate(Rules rules, std::size_t most_cached);
+  TokenVerifier(Rules rules, std::size_t most_cached);
 
   // The set takes the place of the one before, for all that come after; or nothing changes and it is said
   // why.
   std::optional<std::string> Replace(std::shared_ptr<const KeySet> keys);
   std::shared_ptr<const KeySet> keys() const;
 
-  std::variant<Caller, Denial> Admit(std::string_view token, Micros now_us);
+  std::variant<VerifiedToken, Denial> Admit(std::string_view token, Micros now_us);
 
   std::size_t Cached() const;
 
  private:
   using Digest = std::array<unsigned char, 32>;  // SHA-256 of the token: the cache holds no secret
   struct Entry {
-    Caller caller;
+    VerifiedToken caller;
     std::list<Digest>::iterator age;
   };
-  void Remember(const Digest& digest, const Caller& caller);
+  void Remember(const Digest& digest, const VerifiedToken& caller);
 
   const Rules rules_;
   const std::size_t most_cached_;
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-Accounts::Accounts(ShareSettings settings, std::uint64_t seed)
+TenantQuotas::TenantQuotas(ShareSettings settings, std::uint64_t seed)
     : settings_(std::move(settings)), spread_(1, 1, seed) {
   Take(settings_.weights);
 }
 
-void Accounts::Take(std::map<std::string, double, std::less<>> weights) {
+void TenantQuotas::Take(std::map<std::string, double, std::less<>> weights) {
   double sum = 0;
   for (const auto& [name, weight] : weights) sum += weight;
   // A tenant that is gone keeps its account as long as something of it is open, without an income.
@@ -42,7 +42,7 @@
   }
 }
 
-double Accounts::Fill(Account& account, double rate, Micros now_us) {
+double TenantQuotas::Fill(Account& account, double rate, Micros now_us) {
   double since_s =
       account.filled_us == 0 ? 0 : static_cast<double>(std::max<Micros>(now_us - account.filled_us, 0)) / 1e6;
   account.filled_us = std::max(account.filled_us, now_us);
@@ -51,33 +51,33 @@
   return sum - account.has;
 }
 
-void Accounts::FillAll(Micros now_us) {
+void TenantQuotas::FillAll(Micros now_us) {
   for (auto& [name, tenant] : tenants_)
     pool_ += Fill(tenant.account, tenant.share * settings_.work_per_s, now_us);
   pool_ = std::min(pool_, settings_.work_per_s * kPoolS);
 }
 
-Accounts::Caller& Accounts::Known(const std::string& key, double rate, Micros now_us) {
-  auto found = callers_.find(key);
-  if (found == callers_.end()) {
+TenantQuotas::Caller& TenantQuotas::Known(const std::string& key, double rate, Micros now_us) {
+  auto found = authenticator_.find(key);
+  if (found == authenticator_.end()) {
     // The one longest unused makes room; one with a query open keeps its account, and those are bounded.
-    if (callers_.size() >= kMostCallers) {
-      auto idle = [&](const std::string& one) { return callers_.find(one)->second.account.open == 0; };
+    if (authenticator_.size() >= kMostCallers) {
+      auto idle = [&](const std::string& one) { return authenticator_.find(one)->second.account.open == 0; };
       auto oldest = std::ranges::find_if(by_age_, idle);
       if (oldest != by_age_.end()) {
-        callers_.erase(*oldest);
+        authenticator_.erase(*oldest);
         by_age_.erase(oldest);
       }
     }
     by_age_.push_back(key);
-    found = callers_.emplace(key, Caller{{rate * kBurstS, now_us, 0}, std::prev(by_age_.end())}).first;
+    found = authenticator_.emplace(key, Caller{{rate * kBurstS, now_us, 0}, std::prev(by_age_.end())}).first;
   }
   by_age_.splice(by_age_.end(), by_age_, found->second.age);
   return found->second;
 }
 
 // Those refused come back one after the other, as the account can take them, and a little apart.
-Accounts::Micros Accounts::Promise(Tenant& tenant, double missing, double rate, Micros now_us) {
+TenantQuotas::Micros TenantQuotas::Promise(Tenant& tenant, double missing, double rate, Micros now_us) {
   if (rate <= 0) return settings_.most_retry_us;
   Micros from = std::max(tenant.promised_us, now_us);
   Micros until = from + static_cast<Micros>(std::ceil(missing / rate * 1e6));
@@ -87,7 +87,7 @@
   return std::clamp<Micros>(wait, 1, settings_.most_retry_us);
 }
 
-Accounts::Verdict Accounts::Ask(std::string_view tenant_name, std::string_view caller_name, double cost,
+TenantQuotas::Verdict TenantQuotas::Ask(std::string_view tenant_name, std::string_view caller_name, double cost,
                                 Micros now_us) {
   auto found = tenants_.find(tenant_name);
   if (found == tenants_.end() || found->second.share <= 0) return {false, settings_.most_retry_us};
@@ -119,11 +119,11 @@
   return {true, 0};
 }
 
-void Accounts::End(std::string_view tenant_name, std::string_view caller_name) {
+void TenantQuotas::End(std::string_view tenant_name, std::string_view caller_name) {
   auto tenant = tenants_.find(tenant_name);
   if (tenant != tenants_.end()) --tenant->second.account.open;
-  auto caller = callers_.find(Key(tenant_name, caller_name));
-  if (caller != callers_.end()) --caller->second.account.open;
+  auto caller = authenticator_.find(Key(tenant_name, caller_name));
+  if (caller != authenticator_.end()) --caller->second.account.open;
   --open_;
   if (tenant != tenants_.end() && tenant->second.share <= 0 && tenant->second.account.open == 0)
     tenants_.erase(tenant);
--- a/src/limits/tenant_quotas.h
+++ b/src/limits/tenant_quotas.h
@@ -28,11 +28,11 @@
   std::map<std::string, double, std::less<>> weights;  // above 0, by tenant
 };
 
-class Accounts {
+class TenantQuotas {
  public:
   using Micros = std::int64_t;
 
-  Accounts(ShareSettings settings, std::uint64_t seed);
+  TenantQuotas(ShareSettings settings, std::uint64_t seed);
 
   struct Verdict {
     bool granted = false;
@@ -47,7 +47,7 @@
   void Take(std::map<std::string, double, std::less<>> weights);
 
   int Open() const { return open_; }
-  std::size_t Callers() const { return callers_.size(); }
+  std::size_t Authenticator() const { return authenticator_.size(); }
 
   static constexpr std::size_t kMostCallers = 4096;  // with an account of their own
 
@@ -77,7 +77,7 @@
   const ShareSettings settings_;
   Backoff spread_;  // for its jitter alone
   std::map<std::string, Tenant, std::less<>> tenants_;
-  std::map<std::string, Caller, std::less<>> callers_;  // by tenant and caller
+  std::map<std::string, Caller, std::less<>> authenticator_;  // by tenant and caller
   std::list<std::string> by_age_;                       // the longest unused first
   double pool_ = 0;
   int open_ = 0;
--- a/src/limits/watch_timeouts.cpp
+++ b/src/limits/watch_timeouts.cpp
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-ListWaits ListWaitsOf(const routing::Settings& settings) {
-  if (!settings.must_subscribe) {
-    Micros stop = settings.stop_sending_within_us > 0 ? settings.stop_sending_within_us : kStopSending;
+WatchTimeouts WatchTimeoutsOf(const routing::Settings& settings) {
+  if (!settings.subscription_required) {
+    Micros stop = settings.drain_grace_us > 0 ? settings.drain_grace_us : kStopSending;
     return {0, Share(kAgentServeShare, stop), Share(kAgentFirstShare, stop), Share(kAgentMostShare, stop)};
   }
-  Micros within = settings.ask_within_us > 0 ? settings.ask_within_us : kAskWithin;
+  Micros within = settings.poll_deadline_us > 0 ? settings.poll_deadline_us : kAskWithin;
   auto span = [&](Micros slice, double share) {
-    return std::min(slice * settings.group_size, Share(share, within));
+    return std::min(slice * settings.fleet_size, Share(share, within));
   };
   return {span(kStartSlice, kStartShare), 0, span(kFirstSlice, kFirstShare), span(kMostSlice, kMostShare)};
 }
--- a/src/limits/watch_timeouts.h
+++ b/src/limits/watch_timeouts.h
@@ -8,14 +8,14 @@
 
 namespace liftrudder::limits {
 
-struct ListWaits {
+struct WatchTimeouts {
   routing::Micros start_us = 0;  // before the first call of all
   routing::Micros serve_us = 0;  // for its answer, before clients are served from the list known before
   routing::Micros first_us = 0;  // after the first failure; doubled by each further one
   routing::Micros most_us = 0;   // up to this one
 };
 
-ListWaits ListWaitsOf(const routing::Settings& settings);
+WatchTimeouts WatchTimeoutsOf(const routing::Settings& settings);
 
 }  // namespace liftrudder::limits
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -93,13 +93,13 @@
 void StartRecord(const lr::config::Config& config, lr::coordinator::Micros now_us,
                  std::optional<lr::decision_log::Recorder>& recorder) {
   lr::decision_log::About about{config.name, now_us, config.classes};
-  std::string file = config.why.file;
+  std::string file = config.decision_log.file;
   try {
-    recorder.emplace(config.why.bytes, file, about, config.seed);
+    recorder.emplace(config.decision_log.bytes, file, about, config.seed);
   } catch (const std::runtime_error& error) {
     if (file.empty()) throw;
     lr::log::Error("{}; it is kept in memory", error.what());
-    recorder.emplace(config.why.bytes, file = "", about, config.seed);
+    recorder.emplace(config.decision_log.bytes, file = "", about, config.seed);
   }
   lr::log::Info("the record of decisions has {} bytes{}{}", recorder->Claimed(), file.empty() ? "" : ", in ",
                 file);
@@ -115,96 +115,96 @@
   std::unique_ptr<lr::app::TlsFiles> tls;
   if (may_tls) tls = lr::app::TlsFiles::Open(path, lr::config::ReadFile(path), clock);
   bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
-  if (identity != nullptr && !asks_clients && !identity->callers().book()->by_certificate.empty())
+  if (identity != nullptr && !asks_clients && !identity->authenticator().permission_table()->by_certificate.empty())
     throw std::runtime_error("identity: a tenant has [certificates], but [tls] asks no client for one");
-  lr::coordinator::Directory directory;
-  lr::coordinator::Core core(config.settings, config.seed, clock, directory, counters);
+  lr::coordinator::EndpointRegistry endpoint_registry;
+  lr::coordinator::Coordinator coordinator(config.settings, config.seed, clock, endpoint_registry, counters);
   lr::platform::FrameDialect frames(config.load_names);
   lr::opensearch::SearchDialect searches;
   const lr::net::Dialect& dialect =
       options == nullptr ? static_cast<const lr::net::Dialect&>(frames) : searches;
-  lr::net::LinkLimits limits{config.connect_timeout_us, config.idle_close_us,
+  lr::net::ConnectionLimits limits{config.connect_timeout_us, config.idle_close_us,
                              options == nullptr ? config.streams_per_connection : 1,
-                             options == nullptr ? config.settings.parts_per_call : 1,
-                             config.budget.holder_connections, config.budget.holders};
-  auto links = std::make_unique<lr::net::HolderLinks>(
-      dialect, directory, clock, limits, counters, figures,
-      [&core](lr::coordinator::AttemptResult result) { core.Post(std::move(result)); });
-  core.Attach(*links);
+                             options == nullptr ? config.settings.max_requests_per_call : 1,
+                             config.budget.endpoint_connections, config.budget.endpoints};
+  auto links = std::make_unique<lr::net::EndpointConnectionPool>(
+      dialect, endpoint_registry, clock, limits, counters, figures,
+      [&coordinator](lr::coordinator::AttemptResult result) { coordinator.Post(std::move(result)); });
+  coordinator.Attach(*links);
   std::optional<lr::decision_log::Recorder> recorder;
-  std::optional<lr::decision_log::Desk> desk;
-  if (config.why.bytes > 0) {
+  std::optional<lr::decision_log::ExplainService> explain_service;
+  if (config.decision_log.bytes > 0) {
     StartRecord(config, clock.Now(), recorder);
-    core.Attach(*recorder);
-    desk.emplace(
-        recorder->arena(), [&core] { core.Freshen(); }, [&clock] { return clock.Now(); });
+    coordinator.Attach(*recorder);
+    explain_service.emplace(
+        recorder->record_file(), [&coordinator] { coordinator.Freshen(); }, [&clock] { return clock.Now(); });
   }
-  lr::decision_log::Desk* asked = desk ? &*desk : nullptr;
+  lr::decision_log::ExplainService* asked = explain_service ? &*explain_service : nullptr;
   if (zone.file.empty()) {
-    if (auto news = directory.Apply(config.known, clock.Now())) core.Post(std::move(*news));
+    if (auto news = endpoint_registry.Apply(config.known, clock.Now())) coordinator.Post(std::move(*news));
   }
   // Lists may grow far beyond the one at the start; the descriptors are shared out anew then.
   std::mutex shares;
   lr::net::Server* clients = nullptr;
-  int shared_for = config.budget.holders;
+  int shared_for = config.budget.endpoints;
   auto share = [&] {
     std::lock_guard lock(shares);
-    int holders = std::max(directory.Listed(), config.settings.cells);
-    if (clients == nullptr || (holders <= shared_for && holders >= shared_for / 2)) return;
-    shared_for = holders;
-    lr::config::Budget budget = lr::config::ShareOut(config.sockets, config.memory_mb, holders);
+    int endpoints = std::max(endpoint_registry.Listed(), config.settings.cells);
+    if (clients == nullptr || (endpoints <= shared_for && endpoints >= shared_for / 2)) return;
+    shared_for = endpoints;
+    lr::config::Budget budget = lr::config::ShareOut(config.sockets, config.memory_mb, endpoints);
     clients->Resize({budget.client_connections, budget.client_requests});
-    links->Resize(budget.holder_connections, budget.holders);
-    lr::log::Info("{} holders: room for {} connections of clients and {} to holders", holders,
-                  budget.client_connections, budget.holder_connections);
+    links->Resize(budget.endpoint_connections, budget.endpoints);
+    lr::log::Info("{} holders: room for {} connections of clients and {} to holders", endpoints,
+                  budget.client_connections, budget.endpoint_connections);
   };
-  core.OnList(share);
-  lr::net::Thread core_thread([&core] { core.Run(); });
+  coordinator.OnList(share);
+  lr::net::Thread core_thread([&coordinator] { coordinator.Run(); });
   // What cannot be had at the start ends the program with its reason: its thread must not be waited for for
   // ever.
   struct Stopper {
-    lr::coordinator::Core& core;
-    ~Stopper() { core.Stop(); }
-  } stopper{core};
+    lr::coordinator::Coordinator& coordinator;
+    ~Stopper() { coordinator.Stop(); }
+  } stopper{coordinator};
   {
-    lr::app::Manage manage(figures, [&] {
-      figures.cluster_size.Set(directory.Listed());
-      figures.cluster_unhealthy.Set(core.Avoided());
+    lr::app::AdminHandler admin_handler(figures, [&] {
+      figures.cluster_size.Set(endpoint_registry.Listed());
+      figures.cluster_unhealthy.Set(coordinator.Avoided());
     });
-    std::optional<lr::net::CallServer> calls;
+    std::optional<lr::net::AdminServer> calls;
     if (!config.mgmt.empty()) {
-      lr::net::Fd desk = NeedListener(config.mgmt);
-      lr::log::Info("calls of operators are answered at {}", lr::net::LocalAddress(desk));
-      calls.emplace(std::move(desk),
-                    [&manage](const lr::net::HttpMessage& call) { return manage.Answer(call); });
+      lr::net::Fd explain_service = NeedListener(config.mgmt);
+      lr::log::Info("calls of operators are answered at {}", lr::net::LocalAddress(explain_service));
+      calls.emplace(std::move(explain_service),
+                    [&admin_handler](const lr::net::HttpMessage& call) { return admin_handler.Answer(call); });
     }
     std::optional<lr::platform::DiscoveryWatch> watch;
-    std::optional<lr::dns::ZoneSource> holders;
+    std::optional<lr::dns::ZoneSource> endpoints;
     if (!zone.file.empty()) {
       lr::net::Fd updates;
       if (!zone.update_listen.empty()) updates = NeedListener(zone.update_listen);
       if (updates.Valid()) lr::log::Info("takes updates at {}", lr::net::LocalAddress(updates));
-      holders.emplace(lr::dns::ParseZone(lr::config::ReadFile(zone.file)), zone.service, std::move(updates),
-                      directory, core, clock);
+      endpoints.emplace(lr::dns::ParseZone(lr::config::ReadFile(zone.file)), zone.service, std::move(updates),
+                      endpoint_registry, coordinator, clock);
     } else if (!config.discovery.empty()) {
-      watch.emplace(config, directory, core, clock);
+      watch.emplace(config, endpoint_registry, coordinator, clock);
     }
     std::unique_ptr<lr::net::Handler> front;
     if (options == nullptr) {
-      front = std::make_unique<lr::platform::Front>(config, core, clock, counters, figures, asked);
+      front = std::make_unique<lr::platform::Front>(config, coordinator, clock, counters, figures, asked);
     } else {
-      front = std::make_unique<lr::opensearch::Front>(config, *options, core, clock, counters, asked,
-                                                      identity == nullptr ? nullptr : &identity->callers());
+      front = std::make_unique<lr::opensearch::Front>(config, *options, coordinator, clock, counters, asked,
+                                                      identity == nullptr ? nullptr : &identity->authenticator());
     }
     lr::net::Fd listener = passed.empty() ? NeedListener(config.listen) : lr::net::Inherit(passed);
     lr::log::Info("room for {} connections of clients, {} with requests, and {} to holders; {} of a core",
                   config.budget.client_connections, config.budget.client_requests,
-                  config.budget.holder_connections, config.cores);
+                  config.budget.endpoint_connections, config.cores);
     lr::log::Info("{} listens on {}", config.name, lr::net::LocalAddress(listener));
     // Who connects meanwhile waits to be taken in.
-    if (watch && !directory.WaitHeard(lr::limits::ListWaitsOf(config.settings).serve_us))
+    if (watch && !endpoint_registry.WaitHeard(lr::limits::WatchTimeoutsOf(config.settings).serve_us))
       lr::log::Info("no holder list from discovery yet; the one known before serves, version {}",
-                    directory.Version());
+                    endpoint_registry.Version());
     lr::net::Server server(std::move(listener), *front, clock, counters,
                            {config.budget.client_connections, config.budget.client_requests},
                            tls == nullptr ? nullptr : &tls->source());
@@ -212,7 +212,7 @@
       std::lock_guard lock(shares);
       clients = &server;
     }
-    manage.Attach(&server);
+    admin_handler.Attach(&server);
     share();
     std::function<void()> look;
     if (identity != nullptr || tls != nullptr) {
@@ -231,11 +231,11 @@
       std::lock_guard lock(shares);
       clients = nullptr;
     }
-    manage.Attach(nullptr);
+    admin_handler.Attach(nullptr);
     server.Drain();
     // Another process holds the passed listener too: it takes in who comes now.
     if (!passed.empty()) server.LeaveListener();
-    lr::log::Info("told to end; {} queries are open", core.Open());
+    lr::log::Info("told to end; {} queries are open", coordinator.Open());
     lr::coordinator::Micros until = clock.Now() + kStillListening;
     HearUntil(signals, reload, [&] {
       lr::coordinator::Micros left = until - clock.Now();
@@ -245,7 +245,7 @@
     server.StopListening();
     HearUntil(signals, reload, [&] { return server.WaitClosed(kSlice); });
   }
-  core.Stop();
+  coordinator.Stop();
   core_thread.Join();
   links.reset();
   lr::log::Info("ended\n{}", counters.Text());
@@ -261,7 +261,7 @@
   app.add_option("--opensearch", search_file,
                  "Serve the search API as this file says, in place of the platform");
   std::function<int()> run;
-  lr::app::AddWhyCommand(app, run);
+  lr::app::AddExplainCommand(app, run);
   lr::app::AddIdentityCommands(app, run);
   try {
     app.parse(argc, argv);
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-CallServer::Caller::Caller() : parser(HttpParser::Kind::kRequest, kMostBody) {}
+AdminServer::Caller::Caller() : parser(HttpParser::Kind::kRequest, kMostBody) {}
 
-CallServer::CallServer(Fd listener, Answer answer)
+AdminServer::AdminServer(Fd listener, Answer answer)
     : answer_(std::move(answer)),
       listener_(std::move(listener)),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
@@ -33,18 +33,18 @@
   thread_ = Thread([this] { Loop(); });
 }
 
-CallServer::~CallServer() {
+AdminServer::~AdminServer() {
   stopping_ = true;
   std::uint64_t one = 1;
   [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
   thread_.Join();
 }
 
-void CallServer::Loop() {
+void AdminServer::Loop() {
   while (!stopping_) {
     epoll_event events[kAtOnce];
     // Nobody there: it sleeps until somebody comes. A share of a core is not to be spent on looking.
-    int got = ::epoll_wait(epoll_.Get(), events, kAtOnce, callers_.empty() ? -1 : kLookMs);
+    int got = ::epoll_wait(epoll_.Get(), events, kAtOnce, authenticator_.empty() ? -1 : kLookMs);
     bool knock = false;
     for (int i = 0; i < got; ++i) {
       if (events[i].data.ptr == nullptr) {
@@ -56,7 +56,7 @@
         Handle(*caller);
       } catch (const std::exception& error) {
         log::Error("call: {}", error.what());
-        callers_.erase(caller->self);
+        authenticator_.erase(caller->self);
       }
     }
     // After the events: taking one in may end another, of which an event could be left.
@@ -66,12 +66,12 @@
 }
 
 // At the cap whoever came first makes room: it has had the most time to say something.
-void CallServer::TakeIn() {
+void AdminServer::TakeIn() {
   for (int i = 0; i < kAtOnce; ++i) {
     Fd taken = Accept(listener_, 0);
     if (!taken.Valid()) return;
-    if (callers_.size() >= kMostCallers) callers_.pop_front();
-    auto place = callers_.emplace(callers_.end());
+    if (authenticator_.size() >= kMostCallers) authenticator_.pop_front();
+    auto place = authenticator_.emplace(authenticator_.end());
     place->self = place;
     place->fd = std::move(taken);
     place->until_us = clock_.Now() + kCallWait;
@@ -80,15 +80,15 @@
   }
 }
 
-void CallServer::Handle(Caller& caller) {
+void AdminServer::Handle(Caller& caller) {
   if (caller.answered) {
     auto dropped = Discard(caller.fd, kMostPending);
-    if (!dropped || *dropped >= kMostPending) callers_.erase(caller.self);
+    if (!dropped || *dropped >= kMostPending) authenticator_.erase(caller.self);
     return;
   }
   Io got = ReadNow(caller.fd, caller.pending);
   if (got == Io::kTimeout) return;
-  if (got != Io::kOk) return static_cast<void>(callers_.erase(caller.self));
+  if (got != Io::kOk) return static_cast<void>(authenticator_.erase(caller.self));
   HttpParser::State state = caller.parser.Feed(caller.pending);
   HttpResponse bad;
   bad.status = 400;
@@ -98,16 +98,16 @@
 }
 
 // An answer fits into any socket's buffer; who takes nothing in gets no second try.
-void CallServer::Reply(Caller& caller, const HttpResponse& response) {
+void AdminServer::Reply(Caller& caller, const HttpResponse& response) {
   if (WriteAll(caller.fd, Format(response, true), 0).status != Io::kOk)
-    return static_cast<void>(callers_.erase(caller.self));
+    return static_cast<void>(authenticator_.erase(caller.self));
   ShutDownWriting(caller.fd);
   caller.answered = true;
   caller.until_us = clock_.Now() + kLingerWait;
 }
 
-void CallServer::EndOverdue(Micros now) {
-  std::erase_if(callers_, [now](const Caller& caller) { return now >= caller.until_us; });
+void AdminServer::EndOverdue(Micros now) {
+  std::erase_if(authenticator_, [now](const Caller& caller) { return now >= caller.until_us; });
 }
 
 }  // namespace liftrudder::net
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -15,7 +15,7 @@
 
 namespace liftrudder::net {
 
-class CallServer {
+class AdminServer {
  public:
   // Descriptors it may hold beside its listener.
   static constexpr int kMostCallers = 12;
@@ -23,8 +23,8 @@
 
   // On the server's thread, and on no other.
   using Answer = std::function<HttpResponse(const HttpMessage& request)>;
-  CallServer(Fd listener, Answer answer);
-  ~CallServer();
+  AdminServer(Fd listener, Answer answer);
+  ~AdminServer();
 
  private:
   struct Caller {
@@ -45,7 +45,7 @@
   const Answer answer_;
   SteadyClock clock_;
   Fd listener_, epoll_, waker_;
-  std::list<Caller> callers_;  // in the order in which they came
+  std::list<Caller> authenticator_;  // in the order in which they came
   std::atomic<bool> stopping_{false};
   Thread thread_;
 };
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Io ClientLine::Read(std::string& plain) {
+Io ClientConnection::Read(std::string& plain) {
   if (context_ == nullptr) return ReadSome(fd_, plain, 0);
   if (!early_.empty()) {
     plain += early_;
@@ -34,7 +34,7 @@
   return plain.size() > had ? Io::kOk : Io::kTimeout;
 }
 
-Written ClientLine::Write(std::string_view plain, Micros wait_us) {
+Written ClientConnection::Write(std::string_view plain, Micros wait_us) {
   if (context_ == nullptr) return WriteAll(fd_, plain, wait_us);
   SteadyClock clock;
   Micros until = clock.Now() + wait_us;
@@ -51,7 +51,7 @@
   return out;
 }
 
-Sight ClientLine::See() {
+Sight ClientConnection::See() {
   if (!early_.empty()) return Sight::kBytes;
   Sight raw = Peek(fd_.Get());
   if (context_ == nullptr || raw != Sight::kBytes) return raw;
@@ -59,7 +59,7 @@
   return got == Io::kOk ? Sight::kBytes : got == Io::kTimeout ? Sight::kNothing : Sight::kEnd;
 }
 
-const TlsPeer* ClientLine::Peer(Micros now_us, std::string& wrong) {
+const TlsPeer* ClientConnection::Peer(Micros now_us, std::string& wrong) {
   const TlsPeer* peer = channel_ == nullptr ? nullptr : channel_->peer();
   if (peer == nullptr) return nullptr;
   std::shared_ptr<const TlsContext> newest = source_->Get();
@@ -73,7 +73,7 @@
   return peer;
 }
 
-Fd ClientLine::Finish() {
+Fd ClientConnection::Finish() {
   if (context_ != nullptr) {
     std::string wire;
     if (channel_ == nullptr) {
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -13,11 +13,11 @@
 namespace liftrudder::net {
 
 // Not for several threads at once.
-class ClientLine {
+class ClientConnection {
  public:
-  ClientLine() = default;
+  ClientConnection() = default;
   // `tls` null: none. The connection keeps the context that is newest now.
-  ClientLine(Fd fd, const TlsSource* tls)
+  ClientConnection(Fd fd, const TlsSource* tls)
       : fd_(std::move(fd)), source_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
 
   // Appends what is there, a bounded amount, without waiting. kTimeout: nothing of a request, though a
--- a/src/net/endpoint_connection_pool.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-HolderLinks::HolderLinks(const Dialect& dialect, const coordinator::HolderDirectory& directory,
-                         const coordinator::Clock& clock, const LinkLimits& limits, metrics::Counters& counters,
+EndpointConnectionPool::EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry,
+                         const coordinator::Clock& clock, const ConnectionLimits& limits, metrics::Counters& counters,
                          metrics::Figures& figures, ResultSink sink)
     : dialect_(dialect),
-      directory_(directory),
+      endpoint_registry_(endpoint_registry),
       clock_(clock),
       limits_(limits),
       idle_limit_us_(static_cast<Micros>(kIdleShare * static_cast<double>(limits.idle_close_us))),
@@ -49,7 +49,7 @@
   thread_ = Thread([this] { Loop(); });
 }
 
-HolderLinks::~HolderLinks() {
+EndpointConnectionPool::~EndpointConnectionPool() {
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -61,34 +61,34 @@
 
 // ---- what the core asks for ----
 
-void HolderLinks::Start(coordinator::AttemptOrder order) {
+void EndpointConnectionPool::Start(coordinator::AttemptRequest order) {
   std::lock_guard lock(mutex_);
-  Link& link = links_[order.holder];
-  link.holder = order.holder;
+  Link& link = links_[order.endpoint];
+  link.endpoint = order.endpoint;
   coordinator::AttemptKey key = order.key;
   Attempt& attempt = live_[key];
   attempt.order = std::move(order);
   attempt.queued_us = clock_.Now();
-  if (link.staged.empty()) staged_.push_back(link.holder);
+  if (link.staged.empty()) staged_.push_back(link.endpoint);
   link.staged.push_back(key);
 }
 
-void HolderLinks::EndRound() {
+void EndpointConnectionPool::EndRound() {
   std::lock_guard lock(mutex_);
-  for (const coordinator::ReplicaId& holder : std::exchange(staged_, {})) {
-    Link& link = links_.at(holder);
+  for (const coordinator::EndpointId& endpoint : std::exchange(staged_, {})) {
+    Link& link = links_.at(endpoint);
     for (const coordinator::AttemptKey& key : std::exchange(link.staged, {})) link.queue.push_back(key);
     Pump(link);
   }
 }
 
 // The attempt ends now, whatever its holder is at: an attempt's end waits for no socket.
-void HolderLinks::Withdraw(const coordinator::AttemptKey& key, const coordinator::ReplicaId&, coordinator::Cause cause) {
+void EndpointConnectionPool::Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId&, coordinator::Cause cause) {
   std::lock_guard lock(mutex_);
   TakeOut(key, cause);
 }
 
-void HolderLinks::TakeOut(const coordinator::AttemptKey& key, coordinator::Cause cause) {
+void EndpointConnectionPool::TakeOut(const coordinator::AttemptKey& key, coordinator::Cause cause) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
   auto place = connections_.find(found->second.connection);
@@ -116,7 +116,7 @@
 
 // Nothing is known of a holder that does not read, and a word sent to it may never come: the attempt goes on
 // until it is answered, its connection ends or its time is over. Before its first byte it is as if never sent.
-void HolderLinks::CallOff(const coordinator::AttemptKey& key) {
+void EndpointConnectionPool::CallOff(const coordinator::AttemptKey& key) {
   std::lock_guard lock(mutex_);
   auto found = live_.find(key);
   if (found == live_.end() || found->second.called_off) return;
@@ -132,14 +132,14 @@
 }
 
 // Behind a frame that is being written. It may end the connection.
-void HolderLinks::GiveUp(Number number, Connection& connection, const std::string& id) {
+void EndpointConnectionPool::GiveUp(Number number, Connection& connection, const std::string& id) {
   connection.control.push_back(dialect_.GiveUp(id));
   if (!connection.Writes()) Flush(number, connection);
 }
 
-void HolderLinks::CloseIdle(const coordinator::ReplicaId& holder) {
+void EndpointConnectionPool::CloseIdle(const coordinator::EndpointId& endpoint) {
   std::lock_guard lock(mutex_);
-  auto link = links_.find(holder);
+  auto link = links_.find(endpoint);
   if (link == links_.end()) return;
   for (Number number : std::vector<Number>(link->second.connections)) {
     Connection& connection = connections_.at(number);
@@ -147,24 +147,24 @@
   }
 }
 
-void HolderLinks::Resize(int max_connections, int holders) {
+void EndpointConnectionPool::Resize(int max_connections, int endpoints) {
   std::lock_guard lock(mutex_);
   limits_.max_connections = max_connections;
-  limits_.holders = holders;
+  limits_.endpoints = endpoints;
   ServeStarved();
 }
 
 // Guards a long day, in which holders are replaced for ever, against connections for each of them.
-void HolderLinks::ForgetGone() {
+void EndpointConnectionPool::ForgetGone() {
   std::lock_guard lock(mutex_);
   for (auto one = links_.begin(); one != links_.end();) {
     auto next = std::next(one);
     Link& link = one->second;
-    coordinator::HolderAddress holder = directory_.Find(one->first);
+    coordinator::EndpointAddress endpoint = endpoint_registry_.Find(one->first);
     bool unused = std::ranges::all_of(link.connections,
                                       [&](Number number) { return connections_.at(number).out.empty(); });
     std::erase_if(link.queue, [&](const coordinator::AttemptKey& key) { return !live_.contains(key); });
-    if ((holder.id.empty() || holder.stop_sending_us > 0) && unused && link.queue.empty() &&
+    if ((endpoint.id.empty() || endpoint.drain_deadline_us > 0) && unused && link.queue.empty() &&
         link.staged.empty()) {
       for (Number number : std::vector<Number>(link.connections))
         Drop(number, connections_.at(number), coordinator::Cause::kConnectionLost);
@@ -176,12 +176,12 @@
 
 // ---- the links' own thread ----
 
-void HolderLinks::Wake() {
+void EndpointConnectionPool::Wake() {
   std::uint64_t one = 1;
   [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
 }
 
-void HolderLinks::Loop() {
+void EndpointConnectionPool::Loop() {
   epoll_event events[kAtOnce];
   Micros wait_us = kSlice;
   while (true) {
@@ -209,7 +209,7 @@
   }
 }
 
-void HolderLinks::Handle(Number number, bool writable) {
+void EndpointConnectionPool::Handle(Number number, bool writable) {
   auto found = connections_.find(number);
   if (found == connections_.end()) return;  // ended earlier in this turn
   Connection& connection = found->second;
@@ -226,7 +226,7 @@
 }
 
 // Ends what is overdue; when it wants to look again.
-Micros HolderLinks::Sweep(Micros now) {
+Micros EndpointConnectionPool::Sweep(Micros now) {
   Micros due = now + kSlice;
   std::vector<Number> numbers;
   for (const auto& [number, connection] : connections_) {
@@ -262,7 +262,7 @@
 // ---- connections ----
 
 // Puts what waits on connections, as far as there are any; the rest waits for one that is coming up.
-void HolderLinks::Pump(Link& link) {
+void EndpointConnectionPool::Pump(Link& link) {
   while (!link.queue.empty()) {
     coordinator::AttemptKey key = link.queue.front();
     auto found = live_.find(key);
@@ -282,7 +282,7 @@
       return;
     } else {
       Begun begun = Open(link);
-      if (begun == Begun::kNoRoom && !std::exchange(link.starved, true)) starved_.push_back(link.holder);
+      if (begun == Begun::kNoRoom && !std::exchange(link.starved, true)) starved_.push_back(link.endpoint);
       if (begun != Begun::kFailed) return;
       link.queue.pop_front();
       Finish(key, coordinator::Cause::kConnectionLost);
@@ -292,10 +292,10 @@
 
 // The first of the queue and those behind it that may share its call, which costs the holder work beside that
 // of its parts.
-void HolderLinks::TakeBatch(Link& link, Number number, Connection& connection) {
+void EndpointConnectionPool::TakeBatch(Link& link, Number number, Connection& connection) {
   std::size_t text = 0;
   auto room =
-      std::min<std::size_t>(static_cast<std::size_t>(std::max(1, limits_.parts_per_call)),
+      std::min<std::size_t>(static_cast<std::size_t>(std::max(1, limits_.max_requests_per_call)),
                             static_cast<std::size_t>(limits_.streams_per_connection) - connection.out.size());
   while (!link.queue.empty() && connection.writing.size() < room) {
     coordinator::AttemptKey key = link.queue.front();
@@ -304,7 +304,7 @@
       link.queue.pop_front();
       continue;
     }
-    const coordinator::AttemptOrder& order = found->second.order;
+    const coordinator::AttemptRequest& order = found->second.order;
     text += order.payload->statement.size();
     bool first = connection.writing.empty();
     if (!first && (text > kMostCallText || Ambiguous(connection, dialect_.Id(order)))) break;
@@ -315,14 +315,14 @@
 }
 
 // An earlier attempt's answer under the same id could be taken for this one's: not on one connection.
-bool HolderLinks::Ambiguous(const Connection& connection, const std::string& id) const {
+bool EndpointConnectionPool::Ambiguous(const Connection& connection, const std::string& id) const {
   return std::ranges::find(connection.withdrawn, id) != connection.withdrawn.end() ||
          std::ranges::any_of(connection.out, [&](const auto& one) { return one.first == id; });
 }
 
 // Guards against our own cap told as a holder's failure: what finds no room waits for it, those first that
 // have waited longest, as long as its query does.
-void HolderLinks::ServeStarved() {
+void EndpointConnectionPool::ServeStarved() {
   while (!starved_.empty()) {
     auto link = links_.find(starved_.front());
     bool waits = link != links_.end() && !link->second.queue.empty();
@@ -334,7 +334,7 @@
 }
 
 // Not for anything new: idle too long, to an address that is not the holder's any more, or given up.
-bool HolderLinks::OutOfUse(const Connection& connection, const std::string& addr, Micros now) const {
+bool EndpointConnectionPool::OutOfUse(const Connection& connection, const std::string& addr, Micros now) const {
   bool idle = connection.out.empty() && now - connection.used_us > idle_limit_us_;
   return idle || connection.addr != addr || connection.given_up;
 }
@@ -342,16 +342,16 @@
 // Guards the other parts out on a connection from an answer that spoils it: as long as there are connections
 // to spare beside one for each holder, each part out has one of its own: a second one for this holder must
 // not keep another without any. A usable one is never left for one that is slow to come up.
-bool HolderLinks::MayOpenAnother(const Link& link) const {
-  double holders = std::max<double>(limits_.holders, static_cast<double>(links_.size()));
-  double spare = std::max(0.0, limits_.max_connections - kReplaced * holders);
+bool EndpointConnectionPool::MayOpenAnother(const Link& link) const {
+  double endpoints = std::max<double>(limits_.endpoints, static_cast<double>(links_.size()));
+  double spare = std::max(0.0, limits_.max_connections - kReplaced * endpoints);
   auto more = static_cast<double>(connections_.size()) - static_cast<double>(links_.size());
-  auto calls = (static_cast<int>(link.queue.size()) + limits_.parts_per_call - 1) / limits_.parts_per_call;
+  auto calls = (static_cast<int>(link.queue.size()) + limits_.max_requests_per_call - 1) / limits_.max_requests_per_call;
   return !link.slow_connect && more < kSpread * spare && !Full() && link.connecting < calls;
 }
 
-HolderLinks::Number HolderLinks::Pick(Link& link, const std::string& id) {
-  std::string addr = directory_.Find(link.holder).addr;
+EndpointConnectionPool::Number EndpointConnectionPool::Pick(Link& link, const std::string& id) {
+  std::string addr = endpoint_registry_.Find(link.endpoint).addr;
   Micros now = clock_.Now();
   Number best = 0;
   std::size_t least = 0;
@@ -371,11 +371,11 @@
   return link.connecting > 0 && !link.slow_connect ? 0 : best;
 }
 
-bool HolderLinks::Full() const { return static_cast<int>(connections_.size()) >= limits_.max_connections; }
+bool EndpointConnectionPool::Full() const { return static_cast<int>(connections_.size()) >= limits_.max_connections; }
 
-HolderLinks::Begun HolderLinks::Open(Link& link) {
+EndpointConnectionPool::Begun EndpointConnectionPool::Open(Link& link) {
   if (Full() && !MakeRoom()) return Begun::kNoRoom;
-  std::string addr = directory_.Find(link.holder).addr;
+  std::string addr = endpoint_registry_.Find(link.endpoint).addr;
   Fd fd = BeginConnect(addr);
   // Descriptors are out although the share of them is not: the other side still holds some of ours.
   if (!fd.Valid() && OutOfDescriptors() && MakeRoom()) fd = BeginConnect(addr);
@@ -405,8 +405,8 @@
 // But where the list is longer than the cap a wide query goes over all holders in turn, and that one is just
 // what the next query wants first: taken each time, all would be opened anew for each query. There the one
 // used last makes room, and most of the others stay.
-bool HolderLinks::MakeRoom() {
-  bool newest = limits_.holders > limits_.max_connections;
+bool EndpointConnectionPool::MakeRoom() {
+  bool newest = limits_.endpoints > limits_.max_connections;
   auto worst = connections_.end();
   for (auto one = connections_.begin(); one != connections_.end(); ++one) {
     if (!one->second.up || !one->second.out.empty()) continue;
@@ -417,7 +417,7 @@
   return true;
 }
 
-void HolderLinks::CameUp(Number number, Connection& connection) {
+void EndpointConnectionPool::CameUp(Number number, Connection& connection) {
   connection.up = true;
   connection.used_us = connection.heard_us = clock_.Now();
   --connection.link->connecting;
@@ -428,7 +428,7 @@
 
 // Guards against waits that add up: what stood in the queue when a connection that did not come up was begun
 // has waited as long for it, and is not made to wait for another.
-void HolderLinks::ConnectFailed(Number number, Connection& connection) {
+void EndpointConnectionPool::ConnectFailed(Number number, Connection& connection) {
   Link& link = *connection.link;
   Micros begun_us = connection.begun_us;
   log::Info("holder at {}: no connection after {} us", connection.addr, clock_.Now() - begun_us);
@@ -446,7 +446,7 @@
   }
 }
 
-void HolderLinks::Arm(Number number, Connection& connection, bool writes) {
+void EndpointConnectionPool::Arm(Number number, Connection& connection, bool writes) {
   connection.armed = writes;
   epoll_event event{EPOLLIN | (writes ? EPOLLOUT : 0u), {}};
   event.data.u64 = number;
@@ -454,7 +454,7 @@
 }
 
 // Ends it and all that is out on it.
-void HolderLinks::Drop(Number number, Connection& connection, coordinator::Cause cause) {
+void EndpointConnectionPool::Drop(Number number, Connection& connection, coordinator::Cause cause) {
   Link& link = *connection.link;
   link.connecting -= connection.up ? 0 : 1;
   std::erase(link.connections, number);
@@ -466,17 +466,17 @@
 // ---- frames out ----
 
 // Looked at before the first byte only: a client that has left, a holder that drains, a time that is over.
-std::optional<coordinator::Cause> HolderLinks::Barred(const coordinator::AttemptOrder& order) const {
+std::optional<coordinator::Cause> EndpointConnectionPool::Barred(const coordinator::AttemptRequest& order) const {
   if (order.payload->client != nullptr && order.payload->client->Gone()) return coordinator::Cause::kLeft;
   Micros now = clock_.Now();
-  coordinator::HolderAddress holder = directory_.Find(order.holder);
-  bool stopped = holder.id.empty() || (holder.stop_sending_us > 0 && now >= holder.stop_sending_us);
-  if (stopped || now >= order.wait_until_us) return coordinator::Cause::kStale;
+  coordinator::EndpointAddress endpoint = endpoint_registry_.Find(order.endpoint);
+  bool stopped = endpoint.id.empty() || (endpoint.drain_deadline_us > 0 && now >= endpoint.drain_deadline_us);
+  if (stopped || now >= order.attempt_deadline_us) return coordinator::Cause::kStale;
   return std::nullopt;
 }
 
 // Into the frame that is written next on it.
-void HolderLinks::Enter(Number number, Connection& connection, const coordinator::AttemptKey& key,
+void EndpointConnectionPool::Enter(Number number, Connection& connection, const coordinator::AttemptKey& key,
                         Attempt& attempt) {
   Micros now = clock_.Now();
   connection.written = 0;
@@ -488,7 +488,7 @@
   attempt.connection = number;
 }
 
-bool HolderLinks::Flush(Number number, Connection& connection) {
+bool EndpointConnectionPool::Flush(Number number, Connection& connection) {
   while (connection.Writes() || !connection.control.empty()) {
     if (!connection.Writes()) {
       connection.frame = std::move(connection.control.front());
@@ -520,8 +520,8 @@
 
 // Guards the first byte of a frame, also of one that had to wait for room: by now a client may have left, a
 // time be over or the holder drain. The frame is made of what may still go; false when nothing may.
-bool HolderLinks::Compose(Connection& connection) {
-  std::vector<const coordinator::AttemptOrder*> orders;
+bool EndpointConnectionPool::Compose(Connection& connection) {
+  std::vector<const coordinator::AttemptRequest*> orders;
   for (const coordinator::AttemptKey& key : std::vector<coordinator::AttemptKey>(connection.writing)) {
     auto found = live_.find(key);
     std::optional<coordinator::Cause> barred = coordinator::Cause::kStale;
@@ -538,7 +538,7 @@
 }
 
 // Nothing of the frame has been written: the attempt is as if it had never been on this connection.
-void HolderLinks::TakeBack(Connection& connection, const coordinator::AttemptKey& key) {
+void EndpointConnectionPool::TakeBack(Connection& connection, const coordinator::AttemptKey& key) {
   std::erase_if(connection.out, [&](const auto& one) { return one.second == key; });
   std::erase(connection.writing, key);
   if (connection.writing.empty()) connection.frame.clear();
@@ -551,7 +551,7 @@
 // It took no more. One that turns out broken before an attempt's first byte has told nobody anything of it:
 // that goes to another. Answers that came before the end still count; a frame cut short ends with the
 // connection.
-bool HolderLinks::Broken(Number number, Connection& connection) {
+bool EndpointConnectionPool::Broken(Number number, Connection& connection) {
   std::vector<coordinator::AttemptKey> writing = std::exchange(connection.writing, {});
   for (auto key = writing.rbegin(); connection.written == 0 && key != writing.rend(); ++key) {
     auto found = live_.find(*key);
@@ -567,8 +567,8 @@
 
 // ---- answers in ----
 
-bool HolderLinks::Receive(Number number, Connection& connection) {
-  std::vector<HolderAnswer> answers;
+bool EndpointConnectionPool::Receive(Number number, Connection& connection) {
+  std::vector<EndpointAnswer> answers;
   Io got = Io::kOk;
   // One that never stops sending must not keep the others waiting: the poll comes back to it.
   for (int turn = 0; got == Io::kOk; ++turn) {
@@ -593,7 +593,7 @@
     if (got == Io::kOk) connection.heard_us = clock_.Now();
     // Guards against spoilt answers: once something came that cannot be used, was asked by nobody, or does
     // not go on, nothing after it on this connection can be trusted, and all that is out there may have run.
-    for (HolderAnswer& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
+    for (EndpointAnswer& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
     if (!usable) {
       counters_.spoilt.Add();
       Drop(number, connection, coordinator::Cause::kSpoilt);
@@ -606,7 +606,7 @@
 }
 
 // False when it answers nothing that was asked on this connection.
-bool HolderLinks::TakeAnswer(Connection& connection, HolderAnswer answer) {
+bool EndpointConnectionPool::TakeAnswer(Connection& connection, EndpointAnswer answer) {
   connection.used_us = clock_.Now();
   auto found = std::ranges::find(connection.out, answer.id, &std::pair<std::string, coordinator::AttemptKey>::first);
   if (found == connection.out.end()) return std::erase(connection.withdrawn, answer.id) > 0;
@@ -618,7 +618,7 @@
   return true;
 }
 
-void HolderLinks::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, HolderAnswer answer) {
+void EndpointConnectionPool::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointAnswer answer) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
   coordinator::AttemptResult result{key, found->second.progress, cause, std::move(answer.load),
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -25,7 +25,7 @@
 namespace liftrudder::net {
 
 // One answer read off a connection, by the id it was asked under.
-struct HolderAnswer {
+struct EndpointAnswer {
   std::string id;
   coordinator::Cause cause = coordinator::Cause::kServed;
   std::vector<double> load;
@@ -38,57 +38,57 @@
   virtual ~AnswerReader() = default;
   // Takes whole answers off the front of `in`; false when what came cannot be used. `oldest` is the id that
   // has been out longest, for wires whose answers carry none.
-  virtual bool Take(std::string& in, const std::string& oldest, std::vector<HolderAnswer>& out) = 0;
+  virtual bool Take(std::string& in, const std::string& oldest, std::vector<EndpointAnswer>& out) = 0;
   // The holder has ended the connection.
-  virtual void End(const std::string&, std::vector<HolderAnswer>&) {}
+  virtual void End(const std::string&, std::vector<EndpointAnswer>&) {}
 };
 
 class Dialect {
  public:
   virtual ~Dialect() = default;
-  virtual std::string Id(const coordinator::AttemptOrder& order) const = 0;
-  // What asks for all of these at once; more than one only where LinkLimits::parts_per_call allows it.
-  virtual std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+  virtual std::string Id(const coordinator::AttemptRequest& order) const = 0;
+  // What asks for all of these at once; more than one only where ConnectionLimits::parts_per_call allows it.
+  virtual std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                           Micros now_us) const = 0;
   // What gives up an attempt; empty: only closing its connection does.
   virtual std::string GiveUp(const std::string& id) const = 0;
   virtual std::unique_ptr<AnswerReader> Reader() const = 0;
 };
 
-struct LinkLimits {
+struct ConnectionLimits {
   Micros connect_timeout_us = 250'000;
   Micros idle_close_us = 30'000'000;
   int streams_per_connection = 100;
-  int parts_per_call = 1;     // in one frame
+  int max_requests_per_call = 1;     // in one frame
   int max_connections = 128;  // of all links together
-  int holders = 0;            // as many are known of
+  int endpoints = 0;            // as many are known of
 };
 
 using ResultSink = std::function<void(coordinator::AttemptResult)>;
 
 // The core's transport over links. All state is under one lock; it is never held while something is waited
 // for.
-class HolderLinks : public coordinator::HolderTransport {
+class EndpointConnectionPool : public coordinator::EndpointTransport {
  public:
-  HolderLinks(const Dialect& dialect, const coordinator::HolderDirectory& directory, const coordinator::Clock& clock,
-              const LinkLimits& limits, metrics::Counters& counters, metrics::Figures& figures,
+  EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry, const coordinator::Clock& clock,
+              const ConnectionLimits& limits, metrics::Counters& counters, metrics::Figures& figures,
               ResultSink sink);
-  ~HolderLinks();
+  ~EndpointConnectionPool();
 
-  void Start(coordinator::AttemptOrder order) override;
+  void Start(coordinator::AttemptRequest order) override;
   void EndRound() override;
-  void Withdraw(const coordinator::AttemptKey& key, const coordinator::ReplicaId& holder, coordinator::Cause cause) override;
+  void Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint, coordinator::Cause cause) override;
   void CallOff(const coordinator::AttemptKey& key) override;
-  void CloseIdle(const coordinator::ReplicaId& holder) override;
+  void CloseIdle(const coordinator::EndpointId& endpoint) override;
   void ForgetGone() override;
   // The list has grown or shrunk, and with it what both sides may hold.
-  void Resize(int max_connections, int holders);
+  void Resize(int max_connections, int endpoints);
 
  private:
   using Number = std::uint64_t;  // a connection's; never given twice, so that late events find nothing
 
   struct Link {
-    coordinator::ReplicaId holder;
+    coordinator::EndpointId endpoint;
     std::deque<coordinator::AttemptKey> staged;  // of the round that is on
     std::deque<coordinator::AttemptKey> queue;   // not on a connection yet
     std::vector<Number> connections;
@@ -120,7 +120,7 @@
     bool Writes() const { return !frame.empty() || !writing.empty(); }
   };
   struct Attempt {
-    coordinator::AttemptOrder order;
+    coordinator::AttemptRequest order;
     coordinator::Progress progress = coordinator::Progress::kNotConnected;
     Number connection = 0;
     Micros queued_us = 0;
@@ -154,18 +154,18 @@
   void TakeBack(Connection& connection, const coordinator::AttemptKey& key);
   bool Broken(Number number, Connection& connection);
   bool Receive(Number number, Connection& connection);
-  bool TakeAnswer(Connection& connection, HolderAnswer answer);
+  bool TakeAnswer(Connection& connection, EndpointAnswer answer);
   void Drop(Number number, Connection& connection, coordinator::Cause cause);
   void Arm(Number number, Connection& connection, bool writes);
-  std::optional<coordinator::Cause> Barred(const coordinator::AttemptOrder& order) const;
+  std::optional<coordinator::Cause> Barred(const coordinator::AttemptRequest& order) const;
   bool OutOfUse(const Connection& connection, const std::string& addr, Micros now) const;
   void GiveUp(Number number, Connection& connection, const std::string& id);
-  void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, HolderAnswer answer = {});
+  void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointAnswer answer = {});
 
   const Dialect& dialect_;
-  const coordinator::HolderDirectory& directory_;
+  const coordinator::EndpointResolver& endpoint_registry_;
   const coordinator::Clock& clock_;
-  LinkLimits limits_;
+  ConnectionLimits limits_;
   const Micros idle_limit_us_;
   metrics::Counters& counters_;
   metrics::Figures& figures_;
@@ -174,11 +174,11 @@
   bool stopping_ = false;
   Micros asleep_until_us_ = 0;  // the thread's, while it waits
   Micros sweep_us_ = 0;         // when it looks for what is overdue next
-  std::map<coordinator::ReplicaId, Link> links_;
-  std::vector<coordinator::ReplicaId> staged_;                 // links with something of the round that is on
+  std::map<coordinator::EndpointId, Link> links_;
+  std::vector<coordinator::EndpointId> staged_;                 // links with something of the round that is on
   std::unordered_map<Number, Connection> connections_;  // bounded by limits_.max_connections
   Number given_ = 0;
-  std::deque<coordinator::ReplicaId> starved_;       // links that found no room for a connection, in turn
+  std::deque<coordinator::EndpointId> starved_;       // links that found no room for a connection, in turn
   std::map<coordinator::AttemptKey, Attempt> live_;  // whoever takes an attempt out of here tells its end
   Fd epoll_, waker_;
   Thread thread_;
--- a/src/net/explain_page.cpp
+++ b/src/net/explain_page.cpp
@@ -4,10 +4,10 @@
 
 namespace liftrudder::net {
 
-HttpResponse WhyPage(decision_log::Desk* desk, const HttpMessage& request) {
+HttpResponse ExplainPage(decision_log::ExplainService* explain_service, const HttpMessage& request) {
   HttpResponse out;
   out.type = "text/plain";
-  if (desk == nullptr) {
+  if (explain_service == nullptr) {
     out.status = 404;
     out.body = "the record of decisions is off (why.bytes is 0)\n";
     return out;
@@ -17,7 +17,7 @@
     out.body = "only GET\n";
     return out;
   }
-  decision_log::Reply reply = desk->Ask(request.Parameters());
+  decision_log::Reply reply = explain_service->Ask(request.Parameters());
   out.status = reply.status;
   if (reply.json) out.type = "application/json";
   if (reply.retry_after_us > 0)
--- a/src/net/explain_page.h
+++ b/src/net/explain_page.h
@@ -8,7 +8,7 @@
 namespace liftrudder::net {
 
 // `desk` may be null: the record is off, and the page says so. Any thread.
-HttpResponse WhyPage(decision_log::Desk* desk, const HttpMessage& request);
+HttpResponse ExplainPage(decision_log::ExplainService* explain_service, const HttpMessage& request);
 
 }  // namespace liftrudder::net
 
--- a/src/net/json.cpp
+++ b/src/net/json.cpp
@@ -158,7 +158,7 @@
 
 bool Valid(std::string_view text) { return Take(text) && text.empty(); }
 
-bool Members(std::string_view object, const OnMember& each) {
+bool JsonMembers(std::string_view object, const OnMember& each) {
   SkipBlanks(object);
   if (!object.starts_with('{')) return false;
   bool ok = Walk(object, '}', [&] {
@@ -184,7 +184,7 @@
 
 std::string_view Get(std::string_view object, std::string_view key) {
   std::string_view found;
-  Members(object, [&](std::string_view name, std::string_view value) {
+  JsonMembers(object, [&](std::string_view name, std::string_view value) {
     if (name == key) found = value;
     return true;
   });
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -18,7 +18,7 @@
 // Calls for each member or element; false when malformed, not of that kind, or the callee said stop.
 using OnMember = std::function<bool(std::string_view key, std::string_view value)>;
 using OnElement = std::function<bool(std::string_view value)>;
-bool Members(std::string_view object, const OnMember& each);
+bool JsonMembers(std::string_view object, const OnMember& each);
 bool Elements(std::string_view array, const OnElement& each);
 
 // One member's text; empty when there is none.
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -18,17 +18,17 @@
 
 }  // namespace
 
-Lingerer::Lingerer(std::size_t most)
+LingeringCloser::LingeringCloser(std::size_t most)
     : most_(most), waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)), thread_([this] { Loop(); }) {}
 
-Lingerer::~Lingerer() {
+LingeringCloser::~LingeringCloser() {
   stopping_ = true;
   std::uint64_t one = 1;
   [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
   thread_.Join();
 }
 
-void Lingerer::Take(Fd fd) {
+void LingeringCloser::Take(Fd fd) {
   ShutDownWriting(fd);
   std::lock_guard lock(mutex_);
   if (all_.size() >= most_) all_.pop_front();
@@ -37,17 +37,17 @@
   [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
 }
 
-void Lingerer::Resize(std::size_t most) {
+void LingeringCloser::Resize(std::size_t most) {
   std::lock_guard lock(mutex_);
   most_ = most;
 }
 
-bool Lingerer::WaitEmpty(Micros wait_us) {
+bool LingeringCloser::WaitEmpty(Micros wait_us) {
   std::unique_lock lock(mutex_);
   return emptied_.wait_for(lock, std::chrono::microseconds(wait_us), [this] { return all_.empty(); });
 }
 
-void Lingerer::Loop() {
+void LingeringCloser::Loop() {
   while (!stopping_) {
     std::vector<pollfd> fds{{waker_.Get(), POLLIN, 0}};
     {
@@ -62,7 +62,7 @@
   }
 }
 
-void Lingerer::Sweep() {
+void LingeringCloser::Sweep() {
   std::lock_guard lock(mutex_);
   Micros now = clock_.Now();
   std::erase_if(all_, [now](One& one) {
--- a/src/net/lingering_closer.h
+++ b/src/net/lingering_closer.h
@@ -11,11 +11,11 @@
 
 namespace liftrudder::net {
 
-class Lingerer {
+class LingeringCloser {
  public:
   // Holds at most so many connections; beyond that the oldest is closed as it is.
-  explicit Lingerer(std::size_t most);
-  ~Lingerer();
+  explicit LingeringCloser(std::size_t most);
+  ~LingeringCloser();
 
   // Ends our writing, throws away what still comes, bounded in bytes and time, and closes. Never blocks.
   void Take(Fd fd);
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -44,19 +44,19 @@
       most_connections_(limits.connections),
       most_requests_(limits.requests),
       tls_(tls),
-      lingerer_(kLingering),
+      lingering_closer_(kLingering),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{EPOLLIN, {}};
   event.data.u64 = kListener;
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, listener_.Get(), &event);
-  door_ = Thread([this] { WatchDoor(); });
+  reader_thread_ = Thread([this] { RunReader(); });
 }
 
 Server::~Server() {
   Drain();
   StopListening();
   while (!WaitClosed(kRequestWait)) log::Error("client connections stay open");
-  door_.Join();
+  reader_thread_.Join();
 }
 
 void Server::Resize(const ServerLimits& limits) {
@@ -89,13 +89,13 @@
   {
     std::unique_lock lock(mutex_);
     bool closed = left_.wait_for(lock, std::chrono::microseconds(wait_us),
-                                 [this] { return sessions_.empty() && workers_ == 0 && door_ended_; });
+                                 [this] { return sessions_.empty() && workers_ == 0 && reader_ended_; });
     if (!closed) return false;
   }
-  return lingerer_.WaitEmpty(std::max<Micros>(0, until - clock_.Now()));
+  return lingering_closer_.WaitEmpty(std::max<Micros>(0, until - clock_.Now()));
 }
 
-void Server::WatchDoor() {
+void Server::RunReader() {
   bool listening = true;
   while (true) {
     bool last = stopping_;  // looked at before the events: what came until then is taken in below
@@ -124,11 +124,11 @@
       listening = false;
     }
     listener_ = Fd();
-    lingerer_.Resize(static_cast<std::size_t>(std::max(1, most_connections_.load())));
+    lingering_closer_.Resize(static_cast<std::size_t>(std::max(1, most_connections_.load())));
     if (EndUnused(clock_.Now())) break;
   }
   std::lock_guard lock(mutex_);
-  door_ended_ = true;
+  reader_ended_ = true;
   left_.notify_all();
 }
 
@@ -160,7 +160,7 @@
   for (int i = 0; i < kAtOnce; ++i) {
     Fd accepted = Accept(listener_, 0);
     if (!accepted.Valid()) return false;
-    ClientLine client(std::move(accepted), tls_);
+    ClientConnection client(std::move(accepted), tls_);
     Micros now = clock_.Now();
     if (!MakeRoom(now)) {
       TurnAway(std::move(client));
@@ -189,25 +189,25 @@
 
 // Its worker may have ended a busy connection, or made it idle, since the poll saw something there.
 void Server::Happened(Number number, bool gone) {
-  std::shared_ptr<Vigil> vigil;
+  std::shared_ptr<ReplyWaiter> reply_waiter;
   Place place;
   {
     std::lock_guard lock(mutex_);
     auto found = places_.find(number);
     if (found == places_.end()) return;
     place = found->second;
-    if (place->phase == Phase::kBusy) vigil = place->vigil;
+    if (place->phase == Phase::kBusy) reply_waiter = place->reply_waiter;
     // Bytes that stay unread until the worker looks must not hide that their client leaves.
-    if (vigil != nullptr && !gone) Arm(*place, EPOLL_CTL_MOD, 0);
+    if (reply_waiter != nullptr && !gone) Arm(*place, EPOLL_CTL_MOD, 0);
   }
-  if (vigil != nullptr) return vigil->Stir(gone);
+  if (reply_waiter != nullptr) return reply_waiter->Stir(gone);
   Receive(place);
 }
 
-void Server::TurnAway(ClientLine client) {
+void Server::TurnAway(ClientConnection client) {
   counters_.turned_away.Add();
   client.Write(Format(handler_.Overloaded(nullptr), true), 0);
-  lingerer_.Take(client.Finish());
+  lingering_closer_.Take(client.Finish());
 }
 
 // Guards against handshakes that are begun and left: each holds some 50 KB, and they may not fill the memory.
@@ -229,11 +229,11 @@
   }
 }
 
-ClientLine Server::Remove(Place place) {
+ClientConnection Server::Remove(Place place) {
   std::lock_guard lock(mutex_);
   // The connection may live on at the lingerer: its events must not name a session that is gone.
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_DEL, place->line.fd(), nullptr);
-  ClientLine line = std::move(place->line);
+  ClientConnection line = std::move(place->line);
   busy_ -= place->phase == Phase::kBusy ? 1 : 0;
   places_.erase(place->number);
   sessions_.erase(place);
@@ -244,7 +244,7 @@
 // The last answer on it: what the client has written meanwhile must not turn that into a reset.
 void Server::Refuse(Place place, const HttpResponse& response) {
   place->line.Write(Format(response, true), 0);
-  lingerer_.Take(Remove(place).Finish());
+  lingering_closer_.Take(Remove(place).Finish());
 }
 
 // Guards against connections held for nothing: mute ones, and those of clients that asked once and stay. Mute
@@ -357,7 +357,7 @@
     place->phase = Phase::kBusy;
     // The number finds this connection only: by the time it is looked at again another may have its
     // descriptor.
-    place->vigil = std::make_shared<Vigil>([this, number = place->number] {
+    place->reply_waiter = std::make_shared<ReplyWaiter>([this, number = place->number] {
       std::lock_guard again(mutex_);
       auto found = places_.find(number);
       if (found != places_.end()) Arm(*found->second, EPOLL_CTL_MOD, EPOLLIN);
@@ -381,7 +381,7 @@
   std::unique_lock lock(mutex_);
   if (stopping_ && place->phase == Phase::kBusy) {
     lock.unlock();
-    return lingerer_.Take(Remove(place).Finish());
+    return lingering_closer_.Take(Remove(place).Finish());
   }
   busy_ -= place->phase == Phase::kBusy ? 1 : 0;
   place->phase = Phase::kIdle;
@@ -389,7 +389,7 @@
   place->until_us = place->since_us + kIdleWait;
   place->received_us = 0;
   place->parser = HttpParser(HttpParser::Kind::kRequest);
-  place->vigil = nullptr;
+  place->reply_waiter = nullptr;
   Arm(*place, EPOLL_CTL_MOD, EPOLLIN);
 }
 
@@ -415,7 +415,7 @@
 }
 
 void Server::Answer(Place place, std::vector<Served>& served) try {
-  Exchange exchange{&place->line, place->received_us, !Ready(), &served, place->vigil};
+  Exchange exchange{&place->line, place->received_us, !Ready(), &served, place->reply_waiter};
   auto response = handler_.Handle(place->parser.message(), exchange);
   if (!response) return static_cast<void>(Remove(place));
   // Told to end, we still serve those who are connected until new ones are turned away: sent off at once,
@@ -427,7 +427,7 @@
   if (written.status != Io::kOk) {
     Remove(place);
   } else if (close) {
-    lingerer_.Take(Remove(place).Finish());
+    lingering_closer_.Take(Remove(place).Finish());
   } else {
     Restart(place);
   }
@@ -436,7 +436,7 @@
   Remove(place);
 }
 
-void Vigil::Stir(bool gone) {
+void ReplyWaiter::Stir(bool gone) {
   if (gone) client_->Leave();
   std::lock_guard lock(mutex_);
   stirred_ = true;
@@ -444,24 +444,24 @@
 }
 
 void WaitingReply::Deliver(coordinator::FinalAnswer answer) {
-  std::lock_guard lock(vigil_->mutex_);
+  std::lock_guard lock(reply_waiter_->mutex_);
   answer_ = std::move(answer);
-  vigil_->came_.notify_one();
+  reply_waiter_->came_.notify_one();
 }
 
-WaitingReply::End WaitingReply::Wait(ClientLine& client, const coordinator::Clock& clock, Micros deadline_us) {
-  std::unique_lock lock(vigil_->mutex_);
+WaitingReply::End WaitingReply::Wait(ClientConnection& client, const coordinator::Clock& clock, Micros deadline_us) {
+  std::unique_lock lock(reply_waiter_->mutex_);
   while (!answer_) {
     Micros left = deadline_us - clock.Now();
     if (left <= 0) return End::kLate;
-    if (!std::exchange(vigil_->stirred_, false)) {
-      vigil_->came_.wait_for(lock, std::chrono::microseconds(left));
+    if (!std::exchange(reply_waiter_->stirred_, false)) {
+      reply_waiter_->came_.wait_for(lock, std::chrono::microseconds(left));
       continue;
     }
     lock.unlock();
     Sight sight = client.See();
-    if (sight == Sight::kEnd) vigil_->client_->Leave();
-    if (sight == Sight::kNothing) vigil_->look_again_();
+    if (sight == Sight::kEnd) reply_waiter_->client_->Leave();
+    if (sight == Sight::kNothing) reply_waiter_->look_again_();
     if (sight == Sight::kEnd) return End::kGone;
     if (sight == Sight::kBytes) return End::kCrowded;
     lock.lock();
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -29,17 +29,17 @@
 // Where a worker waits for the answers to one request. The door's thread goes on looking at the connection
 // and stirs the worker when something is to be seen there; a client that has gone is marked so at once,
 // before any worker runs.
-class Vigil {
+class ReplyWaiter {
  public:
   // `look_again`: the connection is to be watched on, after what was seen there turned out to be nothing.
-  explicit Vigil(std::function<void()> look_again) : look_again_(std::move(look_again)) {}
-  const std::shared_ptr<coordinator::Presence>& client() const { return client_; }
+  explicit ReplyWaiter(std::function<void()> look_again) : look_again_(std::move(look_again)) {}
+  const std::shared_ptr<coordinator::ClientPresence>& client() const { return client_; }
   void Stir(bool gone);
 
  private:
   friend class WaitingReply;
   const std::function<void()> look_again_;
-  const std::shared_ptr<coordinator::Presence> client_ = std::make_shared<coordinator::Presence>();
+  const std::shared_ptr<coordinator::ClientPresence> client_ = std::make_shared<coordinator::ClientPresence>();
   std::mutex mutex_;
   std::condition_variable came_;  // an answer, or a stir
   bool stirred_ = false;
@@ -47,11 +47,11 @@
 
 // What a handler knows of the connection it answers on.
 struct Exchange {
-  ClientLine* line = nullptr;  // to see the client go, and who it is
+  ClientConnection* line = nullptr;  // to see the client go, and who it is
   Micros received_us = 0;      // when the request's first byte was seen
   bool draining = false;
   std::vector<Served>* served = nullptr;  // the handler enters which queries its response answers
-  std::shared_ptr<Vigil> vigil;           // to wait at
+  std::shared_ptr<ReplyWaiter> reply_waiter;           // to wait at
 };
 
 class Handler {
@@ -102,19 +102,19 @@
   using Number = std::uint64_t;  // a session's; never given twice, so that late events find nothing
   struct Session {
     Number number = 0;
-    ClientLine line;
+    ClientConnection line;
     Phase phase = Phase::kNew;
     Micros since_us = 0;     // in this phase
     Micros until_us = 0;     // when a request must have come
     Micros received_us = 0;  // when its first byte was seen
     HttpParser parser{HttpParser::Kind::kRequest};
     std::string pending;
-    std::shared_ptr<Vigil> vigil;  // while it is busy
+    std::shared_ptr<ReplyWaiter> reply_waiter;  // while it is busy
   };
   using Place = std::list<Session>::iterator;
 
   // The door's thread: takes connections and requests in, and ends those that are due.
-  void WatchDoor();
+  void RunReader();
   bool TakeIn();
   bool EndUnused(Micros now);
   void Happened(Number number, bool gone);
@@ -124,8 +124,8 @@
   void EndOverdue(Micros now);
   void Arm(const Session& session, int how, std::uint32_t what);
   void Refuse(Place place, const HttpResponse& response);
-  ClientLine Remove(Place place);
-  void TurnAway(ClientLine client);
+  ClientConnection Remove(Place place);
+  void TurnAway(ClientConnection client);
   bool Leaving() const;
   void LimitShaking();
 
@@ -140,7 +140,7 @@
   metrics::Counters& counters_;
   std::atomic<int> most_connections_, most_requests_;
   const TlsSource* tls_;  // null: none
-  Lingerer lingerer_;
+  LingeringCloser lingering_closer_;
   Fd epoll_;
   std::atomic<bool> draining_{false}, left_listener_{false};
   std::atomic<Micros> aside_us_{0};  // since when; 0: in service
@@ -153,25 +153,25 @@
   Number given_ = 0;                          // the door's
   std::deque<Place> ready_;                   // busy, and no worker's yet
   int busy_ = 0, workers_ = 0, idle_workers_ = 0;
-  bool door_ended_ = false;  // under the lock
+  bool reader_ended_ = false;  // under the lock
   Micros looked_us_ = 0;     // the door's: when it last looked for what is overdue
-  Thread door_;
+  Thread reader_thread_;
 };
 
 // A client's place to wait; see coordinator::ClientReply.
 class WaitingReply : public coordinator::ClientReply {
  public:
-  explicit WaitingReply(std::shared_ptr<Vigil> vigil) : vigil_(std::move(vigil)) {}
+  explicit WaitingReply(std::shared_ptr<ReplyWaiter> reply_waiter) : reply_waiter_(std::move(reply_waiter)) {}
   void Deliver(coordinator::FinalAnswer answer) override;
 
   // Crowded: the client has written more although its answer is still out.
   enum class End { kAnswered, kGone, kLate, kCrowded };
   // Until the answer is there, the client has gone, or `deadline_us` has come.
-  End Wait(ClientLine& client, const coordinator::Clock& clock, Micros deadline_us);
+  End Wait(ClientConnection& client, const coordinator::Clock& clock, Micros deadline_us);
   coordinator::FinalAnswer& answer() { return *answer_; }
 
  private:
-  const std::shared_ptr<Vigil> vigil_;
+  const std::shared_ptr<ReplyWaiter> reply_waiter_;
   std::optional<coordinator::FinalAnswer> answer_;  // under the vigil's lock
 };
 
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -10,7 +10,7 @@
 
 class SearchReader : public net::AnswerReader {
  public:
-  bool Take(std::string& in, const std::string& oldest, std::vector<net::HolderAnswer>& out) override {
+  bool Take(std::string& in, const std::string& oldest, std::vector<net::EndpointAnswer>& out) override {
     if (oldest.empty()) return false;  // nobody asked
     switch (parser_.Feed(in)) {
       case net::HttpParser::State::kBad:
@@ -24,15 +24,15 @@
     }
   }
 
-  void End(const std::string& oldest, std::vector<net::HolderAnswer>& out) override {
+  void End(const std::string& oldest, std::vector<net::EndpointAnswer>& out) override {
     if (!oldest.empty() && parser_.End() == net::HttpParser::State::kDone) Finish(oldest, out);
   }
 
  private:
-  bool Finish(const std::string& oldest, std::vector<net::HolderAnswer>& out) {
+  bool Finish(const std::string& oldest, std::vector<net::EndpointAnswer>& out) {
     net::HttpMessage message = std::move(parser_.message());
     parser_ = net::HttpParser(net::HttpParser::Kind::kResponse);
-    net::HolderAnswer answer;
+    net::EndpointAnswer answer;
     answer.id = oldest;
     bool good = message.status >= 200 && message.status < 300;
     if (message.status == 429) {
@@ -52,19 +52,19 @@
 
 }  // namespace
 
-std::string SearchDialect::Id(const coordinator::AttemptOrder& order) const {
+std::string SearchDialect::Id(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string SearchDialect::Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+std::string SearchDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                                coordinator::Micros now_us) const {
-  const coordinator::AttemptOrder& order = *orders.front();  // one a call
+  const coordinator::AttemptRequest& order = *orders.front();  // one a call
   const coordinator::Payload& payload = *order.payload;
   return fmt::format(
       "POST {}{}preference=_shards:{} HTTP/1.1\r\nHost: {}\r\nX-Opaque-Id: {}\r\nX-Budget: {:.3f}\r\n"
       "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
-      payload.target, payload.target.find('?') == std::string::npos ? '?' : '&', order.shard, holder,
-      payload.call_id, static_cast<double>(order.wait_until_us - now_us) / 1e6, payload.statement.size(),
+      payload.target, payload.target.find('?') == std::string::npos ? '?' : '&', order.shard, endpoint,
+      payload.call_id, static_cast<double>(order.attempt_deadline_us - now_us) / 1e6, payload.statement.size(),
       payload.statement);
 }
 
--- a/src/opensearch/endpoint_protocol.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -13,8 +13,8 @@
 
 class SearchDialect : public net::Dialect {
  public:
-  std::string Id(const coordinator::AttemptOrder& order) const override;
-  std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+  std::string Id(const coordinator::AttemptRequest& order) const override;
+  std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                   coordinator::Micros now_us) const override;
   // A search is given up by closing its connection.
   std::string GiveUp(const std::string&) const override { return {}; }
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -34,29 +34,29 @@
   return out;
 }
 
-std::map<std::string, double, std::less<>> Weights(const identity::Book& book) {
+std::map<std::string, double, std::less<>> Weights(const identity::PermissionTable& permission_table) {
   std::map<std::string, double, std::less<>> out;
-  for (const auto& [name, rights] : book.tenants) out[name] = rights->weight;
+  for (const auto& [name, permissions] : permission_table.tenants) out[name] = permissions->weight;
   return out;
 }
 
 }  // namespace
 
-Front::Front(const config::Config& config, const Options& options, coordinator::Core& core, const coordinator::Clock& clock,
-             metrics::Counters& counters, decision_log::Desk* desk, identity::Callers* callers)
+Front::Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
+             metrics::Counters& counters, decision_log::ExplainService* explain_service, identity::Authenticator* authenticator)
     : config_(config),
       options_(options),
-      core_(core),
+      coordinator_(coordinator),
       clock_(clock),
       counters_(counters),
-      desk_(desk),
-      callers_(callers),
+      explain_service_(explain_service),
+      authenticator_(authenticator),
       scrolls_(options, clock, config.seed,
-               callers == nullptr
+               authenticator == nullptr
                    ? options.max_scrolls
-                   : std::max<std::size_t>(1, options.max_scrolls / callers->book()->tenants.size())) {
-  if (callers == nullptr || callers->book()->work_per_s == 0) return;
-  shared_by_ = callers->book();
+                   : std::max<std::size_t>(1, options.max_scrolls / authenticator->permission_table()->tenants.size())) {
+  if (authenticator == nullptr || authenticator->permission_table()->work_per_s == 0) return;
+  shared_by_ = authenticator->permission_table();
   limits::ShareSettings shares;
   shares.work_per_s = static_cast<double>(shared_by_->work_per_s);
   shares.most_open = static_cast<int>(shared_by_->most_open);
@@ -65,18 +65,18 @@
 }
 
 net::HttpResponse Front::Malformed(int status) {
-  core_.NoteDoor(decision_log::Door::kUnreadable, decision_log::FrontKind::kSearch, decision_log::kNoClass, status, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, status, "");
   return ErrorResponse({status, "parsing_exception", "the request cannot be read", 0});
 }
 net::HttpResponse Front::Overloaded(const net::HttpMessage*) {
-  core_.NoteDoor(decision_log::Door::kTooManyConnections, decision_log::FrontKind::kSearch, decision_log::kNoClass, 503, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, 503, "");
   ApiError error = Unanswered("too many connections");
   error.retry_after_us = kBusyRetryUs;
   return ErrorResponse(error);
 }
 
 void Front::Wrote(const std::vector<net::Served>& served, int status, std::size_t bytes, bool whole) {
-  core_.NoteGiven(served, status, bytes, whole);
+  coordinator_.NoteGiven(served, status, bytes, whole);
 }
 
 std::optional<net::HttpResponse> Front::Handle(net::HttpMessage& request, const net::Exchange& exchange) {
@@ -84,26 +84,26 @@
   std::string_view path = request.Path();
   if (path == "/-/ready" && exchange.draining) return ErrorResponse(Unanswered("draining"));
   if (path == "/-/ready" || path == "/-/healthy") return out;
-  Visitor visitor;
-  if (callers_ != nullptr) {
-    if (auto error = LetIn(request, exchange, visitor)) return Turned(*error);
+  Principal principal;
+  if (authenticator_ != nullptr) {
+    if (auto error = LetIn(request, exchange, principal)) return Turned(*error);
     bool page = path.starts_with("/-/");
-    if (page && !visitor.rights->pages) return ErrorResponse(Forbidden("no pages"));
+    if (page && !principal.permissions->pages) return ErrorResponse(Forbidden("no pages"));
   }
   if (path == "/-/metrics") {
     out.type = "text/plain";
     out.body = counters_.Text();
     return out;
   }
-  if (path == "/-/why") return net::WhyPage(desk_, request);
-  Result result = Route(request, exchange, visitor);
+  if (path == "/-/why") return net::ExplainPage(explain_service_, request);
+  Result result = Route(request, exchange, principal);
   if (std::holds_alternative<Gone>(result)) return std::nullopt;
   if (const auto* error = std::get_if<ApiError>(&result)) {
     if (error->status == 400) counters_.malformed.Add();
     // What reached the core is in its record already.
     if (exchange.served->empty() && error->status >= 400 && error->status < 429) {
       const std::string* label = request.Header(kLabel);
-      core_.NoteDoor(decision_log::Door::kMalformed, decision_log::FrontKind::kSearch, decision_log::kNoClass, error->status,
+      coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, error->status,
                      label == nullptr ? "" : *label);
     }
     return ErrorResponse(*error);
@@ -112,18 +112,18 @@
   return out;
 }
 
-bool Front::TakePlace(const Visitor& visitor, double cost, Asked& asked) {
+bool Front::TakePlace(const Principal& principal, double cost, Asked& asked) {
   if (!accounts_) return true;
   std::lock_guard lock(shares_mutex_);
-  if (std::shared_ptr<const identity::Book> book = callers_->book(); book != shared_by_) {
-    accounts_->Take(Weights(*book));
-    shared_by_ = book;
+  if (std::shared_ptr<const identity::PermissionTable> permission_table = authenticator_->permission_table(); permission_table != shared_by_) {
+    accounts_->Take(Weights(*permission_table));
+    shared_by_ = permission_table;
   }
-  auto verdict = accounts_->Ask(visitor.tenant, visitor.subject, cost, clock_.Now());
+  auto verdict = accounts_->Ask(principal.tenant, principal.subject, cost, clock_.Now());
   asked.retry_after_us = verdict.retry_after_us;
   if (!verdict.granted) return false;
   asked.place =
-      std::shared_ptr<void>(nullptr, [this, tenant = visitor.tenant, caller = visitor.subject](void*) {
+      std::shared_ptr<void>(nullptr, [this, tenant = principal.tenant, caller = principal.subject](void*) {
         std::lock_guard again(shares_mutex_);
         accounts_->End(tenant, caller);
       });
@@ -138,26 +138,26 @@
 }
 
 Front::Result Front::Route(const net::HttpMessage& request, const net::Exchange& exchange,
-                           const Visitor& visitor) {
+                           const Principal& principal) {
   std::vector<std::string> steps = Steps(request.Path());
   bool reads = request.method == "GET" || request.method == "POST";
   if (steps.size() == 2 && steps[0] == "_search" && steps[1] == "scroll") {
-    if (request.method == "DELETE") return DropScroll(request, visitor);
-    if (reads) return DoScroll(request, exchange, visitor);
+    if (request.method == "DELETE") return DropScroll(request, principal);
+    if (reads) return DoScroll(request, exchange, principal);
   }
   if (reads && steps.size() == 2 && steps[1] == "_search")
-    return DoSearch(steps[0], request, exchange, visitor);
+    return DoSearch(steps[0], request, exchange, principal);
   if (reads && steps.size() == 2 && steps[1] == "_count")
-    return DoCount(steps[0], request, exchange, visitor);
+    return DoCount(steps[0], request, exchange, principal);
   if (reads && steps.size() == 2 && steps[1] == "_msearch")
-    return DoMany(steps[0], request, exchange, visitor);
-  if (reads && steps.size() == 1 && steps[0] == "_msearch") return DoMany("", request, exchange, visitor);
+    return DoMany(steps[0], request, exchange, principal);
+  if (reads && steps.size() == 1 && steps[0] == "_msearch") return DoMany("", request, exchange, principal);
   return BadRequest(fmt::format("[{} {}] is not supported", request.method, request.Path()));
 }
 
 // Every refusal is counted and, bounded in rate, written for the operators; the caller learns less.
 std::optional<ApiError> Front::LetIn(const net::HttpMessage& request, const net::Exchange& exchange,
-                                     Visitor& out) {
+                                     Principal& out) {
   identity::Presented shown;
   // Two of them are none that is good, whatever else the connection shows.
   static const std::string kSeveral;
@@ -165,9 +165,9 @@
   if (tokens > 0) shown.authorization = tokens == 1 ? request.Header("Authorization") : &kSeveral;
   shown.address = net::PeerHost(exchange.line->fd());
   if (const net::TlsPeer* peer = exchange.line->Peer(clock_.Now(), shown.wrong)) shown.names = peer->names;
-  auto admitted = callers_->Admit(shown, clock_.Now());
-  if (auto* visitor = std::get_if<Visitor>(&admitted)) {
-    out = std::move(*visitor);
+  auto admitted = authenticator_->Admit(shown, clock_.Now());
+  if (auto* principal = std::get_if<Principal>(&admitted)) {
+    out = std::move(*principal);
     return std::nullopt;
   }
   const auto& refusal = std::get<identity::Refusal>(admitted);
@@ -177,46 +177,46 @@
   bool write = audit_.Take(clock_.Now(), unwritten);
   lock.unlock();
   std::string tenant = refusal.tenant.empty() ? "" : ", tenant " + json::Quote(refusal.tenant);
-  if (write) log::Info("audit: refused from {}: {}{}", shown.address, refusal.why, tenant);
+  if (write) log::Info("audit: refused from {}: {}{}", shown.address, refusal.reason, tenant);
   if (write && unwritten > 0) log::Info("audit: {} refusals before it were not written", unwritten);
   if (refusal.unknown) return ApiError{401, "security_exception", "unknown caller", 0, false};
   return Forbidden("not from here");
 }
 
 std::optional<ApiError> Front::Read(const net::HttpMessage& request, std::string_view body,
-                                    const Visitor& visitor, Search& out) const {
-  const identity::Rights* rights = visitor.rights.get();
+                                    const Principal& principal, Search& out) const {
+  const identity::Permissions* permissions = principal.permissions.get();
   static const std::string kNoFilter;
-  if (auto error = ReadSearch(request, body, options_, rights == nullptr ? kNoFilter : rights->filter, out))
+  if (auto error = ReadSearch(request, body, options_, permissions == nullptr ? kNoFilter : permissions->filter, out))
     return error;
-  if (rights == nullptr) return std::nullopt;
-  if (out.keep_alive_us > 0 && !rights->scrolls) return Forbidden("no scrolls");
-  out.allow_partial = out.allow_partial && rights->partial;
+  if (permissions == nullptr) return std::nullopt;
+  if (out.keep_alive_us > 0 && !permissions->scrolls) return Forbidden("no scrolls");
+  out.allow_partial = out.allow_partial && permissions->partial;
   return std::nullopt;
 }
 
 // An index that is not the caller's is told of as one that does not exist.
-std::optional<ApiError> Front::Locate(const std::string& index, const Visitor& visitor) const {
+std::optional<ApiError> Front::Locate(const std::string& index, const Principal& principal) const {
   if (index.find_first_of(",*") != std::string::npos || index == "_all")
     return BadRequest("a search of several indices is not supported; name one");
-  bool allowed = visitor.rights == nullptr || visitor.rights->MayIndex(index);
+  bool allowed = principal.permissions == nullptr || principal.permissions->MayIndex(index);
   if (!allowed || !options_.indices.contains(index)) return NoSuchIndex(index);
   return std::nullopt;
 }
 
 Front::Asked Front::Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind,
                         bool whole, const net::HttpMessage& request, const net::Exchange& exchange,
-                        const Visitor& visitor) {
+                        const Principal& principal) {
   coordinator::QueryRequest query;
   query.class_index = whole ? index.whole_class_index : index.class_index;
   const auto& cls = config_.settings.classes[static_cast<std::size_t>(query.class_index)];
-  coordinator::Micros patience_us = cls.give_up_us;
+  coordinator::Micros timeout_remaining_us = cls.client_timeout_us;
   if (const std::string* budget = request.Header("X-Budget")) {
     double seconds = json::Number(*budget).value_or(0);
-    patience_us = std::min(patience_us, static_cast<coordinator::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
+    timeout_remaining_us = std::min(timeout_remaining_us, static_cast<coordinator::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
   }
   query.received_us = exchange.received_us;
-  query.deadline_us = exchange.received_us + patience_us;
+  query.deadline_us = exchange.received_us + timeout_remaining_us;
   query.front = kind;
   if (const std::string* label = request.Header(kLabel)) query.label = label->substr(0, decision_log::kNoteId);
   bool count = kind == decision_log::FrontKind::kCount;
@@ -224,16 +224,16 @@
   coordinator::Payload payload;
   payload.call_id = fmt::format("{}{:x}-{}", count ? kCountMark : 's', config_.seed, ++asked_);
   payload.target = std::move(target);
-  payload.client = exchange.vigil->client();
+  payload.client = exchange.reply_waiter->client();
   payload.statement = std::move(body);
   query.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
   Asked asked;
-  asked.reply = std::make_shared<net::WaitingReply>(exchange.vigil);
+  asked.reply = std::make_shared<net::WaitingReply>(exchange.reply_waiter);
   asked.deadline_us = query.deadline_us;
   asked.index = &index;
   asked.whole = whole;
-  if (!TakePlace(visitor, static_cast<double>(index.parts.size()), asked)) return asked;
-  asked.id = core_.Admit(std::move(query), asked.reply);
+  if (!TakePlace(principal, static_cast<double>(index.parts.size()), asked)) return asked;
+  asked.id = coordinator_.Admit(std::move(query), asked.reply);
   if (asked.id) exchange.served->push_back({*asked.id, 0});
   return asked;
 }
@@ -247,14 +247,14 @@
   }
   switch (asked.reply->Wait(*exchange.line, clock_, asked.deadline_us - kLastMoment)) {
     case net::WaitingReply::End::kGone:
-      core_.Post(coordinator::Hangup{*asked.id});
+      coordinator_.Post(coordinator::ClientDisconnect{*asked.id});
       return Gone{};
     case net::WaitingReply::End::kLate:
-      core_.Post(coordinator::Hangup{*asked.id, decision_log::Door::kLate});
+      coordinator_.Post(coordinator::ClientDisconnect{*asked.id, decision_log::IntakeResult::kLate});
       counters_.late.Add();
       return OutOfTime();
     case net::WaitingReply::End::kCrowded: {
-      core_.Post(coordinator::Hangup{*asked.id, decision_log::Door::kCrowded});
+      coordinator_.Post(coordinator::ClientDisconnect{*asked.id, decision_log::IntakeResult::kCrowded});
       ApiError error = BadRequest("one request at a time");
       error.close = true;
       return error;
@@ -279,16 +279,16 @@
 }
 
 Front::Asked Front::AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
-                              const net::Exchange& exchange, const Visitor& visitor, decision_log::FrontKind kind) {
+                              const net::Exchange& exchange, const Principal& principal, decision_log::FrontKind kind) {
   std::string target = "/" + index + "/_search";
   if (!search.parameters.empty()) target += "?" + search.parameters.substr(1);
   // A page of a scroll with a shard missing would lose that shard's hits for good.
   bool whole = !search.allow_partial || search.keep_alive_us > 0;
-  return Ask(options_.indices.at(index), target, ShardBody(search), kind, whole, request, exchange, visitor);
+  return Ask(options_.indices.at(index), target, ShardBody(search), kind, whole, request, exchange, principal);
 }
 
 Front::Result Front::FinishSearch(const std::string& index, const Search& search, const Asked& asked,
-                                  const net::Exchange& exchange, const Visitor& visitor,
+                                  const net::Exchange& exchange, const Principal& principal,
                                   const std::string& scroll_id) {
   Came came = Await(asked, exchange);
   if (auto* error = std::get_if<ApiError>(&came)) return std::move(*error);
@@ -298,7 +298,7 @@
   if (!merged)
     return ApiError{500, "search_phase_execution_exception", "hits came without their sort values", 0, false};
   if (search.keep_alive_us == 0) return merged->body + "}";
-  Cursor next{index, search, merged->hits == 0, visitor.tenant, visitor.rights};
+  Cursor next{index, search, merged->hits == 0, principal.tenant, principal.permissions};
   if (!merged->last_sort.empty()) next.search.search_after = merged->last_sort;
   auto id = scroll_id.empty() ? scrolls_.Open(std::move(next)) : scrolls_.Advance(scroll_id, std::move(next));
   if (!id) {
@@ -310,20 +310,20 @@
 }
 
 Front::Result Front::DoSearch(const std::string& index, const net::HttpMessage& request,
-                              const net::Exchange& exchange, const Visitor& visitor) {
-  if (auto error = Locate(index, visitor)) return *error;
+                              const net::Exchange& exchange, const Principal& principal) {
+  if (auto error = Locate(index, principal)) return *error;
   Search search;
-  if (auto error = Read(request, request.body, visitor, search)) return *error;
+  if (auto error = Read(request, request.body, principal, search)) return *error;
   return FinishSearch(index, search,
-                      AskSearch(index, search, request, exchange, visitor, decision_log::FrontKind::kSearch), exchange,
-                      visitor);
+                      AskSearch(index, search, request, exchange, principal, decision_log::FrontKind::kSearch), exchange,
+                      principal);
 }
 
 Front::Result Front::DoCount(const std::string& index, const net::HttpMessage& request,
-                             const net::Exchange& exchange, const Visitor& visitor) {
-  if (auto error = Locate(index, visitor)) return *error;
+                             const net::Exchange& exchange, const Principal& principal) {
+  if (auto error = Locate(index, principal)) return *error;
   bool query_only = true;
-  bool ok = request.body.empty() || json::Members(request.body, [&](std::string_view name, std::string_view) {
+  bool ok = request.body.empty() || json::JsonMembers(request.body, [&](std::string_view name, std::string_view) {
               query_only = query_only && name == "query";
               return true;
             });
@@ -336,19 +336,19 @@
     target += "?q=" + std::string(*request.Parameter("q"));
   }
   std::string body = request.body;
-  if (visitor.rights != nullptr && !visitor.rights->filter.empty()) {
+  if (principal.permissions != nullptr && !principal.permissions->filter.empty()) {
     std::string query(json::Get(request.body, "query"));
     std::string parameters = target.substr(std::min(target.size(), target.find('?')));
     if (!parameters.empty()) parameters[0] = '&';
     auto error = CheckConfined(request.body);
-    if (!error) error = Confine(visitor.rights->filter, query, parameters);
+    if (!error) error = Confine(principal.permissions->filter, query, parameters);
     if (error) return *error;
     target = "/" + index + "/_count";
     body = "{\"query\":" + query + "}";
   }
   // A count over a part of the shards is wrong rather than partial.
   Asked asked =
-      Ask(options_.indices.at(index), target, body, decision_log::FrontKind::kCount, true, request, exchange, visitor);
+      Ask(options_.indices.at(index), target, body, decision_log::FrontKind::kCount, true, request, exchange, principal);
   Came came = Await(asked, exchange);
   if (auto* error = std::get_if<ApiError>(&came)) return std::move(*error);
   if (std::holds_alternative<Gone>(came)) return Gone{};
@@ -357,7 +357,7 @@
 }
 
 Front::Result Front::DoScroll(const net::HttpMessage& request, const net::Exchange& exchange,
-                              const Visitor& visitor) {
+                              const Principal& principal) {
   std::string id, keep;
   if (auto value = request.Parameter("scroll_id")) id = Unescape(*value);
   if (auto value = request.Parameter("scroll")) keep = Unescape(*value);
@@ -370,19 +370,19 @@
   if (id.empty()) return BadRequest("[scroll_id] is missing");
   auto span = keep.empty() ? std::optional<coordinator::Micros>(0) : ReadSpan(keep);
   if (!span) return BadRequest("[scroll] is not a time such as 1m");
-  auto cursor = scrolls_.Find(id, visitor.tenant, *span);
+  auto cursor = scrolls_.Find(id, principal.tenant, *span);
   // A scroll goes on under the rights that it was begun with, or not at all.
-  if (!cursor || cursor->rights != visitor.rights) {
+  if (!cursor || cursor->permissions != principal.permissions) {
     return ApiError{404, "search_context_missing_exception", "no search context found for id [" + id + "]",
                     0};
   }
   return FinishSearch(
       cursor->index, cursor->search,
-      AskSearch(cursor->index, cursor->search, request, exchange, visitor, decision_log::FrontKind::kScroll), exchange,
-      visitor, id);
+      AskSearch(cursor->index, cursor->search, request, exchange, principal, decision_log::FrontKind::kScroll), exchange,
+      principal, id);
 }
 
-Front::Result Front::DropScroll(const net::HttpMessage& request, const Visitor& visitor) {
+Front::Result Front::DropScroll(const net::HttpMessage& request, const Principal& principal) {
   std::vector<std::string> ids;
   std::string_view given = json::Get(request.body, "scroll_id");
   if (auto one = json::String(given)) ids.push_back(*one);
@@ -393,12 +393,12 @@
   if (ids.empty()) return BadRequest("[scroll_id] is missing");
   std::size_t freed = 0;
   for (const std::string& id : ids)
-    freed += id == "_all" ? scrolls_.DropAll(visitor.tenant) : scrolls_.Drop(id, visitor.tenant);
+    freed += id == "_all" ? scrolls_.DropAll(principal.tenant) : scrolls_.Drop(id, principal.tenant);
   return fmt::format("{{\"succeeded\":true,\"num_freed\":{}}}", freed);
 }
 
 Front::Result Front::DoMany(const std::string& index, const net::HttpMessage& request,
-                            const net::Exchange& exchange, const Visitor& visitor) {
+                            const net::Exchange& exchange, const Principal& principal) {
   struct One {
     std::string index;
     Search search;
@@ -426,24 +426,24 @@
     One& one = all.emplace_back();
     one.index = index;
     bool header =
-        lines[i].empty() || json::Members(lines[i], [&one](std::string_view name, std::string_view value) {
+        lines[i].empty() || json::JsonMembers(lines[i], [&one](std::string_view name, std::string_view value) {
           if (name != "index") return false;
           one.index = json::String(value).value_or("");
           return true;
         });
     if (!header) one.error = BadRequest("only [index] is supported in the header of a search");
-    if (!one.error) one.error = Locate(one.index, visitor);
-    if (!one.error) one.error = Read(bare, lines[i + 1], visitor, one.search);
+    if (!one.error) one.error = Locate(one.index, principal);
+    if (!one.error) one.error = Read(bare, lines[i + 1], principal, one.search);
     if (!one.error)
-      one.asked = AskSearch(one.index, one.search, bare, exchange, visitor, decision_log::FrontKind::kMultiSearch);
+      one.asked = AskSearch(one.index, one.search, bare, exchange, principal, decision_log::FrontKind::kMultiSearch);
   }
   std::string out = fmt::format("{{\"took\":{},\"responses\":[", 0);
   for (One& one : all) {
     Result result =
-        one.error ? Result(*one.error) : FinishSearch(one.index, one.search, *one.asked, exchange, visitor);
+        one.error ? Result(*one.error) : FinishSearch(one.index, one.search, *one.asked, exchange, principal);
     if (std::holds_alternative<Gone>(result)) {
       for (One& left : all) {
-        if (left.asked && left.asked->id) core_.Post(coordinator::Hangup{*left.asked->id});
+        if (left.asked && left.asked->id) coordinator_.Post(coordinator::ClientDisconnect{*left.asked->id});
       }
       return Gone{};
     }
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -18,8 +18,8 @@
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, const Options& options, coordinator::Core& core, const coordinator::Clock& clock,
-        metrics::Counters& counters, decision_log::Desk* desk, identity::Callers* callers);
+  Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
+        metrics::Counters& counters, decision_log::ExplainService* explain_service, identity::Authenticator* authenticator);
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
@@ -39,49 +39,49 @@
   };
   struct Gone {};
   // Who asks; without rights where callers are not told apart, and all may.
-  using Visitor = identity::Visitor;
+  using Principal = identity::Principal;
   using Came = std::variant<coordinator::FinalAnswer, ApiError, Gone>;
   using Result = std::variant<std::string, ApiError, Gone>;
 
   Asked Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind, bool whole,
-            const net::HttpMessage& request, const net::Exchange& exchange, const Visitor& visitor);
+            const net::HttpMessage& request, const net::Exchange& exchange, const Principal& principal);
   Came Await(const Asked& asked, const net::Exchange& exchange);
   Coming HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer, const net::Exchange& exchange) const;
   Asked AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
-                  const net::Exchange& exchange, const Visitor& visitor, decision_log::FrontKind kind);
+                  const net::Exchange& exchange, const Principal& principal, decision_log::FrontKind kind);
   Result FinishSearch(const std::string& index, const Search& search, const Asked& asked,
-                      const net::Exchange& exchange, const Visitor& visitor,
+                      const net::Exchange& exchange, const Principal& principal,
                       const std::string& scroll_id = {});
-  std::optional<ApiError> Locate(const std::string& index, const Visitor& visitor) const;
-  std::optional<ApiError> LetIn(const net::HttpMessage& request, const net::Exchange& exchange, Visitor& out);
-  std::optional<ApiError> Read(const net::HttpMessage& request, std::string_view body, const Visitor& visitor,
+  std::optional<ApiError> Locate(const std::string& index, const Principal& principal) const;
+  std::optional<ApiError> LetIn(const net::HttpMessage& request, const net::Exchange& exchange, Principal& out);
+  std::optional<ApiError> Read(const net::HttpMessage& request, std::string_view body, const Principal& principal,
                                Search& out) const;
   // Takes a place for a query of so much work; false with the time to come back where there is none.
-  bool TakePlace(const Visitor& visitor, double cost, Asked& asked);
+  bool TakePlace(const Principal& principal, double cost, Asked& asked);
   net::HttpResponse Turned(const ApiError& error) const;
 
   Result DoSearch(const std::string& index, const net::HttpMessage& request, const net::Exchange& exchange,
-                  const Visitor& visitor);
+                  const Principal& principal);
   Result DoCount(const std::string& index, const net::HttpMessage& request, const net::Exchange& exchange,
-                 const Visitor& visitor);
-  Result DoScroll(const net::HttpMessage& request, const net::Exchange& exchange, const Visitor& visitor);
-  Result DropScroll(const net::HttpMessage& request, const Visitor& visitor);
+                 const Principal& principal);
+  Result DoScroll(const net::HttpMessage& request, const net::Exchange& exchange, const Principal& principal);
+  Result DropScroll(const net::HttpMessage& request, const Principal& principal);
   Result DoMany(const std::string& index, const net::HttpMessage& request, const net::Exchange& exchange,
-                const Visitor& visitor);
-  Result Route(const net::HttpMessage& request, const net::Exchange& exchange, const Visitor& visitor);
+                const Principal& principal);
+  Result Route(const net::HttpMessage& request, const net::Exchange& exchange, const Principal& principal);
 
   const config::Config& config_;
   const Options& options_;
-  coordinator::Core& core_;
+  coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
-  decision_log::Desk* desk_;             // null: nothing is recorded
-  identity::Callers* callers_;  // null: callers are not told apart
+  decision_log::ExplainService* explain_service_;             // null: nothing is recorded
+  identity::Authenticator* authenticator_;  // null: callers are not told apart
   std::mutex audit_mutex_;
-  identity::Audit audit_;
+  identity::AuditLimiter audit_;
   std::mutex shares_mutex_;
-  std::shared_ptr<const identity::Book> shared_by_;  // whose weights the accounts have
-  std::optional<limits::Accounts> accounts_;
+  std::shared_ptr<const identity::PermissionTable> shared_by_;  // whose weights the accounts have
+  std::optional<limits::TenantQuotas> accounts_;
   Scrolls scrolls_;
   std::atomic<std::uint64_t> asked_{0};
 };
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -74,7 +74,7 @@
   if (in < total) {
     out += ",\"failures\":[";
     const char* comma = "";
-    for (const coordinator::PartRequest& part : *coming.asked) {
+    for (const coordinator::ShardRequest& part : *coming.asked) {
       if (std::ranges::find(answer.pieces, part.shard, &coordinator::Piece::shard) != answer.pieces.end()) continue;
       fmt::format_to(std::back_inserter(out),
                      "{}{{\"shard\":{},\"reason\":{{\"type\":\"no_shard_available_action_exception\","
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -22,7 +22,7 @@
 struct Coming {
   coordinator::Micros took_us = 0;
   bool timed_out = false;
-  const std::vector<coordinator::PartRequest>* asked = nullptr;
+  const std::vector<coordinator::ShardRequest>* asked = nullptr;
 };
 
 // An answer that counts as served: well formed, with what was asked for, and without error, time-out or
--- a/src/opensearch/options.cpp
+++ b/src/opensearch/options.cpp
@@ -52,7 +52,7 @@
 Options ParseOptions(std::string_view text, const config::Config& config) {
   std::string_view front = json::Get(text, "opensearch");
   Options out;
-  bool ok = json::Members(json::Get(front, "indices"), [&](std::string_view name, std::string_view value) {
+  bool ok = json::JsonMembers(json::Get(front, "indices"), [&](std::string_view name, std::string_view value) {
     out.indices[std::string(name)] = Index(value, config);
     return true;
   });
--- a/src/opensearch/scroll.h
+++ b/src/opensearch/scroll.h
@@ -17,7 +17,7 @@
   Search search;  // search_after is the place where the next page begins
   bool ended = false;
   std::string owner;  // a tenant, empty where callers are not told apart; to others its ids name nothing
-  std::shared_ptr<const identity::Rights> rights;  // it was begun with
+  std::shared_ptr<const identity::Permissions> permissions;  // it was begun with
 };
 
 class Scrolls {
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -39,7 +39,7 @@
     return true;
   }
   int members = 0;
-  bool ok = json::Members(element, [&](std::string_view field, std::string_view value) {
+  bool ok = json::JsonMembers(element, [&](std::string_view field, std::string_view value) {
     ++members;
     if (field == "_doc") return true;
     SortKey key{std::string(element), field == "_score", false};
@@ -176,7 +176,7 @@
   }
   if (error) return error;
   if (!body.empty()) {
-    bool ok = json::Members(body, [&](std::string_view name, std::string_view value) {
+    bool ok = json::JsonMembers(body, [&](std::string_view name, std::string_view value) {
       error = ReadMember(name, value, out, sorted);
       return !error;
     });
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::Directory& directory, coordinator::Core& core,
+DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
                                const coordinator::Clock& clock)
     : config_(config),
-      directory_(directory),
-      core_(core),
+      endpoint_registry_(endpoint_registry),
+      coordinator_(coordinator),
       clock_(clock),
-      waits_(limits::ListWaitsOf(config.settings)),
+      waits_(limits::WatchTimeoutsOf(config.settings)),
       backoff_(waits_.first_us, waits_.most_us, config.seed),
       address_(config.discovery),
       thread_([this] { Loop(); }) {}
@@ -70,18 +70,18 @@
   Pause(backoff_.Within(waits_.start_us), address);
   while (!stopping_) {
     address = Address();
-    std::string why = "it ended";
+    std::string reason = "it ended";
     try {
       Watch(address);
     } catch (const std::exception& error) {
-      why = error.what();
+      reason = error.what();
     }
     if (stopping_ || Address() != address) {
       backoff_.Reset();
       continue;
     }
     // Said once, not at each try.
-    if (backoff_.failures() == 0) log::Info("discovery: the watch at {} is lost: {}", address, why);
+    if (backoff_.failures() == 0) log::Info("discovery: the watch at {} is lost: {}", address, reason);
     Pause(backoff_.Next(), address);
   }
 }
@@ -90,7 +90,7 @@
   net::Fd fd = net::Connect(address, kConnectWait);
   if (!fd.Valid()) throw std::runtime_error("no connection");
   std::string ask = fmt::format("GET /api/targets?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
-                                directory_.Version(), address);
+                                endpoint_registry_.Version(), address);
   if (net::WriteAll(fd, ask, kConnectWait).status != net::Io::kOk) throw std::runtime_error("cannot ask");
   net::HttpParser parser(net::HttpParser::Kind::kResponse, MostListBytes(config_.settings));
   net::ObjectStream lists(MostListBytes(config_.settings));
@@ -101,7 +101,7 @@
   while (!stopping_ && clock_.Now() - heard_us < kSilence && Address() == address) {
     bool asked = !settled && parser.message().status == 200;
     net::Io got = net::ReadSome(fd, pending, asked ? kFirstWord : kSlice);
-    if (got == net::Io::kTimeout && asked) directory_.NothingNewer();
+    if (got == net::Io::kTimeout && asked) endpoint_registry_.NothingNewer();
     settled = settled || asked;
     if (got == net::Io::kTimeout) continue;
     if (got != net::Io::kOk) return;
@@ -138,12 +138,12 @@
 }
 
 void DiscoveryWatch::TakeList(std::string_view text) {
-  coordinator::HolderList list = config::ParseHolders(text, config_);
-  auto news = directory_.Apply(list, clock_.Now());
+  coordinator::EndpointList list = config::ParseEndpointList(text, config_);
+  auto news = endpoint_registry_.Apply(list, clock_.Now());
   if (!news) return;
   log::Info("holder list {}{}: {} entries", list.version,
-            list.kind == routing::ListKind::kFull ? ", whole" : "", list.entries.size());
-  core_.Post(std::move(*news));
+            list.kind == routing::EndpointListKind::kFull ? ", whole" : "", list.entries.size());
+  coordinator_.Post(std::move(*news));
 }
 
 }  // namespace liftrudder::platform
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -18,7 +18,7 @@
 
 class DiscoveryWatch {
  public:
-  DiscoveryWatch(const config::Config& config, coordinator::Directory& directory, coordinator::Core& core,
+  DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
                  const coordinator::Clock& clock);
   ~DiscoveryWatch();
 
@@ -34,11 +34,11 @@
   void TakeList(std::string_view text);
 
   const config::Config& config_;
-  coordinator::Directory& directory_;
-  coordinator::Core& core_;
+  coordinator::EndpointRegistry& endpoint_registry_;
+  coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   std::atomic<bool> stopping_{false};
-  const limits::ListWaits waits_;
+  const limits::WatchTimeouts waits_;
   limits::Backoff backoff_;  // the thread's
   mutable std::mutex mutex_;
   std::condition_variable wake_;
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -38,7 +38,7 @@
  public:
   explicit FrameReader(const std::vector<std::string>& load_names) : load_names_(load_names) {}
 
-  bool Take(std::string& in, const std::string&, std::vector<net::HolderAnswer>& out) override {
+  bool Take(std::string& in, const std::string&, std::vector<net::EndpointAnswer>& out) override {
     std::string_view rest = in;
     bool usable = true;
     while (usable && rest.size() >= 4) {
@@ -58,12 +58,12 @@
 
  private:
   // False on a frame that is not one, and on `e`: the holder closes after it.
-  bool TakeFrame(std::string_view frame, std::vector<net::HolderAnswer>& out) const {
+  bool TakeFrame(std::string_view frame, std::vector<net::EndpointAnswer>& out) const {
     if (frame.front() == 'p' || frame.front() == 'l') return true;
     auto line_end = frame.find('\n');
     if (frame.front() != 'a' || line_end == std::string_view::npos) return false;
     std::string_view line = frame.substr(1, line_end - 1);
-    net::HolderAnswer answer;
+    net::EndpointAnswer answer;
     answer.id = Word(line);
     std::string_view end = Word(line);
     Word(line);  // the score
@@ -104,16 +104,16 @@
 
 }  // namespace
 
-std::string FrameDialect::Id(const coordinator::AttemptOrder& order) const {
+std::string FrameDialect::Id(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string FrameDialect::Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string&,
+std::string FrameDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string&,
                               coordinator::Micros now_us) const {
   std::string all;
-  for (const coordinator::AttemptOrder* order : orders) {
-    std::string list = fmt::format("d={}", std::max<coordinator::Micros>(1, (order->wait_until_us - now_us) / 1000));
-    if (!order->payload->dedup_key.empty()) list += ",k=" + order->payload->dedup_key;
+  for (const coordinator::AttemptRequest* order : orders) {
+    std::string list = fmt::format("d={}", std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / 1000));
+    if (!order->payload->idempotency_key.empty()) list += ",k=" + order->payload->idempotency_key;
     const std::string& text = order->payload->statement;
     all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, list, text.size(), text);
   }
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -13,8 +13,8 @@
  public:
   explicit FrameDialect(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
-  std::string Id(const coordinator::AttemptOrder& order) const override;
-  std::string Ask(std::span<const coordinator::AttemptOrder* const> orders, const std::string& holder,
+  std::string Id(const coordinator::AttemptRequest& order) const override;
+  std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                   coordinator::Micros now_us) const override;
   std::string GiveUp(const std::string& id) const override;
   std::unique_ptr<net::AnswerReader> Reader() const override;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -58,9 +58,9 @@
   return place.empty() && !(place = value).empty();
 }
 
-bool ReadPart(std::string_view text, coordinator::PartRequest& part) {
+bool ReadPart(std::string_view text, coordinator::ShardRequest& part) {
   std::string_view tablet, fraction, guess, token;
-  bool ok = json::Members(text, [&](std::string_view name, std::string_view value) {
+  bool ok = json::JsonMembers(text, [&](std::string_view name, std::string_view value) {
     if (name == "tablet") return Once(tablet, value);
     if (name == "fraction") return Once(fraction, value);
     if (name == "guess") return Once(guess, value);
@@ -90,30 +90,30 @@
 }  // namespace
 
 net::HttpResponse Front::Malformed(int status) {
-  core_.NoteDoor(decision_log::Door::kUnreadable, decision_log::FrontKind::kPlatform, decision_log::kNoClass, status, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, status, "");
   return Problem(status, "the request cannot be read");
 }
 
 net::HttpResponse Front::Overloaded(const net::HttpMessage* request) {
   const std::string* name = request == nullptr ? nullptr : request->Header("X-Call-Class");
   if (name != nullptr) metrics::Figures::Ended(figures_.Of(*name), 503);
-  core_.NoteDoor(decision_log::Door::kTooManyConnections, decision_log::FrontKind::kPlatform, decision_log::kNoClass, 503, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, 503, "");
   return Refusal(503, kBusyRetryUs, "too many connections");
 }
 
 void Front::Wrote(const std::vector<net::Served>& served, int status, std::size_t bytes, bool whole) {
-  core_.NoteGiven(served, status, bytes, whole);
+  coordinator_.NoteGiven(served, status, bytes, whole);
 }
 
-net::HttpResponse Front::Rejected(const net::HttpMessage& request, decision_log::Door door,
+net::HttpResponse Front::Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
                                   net::HttpResponse response) {
   counters_.malformed.Add();
   const std::string* id = request.Header("X-Call-Id");
   const std::string* name = request.Header("X-Call-Class");
   auto found = name == nullptr ? config_.classes.end() : std::ranges::find(config_.classes, *name);
   int index =
-      found == config_.classes.end() ? decision_log::kNoClass : static_cast<int>(found - config_.classes.begin());
-  core_.NoteDoor(door, decision_log::FrontKind::kPlatform, index, response.status, id == nullptr ? "" : *id);
+      found == config_.classes.end() ? decision_log::kUnknownClass : static_cast<int>(found - config_.classes.begin());
+  coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform, index, response.status, id == nullptr ? "" : *id);
   return response;
 }
 
@@ -127,7 +127,7 @@
     out.body = counters_.Text();
     return out;
   }
-  if (path == "/-/why") return net::WhyPage(desk_, request);
+  if (path == "/-/why") return net::ExplainPage(explain_service_, request);
   if (path != "/api") return Problem(404, "no such path");
   if (request.method != "POST") return Problem(405, "only POST");
   return Query(request, exchange);
@@ -148,17 +148,17 @@
   query.received_us = exchange.received_us;
   query.deadline_us = exchange.received_us + static_cast<coordinator::Micros>(*seconds * 1e6);
   const std::string* again = request.Header("X-Again");
-  query.repeated = again != nullptr && *again == "1";
+  query.is_retry = again != nullptr && *again == "1";
   coordinator::Payload payload;
   payload.call_id = *id;
-  payload.client = exchange.vigil->client();
+  payload.client = exchange.reply_waiter->client();
   routing::Effect effect = config_.settings.classes[static_cast<std::size_t>(query.class_index)].effect;
-  if (effect == routing::Effect::kDeduplicated) {
+  if (effect == routing::Effect::kIdempotencyKey) {
     if (key == nullptr || !Plain(*key)) return std::nullopt;
-    payload.dedup_key = *key;
+    payload.idempotency_key = *key;
   }
   std::string_view tablets, text;
-  bool ok = json::Members(request.body, [&](std::string_view member, std::string_view value) {
+  bool ok = json::JsonMembers(request.body, [&](std::string_view member, std::string_view value) {
     if (member == "tablets") return Once(tablets, value);
     return member != "statement" || Once(text, value);
   });
@@ -168,7 +168,7 @@
   double sum = 0;
   std::set<int> shards;
   ok = json::Elements(tablets, [&](std::string_view text) {
-    coordinator::PartRequest part;
+    coordinator::ShardRequest part;
     if (!ReadPart(text, part) || part.shard >= config_.settings.shards) return false;
     if (!shards.insert(part.shard).second) return false;  // so there are no more than shards
     query.parts.push_back(part);
@@ -184,14 +184,14 @@
 
 std::optional<net::HttpResponse> Front::Query(net::HttpMessage& request, const net::Exchange& exchange) {
   auto query = Read(request, exchange);
-  if (!query) return Rejected(request, decision_log::Door::kMalformed, Problem(400, "the request cannot be read"));
+  if (!query) return Rejected(request, decision_log::IntakeResult::kMalformed, Problem(400, "the request cannot be read"));
   request.body = std::string();  // all that is needed of it has been taken out
   // Guards the ids of parts, which are made from the query's: of two open queries they must differ.
   std::string id = query->payload->call_id;
   {
     std::lock_guard lock(mutex_);
     if (!open_.insert(id).second) {
-      return Rejected(request, decision_log::Door::kDuplicateId, Problem(409, "a query with this id is open"));
+      return Rejected(request, decision_log::IntakeResult::kDuplicateId, Problem(409, "a query with this id is open"));
     }
   }
   metrics::Figures::ByClass* group = figures_.Of(query->class_index);
@@ -207,20 +207,20 @@
 
 std::optional<net::HttpResponse> Front::Ask(coordinator::QueryRequest query, const net::Exchange& exchange) {
   coordinator::Micros deadline_us = query.deadline_us;
-  auto reply = std::make_shared<net::WaitingReply>(exchange.vigil);
-  auto id = core_.Admit(std::move(query), reply);
+  auto reply = std::make_shared<net::WaitingReply>(exchange.reply_waiter);
+  auto id = coordinator_.Admit(std::move(query), reply);
   if (!id) return Refusal(503, kBusyRetryUs, "too many queries are open");
   exchange.served->push_back({*id, 0});
   switch (reply->Wait(*exchange.line, clock_, deadline_us - kLastMoment)) {
     case net::WaitingReply::End::kGone:
-      core_.Post(coordinator::Hangup{*id});
+      coordinator_.Post(coordinator::ClientDisconnect{*id});
       return std::nullopt;
     case net::WaitingReply::End::kLate:
-      core_.Post(coordinator::Hangup{*id, decision_log::Door::kLate});
+      coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kLate});
       counters_.late.Add();
       return Problem(504, "no answer in time");
     case net::WaitingReply::End::kCrowded: {
-      core_.Post(coordinator::Hangup{*id, decision_log::Door::kCrowded});
+      coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kCrowded});
       counters_.malformed.Add();
       net::HttpResponse out = Problem(400, "one request at a time");
       out.close = true;
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -16,9 +16,9 @@
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, coordinator::Core& core, const coordinator::Clock& clock, metrics::Counters& counters,
-        metrics::Figures& figures, decision_log::Desk* desk)
-      : config_(config), core_(core), clock_(clock), counters_(counters), figures_(figures), desk_(desk) {}
+  Front(const config::Config& config, coordinator::Coordinator& coordinator, const coordinator::Clock& clock, metrics::Counters& counters,
+        metrics::Figures& figures, decision_log::ExplainService* explain_service)
+      : config_(config), coordinator_(coordinator), clock_(clock), counters_(counters), figures_(figures), explain_service_(explain_service) {}
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
@@ -30,14 +30,14 @@
   std::optional<net::HttpResponse> Ask(coordinator::QueryRequest query, const net::Exchange& exchange);
   // Nothing when the request is not one; `statement` and key stay as they came.
   std::optional<coordinator::QueryRequest> Read(const net::HttpMessage& request, const net::Exchange& exchange) const;
-  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::Door door, net::HttpResponse response);
+  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake, net::HttpResponse response);
 
   const config::Config& config_;
-  coordinator::Core& core_;
+  coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
   metrics::Figures& figures_;
-  decision_log::Desk* desk_;  // null: nothing is recorded
+  decision_log::ExplainService* explain_service_;  // null: nothing is recorded
   std::mutex mutex_;
   std::set<std::string> open_;  // call ids of the queries that are open
 };
--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -12,32 +12,32 @@
 
 struct Send {
   Id part = 0;
-  ReplicaId replica;
+  EndpointId replica;
   Micros timeout_us = 0;
-  SendWhy why = {};
+  DispatchReason reason = {};
 };
 struct Answer {
   Id query = 0;
   bool full = false;
-  EndWhy why = {};
+  CompletionReason reason = {};
 };
 struct Refuse {
   Id query = 0;
   Micros retry_after_us = 0;
-  EndWhy why = {};
+  CompletionReason reason = {};
 };
 struct Fail {
   Id query = 0;
-  EndWhy why = {};
+  CompletionReason reason = {};
 };
 struct Cancel {
   Id part = 0;
   int attempt = 0;
-  CancelWhy why = CancelWhy::kAnswered;
+  CancelReason reason = CancelReason::kAnswered;
 };
 struct Close {  // the idle connections to a replica
-  ReplicaId replica;
-  CloseWhy why = CloseWhy::kDeadConnection;
+  EndpointId replica;
+  CloseReason reason = CloseReason::kDeadConnection;
 };
 struct SetTimer {
   Micros span_us = 0;
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -11,27 +11,27 @@
 
 namespace liftrudder::routing {
 
-enum class ListKind { kDelta, kFull, kCached, kFailed };
-struct ListNews {
-  ListKind kind = ListKind::kFull;
+enum class EndpointListKind { kDelta, kFull, kCached, kFailed };
+struct EndpointListUpdate {
+  EndpointListKind kind = EndpointListKind::kFull;
   std::uint64_t version = 0;
-  std::vector<Replica> replicas;
+  std::vector<Endpoint> replicas;
 };
 
 // A query; its parts follow in the same span of events. Parts of a second step come later, alone.
-struct QueryArrived {
+struct QueryReceived {
   Id id = 0;
   std::int64_t number = 0;  // its parts carry the same
   int parts = 0;
   int class_index = 0;
   int tenant = 0;
-  bool repeated = false;  // the client marks it as a further try
+  bool is_retry = false;  // the client marks it as a further try
   std::uint64_t key = 0;
-  Micros patience_us = 0;
+  Micros timeout_remaining_us = 0;
   Micros work_us = 0;  // 0: not told
 };
 
-struct PartArrived {
+struct ShardRequestReceived {
   Id id = 0;
   std::int64_t number = 0;  // of its query
   int shard = 0;
@@ -40,38 +40,38 @@
   Micros work_us = 0;  // 0: not told
 };
 
-enum class OutcomeCode { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
+enum class AttemptOutcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 
-struct AttemptEnded {
+struct AttemptFinished {
   Id part = 0;
   int attempt = 0;
-  ReplicaId replica;
-  OutcomeCode code = OutcomeCode::kOk;
+  EndpointId replica;
+  AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;
   bool part_done = false;
   std::vector<double> load;  // as the settings of the site name them; empty: none
 };
 
-struct ProbeEnded {
-  ReplicaId replica;
-  OutcomeCode code = OutcomeCode::kOk;
+struct HealthCheckFinished {
+  EndpointId replica;
+  AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;
   std::vector<double> load;
 };
 
-struct ClientGone {
+struct ClientDisconnected {
   Id id = 0;
 };
 struct TimerFired {
   std::uint64_t label = 0;
 };
-struct PeerMessage {
+struct GossipMessage {
   std::uint32_t from = 0;
   std::string text;
 };
 
-using Event = std::variant<ListNews, QueryArrived, PartArrived, AttemptEnded, ProbeEnded, ClientGone,
-                           TimerFired, PeerMessage>;
+using Event = std::variant<EndpointListUpdate, QueryReceived, ShardRequestReceived, AttemptFinished, HealthCheckFinished, ClientDisconnected,
+                           TimerFired, GossipMessage>;
 
 }  // namespace liftrudder::routing
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -64,7 +64,7 @@
 constexpr double kLossMost = 2;        // and more than this are not counted, lest the guard outlast them
 constexpr double kWide = 0.4;          // short of refusals, queries for more than this share of the replicas
 constexpr std::size_t kWideLeast = 8;  // and more parts than this go out part by part at this share of a
-constexpr double kHeadStart = 0.25;    // median until one is answered: the first killing query is not known
+constexpr double kCanary = 0.25;    // median until one is answered: the first killing query is not known
 constexpr double kNoHurry = 3;         // nor is a client with less time than so many medians kept waiting
 constexpr double kZoneLeast = 4;   // outcomes late or failed beyond twice those in time before a whole zone
 constexpr double kZoneRatio = 2;   // counts as far, when not all zones do
@@ -83,14 +83,14 @@
 constexpr double kRetryAfter = 0.5;  // least aims a refused client is asked to stay away when calm
 
 struct Attempt {
-  ReplicaId replica;
+  EndpointId replica;
   Micros sent_us = 0;
   int depth = 1;  // parts of ours out at the replica, this one included
   bool out = true;
   bool never_ran = false;  // proved
   bool called_off = false;
   bool lost = false;  // its replica's process or the way to it went while it was out
-  OutcomeCode code = OutcomeCode::kOk;
+  AttemptOutcome code = AttemptOutcome::kOk;
 };
 
 struct Part {
@@ -100,7 +100,7 @@
   double weight = 0;
   std::uint64_t key = 0;
   bool in = false, wanted = false;
-  HeldWhy held = HeldWhy::kNone;  // as last told
+  PendingReason held = PendingReason::kNone;  // as last told
   Micros idle_since_us = 0;       // wanted, and nothing out since then
   std::vector<Attempt> attempts;
   int Out() const { return static_cast<int>(std::ranges::count_if(attempts, &Attempt::out)); }
@@ -110,7 +110,7 @@
   Id id = 0;
   std::int64_t number = 0;
   std::size_t class_index = 0;
-  Micros aim_at_us = 0, deadline_us = 0;
+  Micros objective_at_us = 0, deadline_us = 0;
   int step = 1;
   bool dispatched = false;  // the parts of this step were sent
   bool first_full = true;   // the first step's answer was whole
@@ -125,12 +125,12 @@
 };
 
 struct Server {
-  Replica told;
+  Endpoint told;
   std::size_t zone = 0;
   bool usable = false;                       // listed and ready
   std::map<std::pair<Id, int>, Micros> out;  // attempts out, and when each was sent
   double cold_soft = 0, cold_hard = 0;       // parts that may be sent to it while it is cold
-  Micros cold_us = 0;                        // when these were last filled
+  Micros slow_start_us = 0;                        // when these were last filled
   double cold_seen = 0;                      // and what warm_sent was then
   double log_sum = 0, samples = 0;           // log of latency against the fleet's median
   double errors = 0;                         // how much likelier its outcomes are from a bad one, as a log
@@ -160,42 +160,42 @@
   return z ^ (z >> 31);
 }
 
-bool ProvesNotRun(OutcomeCode code) {
-  return code == OutcomeCode::kFull || code == OutcomeCode::kConnectFailed || code == OutcomeCode::kMoot;
+bool ProvesNotRun(AttemptOutcome code) {
+  return code == AttemptOutcome::kFull || code == AttemptOutcome::kConnectFailed || code == AttemptOutcome::kNotSent;
 }
 
 }  // namespace
 
 std::optional<std::string> CheckSettings(const Settings& s) {
   if (s.classes.empty()) return "no class of query";
-  for (const ClassSettings& c : s.classes) {
-    if (c.aim_us <= 0 || c.give_up_us < c.aim_us)
+  for (const QueryClassSettings& c : s.classes) {
+    if (c.latency_objective_us <= 0 || c.client_timeout_us < c.latency_objective_us)
       return "a class's aim must be above 0 and within its give-up time";
-    if (!(c.floor >= 0 && c.floor <= 1) || !(c.whole_at > 0 && c.whole_at <= 1))
+    if (!(c.floor >= 0 && c.floor <= 1) || !(c.complete_coverage > 0 && c.complete_coverage <= 1))
       return "a share is not within 0 and 1";
-    if (c.fetch_parts < 0) return "a class fetches fewer than no parts";
+    if (c.fetch_phase_requests < 0) return "a class fetches fewer than no parts";
   }
   if (s.cells < 1 || s.reach < 1 || s.reach > s.cells)
     return "the reach must be within 1 and the number of cells";
-  if (s.shards < 1 || s.group_size < 1 || s.parts_per_call < 1 || s.max_attempts < 1)
+  if (s.shards < 1 || s.fleet_size < 1 || s.max_requests_per_call < 1 || s.max_attempts < 1)
     return "shards, group, parts of a call and attempts must be 1 or more";
-  if (s.resolution_us < 0 || s.cold_us < 0 || s.fall_us < 0) return "a span is below 0";
-  if (s.has_retry_budget && s.resend_span_us <= 0) return "the retry budget has no span";
+  if (s.decision_interval_us < 0 || s.slow_start_us < 0 || s.collapse_window_us < 0) return "a span is below 0";
+  if (s.has_retry_budget && s.retry_budget_window_us <= 0) return "the retry budget has no span";
   return std::nullopt;
 }
 
-struct Aggregator::State {
+struct Router::State {
   State(const Settings& settings, std::uint64_t seed)
       : s(settings), valid(!CheckSettings(settings)), random_state(seed) {
     if (!valid) return;
-    least_aim_us = static_cast<double>(s.classes[0].aim_us);
-    for (const ClassSettings& c : s.classes)
-      least_aim_us = std::min(least_aim_us, static_cast<double>(c.aim_us) / (c.fetch_parts > 0 ? 2 : 1));
-    copy_span_us = static_cast<Micros>(2 * least_aim_us);
+    min_latency_objective_us = static_cast<double>(s.classes[0].latency_objective_us);
+    for (const QueryClassSettings& c : s.classes)
+      min_latency_objective_us = std::min(min_latency_objective_us, static_cast<double>(c.latency_objective_us) / (c.fetch_phase_requests > 0 ? 2 : 1));
+    copy_span_us = static_cast<Micros>(2 * min_latency_objective_us);
     answer_margin_us =
-        static_cast<Micros>(kTicksToAnswer * static_cast<double>(std::max<Micros>(s.resolution_us, 1)));
-    for (auto [share, count] : kPrior) histogram[Bucket(share * least_aim_us)] += count;
-    per_part_us = kPrior[0].first * least_aim_us;
+        static_cast<Micros>(kTicksToAnswer * static_cast<double>(std::max<Micros>(s.decision_interval_us, 1)));
+    for (auto [share, count] : kPrior) histogram[Bucket(share * min_latency_objective_us)] += count;
+    per_part_us = kPrior[0].first * min_latency_objective_us;
     first_patience_us.assign(s.classes.size(), 0);
     class_parts.assign(s.classes.size(), 0);
     tenant_tokens.assign(s.tenants.size(), 0);
@@ -225,12 +225,12 @@
   void UpdateView() {
     double dt = viewed_us == 0 ? 0 : std::max(0.0, static_cast<double>(now - viewed_us));
     viewed_us = now;
-    double keep = std::exp(-dt / (kLatencyMemory * least_aim_us));
-    reap_us *= std::exp(dt / (kReapMemory * least_aim_us));
-    proven_us *= std::exp(-dt / (kReapMemory * least_aim_us));
-    losses *= std::exp(-dt / (kLossMemory * least_aim_us));
+    double keep = std::exp(-dt / (kLatencyMemory * min_latency_objective_us));
+    reap_us *= std::exp(dt / (kReapMemory * min_latency_objective_us));
+    proven_us *= std::exp(-dt / (kReapMemory * min_latency_objective_us));
+    losses *= std::exp(-dt / (kLossMemory * min_latency_objective_us));
     for (double& count : histogram) count *= keep;
-    for (auto [share, count] : kPrior) histogram[Bucket(share * least_aim_us)] += (1 - keep) * count;
+    for (auto [share, count] : kPrior) histogram[Bucket(share * min_latency_objective_us)] += (1 - keep) * count;
     median_us = Quantile(0.5);
     slow_us = Quantile(0.9);
     copy_us = Quantile(kCopyQuantile);
@@ -264,32 +264,32 @@
       }
       if (capacity > 0) break;
     }
-    double keep = std::exp(-dt / (std::max(kPressureMemory * least_aim_us, query_gap_us)));
+    double keep = std::exp(-dt / (std::max(kPressureMemory * min_latency_objective_us, query_gap_us)));
     exposure_us = keep * exposure_us + out_now * dt;
     answers = keep * answers + new_answers;
     new_answers = 0;
     double each = capacity > 0 ? out_now / capacity : 0, slope_us = kSlope * per_part_us;
     mean_out = keep * mean_out + (1 - keep) * each;
-    double prior = kPressurePrior * kPrior[0].first * least_aim_us;
+    double prior = kPressurePrior * kPrior[0].first * min_latency_objective_us;
     double latency = (exposure_us + prior) / (answers + kPressurePrior) + slope_us * (each - mean_out);
-    pressure = std::max(latency, slope_us * (1 + each)) * kSpread / least_aim_us;
+    pressure = std::max(latency, slope_us * (1 + each)) * kSpread / min_latency_objective_us;
   }
 
   // ================================ the list of replicas, and their health ================================
 
-  void operator()(const ListNews& news) {
-    if (news.kind == ListKind::kFailed) return AskAgain();
-    if (news.kind != ListKind::kDelta) {
-      std::set<ReplicaId> named;
-      for (const Replica& replica : news.replicas) named.insert(replica.id);
+  void operator()(const EndpointListUpdate& news) {
+    if (news.kind == EndpointListKind::kFailed) return AskAgain();
+    if (news.kind != EndpointListKind::kDelta) {
+      std::set<EndpointId> named;
+      for (const Endpoint& replica : news.replicas) named.insert(replica.id);
       for (auto& [id, server] : servers) {
         if (!named.contains(id)) server.told.availability = Availability::kGone, server.usable = false;
       }
     }
-    for (const Replica& replica : news.replicas) {
+    for (const Endpoint& replica : news.replicas) {
       bool known = servers.contains(replica.id);
       Server& server = servers[replica.id];
-      bool restarted = replica.launched_us != server.told.launched_us;
+      bool restarted = replica.started_us != server.told.started_us;
       bool announced = server.told.availability != Availability::kReady;
       if (known && !announced && (restarted || replica.availability == Availability::kGone)) NoteLoss(server);
       server.told = replica;
@@ -302,28 +302,28 @@
         server.used_us = 0;
         // Allowances of the group below one part in a window: who sends the first one is left to chance.
         server.cold_soft = server.cold_hard = Unit();
-        server.cold_us = now;
+        server.slow_start_us = now;
         server.cold_seen = warm_sent;
       }
     }
     // A long day replaces them all many times over, and does not grow with them.
     std::erase_if(servers, [](const auto& one) { return one.second.Over(); });
-    holders.assign(static_cast<std::size_t>(s.cells), {});
+    endpoints.assign(static_cast<std::size_t>(s.cells), {});
     for (auto& [id, server] : servers) {
       auto cell = static_cast<std::size_t>(server.told.cell);
-      if (cell < holders.size()) holders[cell].push_back(&server);
+      if (cell < endpoints.size()) endpoints[cell].push_back(&server);
     }
-    if (news.kind != ListKind::kCached) asks_failed = 0;
-    if (news.kind == ListKind::kCached && s.must_subscribe) out->push_back(Subscribe{});
+    if (news.kind != EndpointListKind::kCached) asks_failed = 0;
+    if (news.kind == EndpointListKind::kCached && s.subscription_required) out->push_back(Subscribe{});
   }
 
   // A list service that is down or full turns calls away at once: asked again in the same round by a large
   // group it drowns in the asking. Each waits a random time, doubled by each failure, always asking well
   // within the time after which it counts as told. Also covers a broken subscription; news then comes later.
   void AskAgain() {
-    if (!s.must_subscribe) return;
-    double most = static_cast<double>(s.ask_within_us) * kAskMost;
-    double span = std::min(most, kAskFirst * static_cast<double>(s.ask_within_us) * std::exp2(asks_failed++));
+    if (!s.subscription_required) return;
+    double most = static_cast<double>(s.poll_deadline_us) * kAskMost;
+    double span = std::min(most, kAskFirst * static_cast<double>(s.poll_deadline_us) * std::exp2(asks_failed++));
     out->push_back(SetTimer{static_cast<Micros>(span * (0.5 + Unit()) / 1.5) + 1, kAskLabel});
   }
 
@@ -334,9 +334,9 @@
 
   // The least share of its capacity a replica can have now.
   double Warmth(const Server& server) const {
-    if (server.told.launched_us == 0 || s.cold_us <= 0) return 1;
-    double age = static_cast<double>(now - server.told.launched_us) / static_cast<double>(s.cold_us);
-    return age >= 1 ? 1 : s.start_capacity + (1 - s.start_capacity) * std::max(age, 0.0);
+    if (server.told.started_us == 0 || s.slow_start_us <= 0) return 1;
+    double age = static_cast<double>(now - server.told.started_us) / static_cast<double>(s.slow_start_us);
+    return age >= 1 ? 1 : s.slow_start_capacity + (1 - s.slow_start_capacity) * std::max(age, 0.0);
   }
 
   // Guard of the fourth rule. A cold replica gets its warmth's share of what we send warm ones; where no
@@ -345,14 +345,14 @@
   // least one part at a time, shared by the group.
   bool ColdAllows(Server& server, bool hard) {
     double warmth = Warmth(server);
-    if (warmth >= 1 || s.fall_us <= 0) return true;
-    double least = static_cast<double>(now - server.cold_us) / (median_us * s.group_size);
+    if (warmth >= 1 || s.collapse_window_us <= 0) return true;
+    double least = static_cast<double>(now - server.slow_start_us) / (median_us * s.fleet_size);
     double more = std::max(warm_sent - server.cold_seen, least) * server.told.weight * warmth;
-    server.cold_us = now;
+    server.slow_start_us = now;
     server.cold_seen = warm_sent;
     server.cold_soft = std::min(server.cold_soft + more, kColdBurst);
     server.cold_hard =
-        std::min(server.cold_hard + more * std::max(1.0, kColdHard * s.fall_multiple), kColdBurst);
+        std::min(server.cold_hard + more * std::max(1.0, kColdHard * s.collapse_load_multiple), kColdBurst);
     return (hard ? server.cold_hard : server.cold_soft) >= 1;
   }
 
@@ -369,7 +369,7 @@
 
   void PutTrialOff(Server& server, double growth) {
     server.trial_factor = std::clamp(server.trial_factor * growth, 1.0, kTrialMost);
-    server.trial_us = now + static_cast<Micros>(server.trial_factor * kTrialFirst * least_aim_us);
+    server.trial_us = now + static_cast<Micros>(server.trial_factor * kTrialFirst * min_latency_objective_us);
     double turns = server.errors >= kBadWell ? kBadTurns : kTrialTurns;
     server.trial_turn = warm_sent + server.trial_factor * turns;
   }
@@ -384,14 +384,14 @@
     for (const auto& [key, sent] : server.out) oldest = std::min(oldest, sent);
     if (server.replied_us > oldest || static_cast<double>(now - oldest) <= kSilence * copy_us) return;
     if (!server.sick) MarkSick(server, true);
-    if (oldest != server.idle_sent_us || server.idle_us <= proven_us || !s.may_cancel) return;
+    if (oldest != server.idle_sent_us || server.idle_us <= proven_us || !s.cancellation_allowed) return;
     server.trial_us = 0;
     server.trial_turn = 0;
-    reap_us = std::max({std::min(reap_us, server.idle_us) / 2, kReapLeast * least_aim_us, proven_us});
+    reap_us = std::max({std::min(reap_us, server.idle_us) / 2, kReapLeast * min_latency_objective_us, proven_us});
     server.idle_sent_us = 0;
     server.stale = true;
     for (const auto& [key, sent] : server.out)
-      out->push_back(Cancel{key.first, key.second, CancelWhy::kDeadConnection});
+      out->push_back(Cancel{key.first, key.second, CancelReason::kDeadConnection});
   }
 
   // The way to a whole zone may be slow or lossy while each replica there is well: told by each for itself
@@ -399,7 +399,7 @@
   // in another zone they are not. Its replicas count as sick then. Covers a cut link, a zone that drowns or
   // dies; with two zones it doubles the other's load, so that one must be seen well, and trial parts go on.
   void JudgeZones(double dt) {
-    double keep = std::exp(-dt / (kZoneMemory * least_aim_us));
+    double keep = std::exp(-dt / (kZoneMemory * min_latency_objective_us));
     for (Zone& zone : zones) zone = {zone.fine * keep, zone.late * keep, 0, zone.far, zone.trial_us};
     for (const auto& [id, server] : servers) {
       for (const auto& [key, sent] : server.out) {
@@ -410,7 +410,7 @@
     for (Zone& zone : zones) {
       double late = zone.late + zone.overdue;
       zone.far = well && (zone.far ? late >= zone.fine : late > kZoneLeast + kZoneRatio * zone.fine);
-      if (!zone.far) zone.trial_us = now + static_cast<Micros>(kZoneTrial * least_aim_us);
+      if (!zone.far) zone.trial_us = now + static_cast<Micros>(kZoneTrial * min_latency_objective_us);
     }
   }
 
@@ -420,24 +420,24 @@
     double idle = server.used_us > 0 ? static_cast<double>(now - server.used_us) : 0;
     if (server.out.empty()) {
       bool close = server.stale || idle > reap_us;
-      auto why = server.stale ? CloseWhy::kDeadConnection : CloseWhy::kUnusedTooLong;
-      if (close) out->push_back(Close{server.told.id, why});
+      auto reason = server.stale ? CloseReason::kDeadConnection : CloseReason::kIdleTimeout;
+      if (close) out->push_back(Close{server.told.id, reason});
       server.stale = false;
-      server.idle_sent_us = !close && idle > kReapLeast * least_aim_us ? now : 0;
+      server.idle_sent_us = !close && idle > kReapLeast * min_latency_objective_us ? now : 0;
       server.idle_us = idle;
     }
     server.used_us = now;
   }
 
-  void JudgeOutcome(Server& server, const AttemptEnded& ended, const Attempt& attempt) {
-    if (ended.code == OutcomeCode::kMoot || ended.code == OutcomeCode::kCancelled) return;
-    if (ended.code != OutcomeCode::kTimeout) server.replied_us = server.used_us = now;
-    bool ok = ended.code == OutcomeCode::kOk;
+  void JudgeOutcome(Server& server, const AttemptFinished& ended, const Attempt& attempt) {
+    if (ended.code == AttemptOutcome::kNotSent || ended.code == AttemptOutcome::kCancelled) return;
+    if (ended.code != AttemptOutcome::kTimeout) server.replied_us = server.used_us = now;
+    bool ok = ended.code == AttemptOutcome::kOk;
     if (ok && attempt.sent_us == server.idle_sent_us) proven_us = std::max(proven_us, server.idle_us);
     // Turned away: what it holds does not come in with the aim, nor would this part have.
-    exposure_us += ended.code == OutcomeCode::kFull ? least_aim_us : 0;
-    new_answers += (ok && !server.sick) || ended.code == OutcomeCode::kFull ? 1 : 0;
-    bool failed = !ok && ended.code != OutcomeCode::kFull && ended.code != OutcomeCode::kTimeout;
+    exposure_us += ended.code == AttemptOutcome::kFull ? min_latency_objective_us : 0;
+    new_answers += (ok && !server.sick) || ended.code == AttemptOutcome::kFull ? 1 : 0;
+    bool failed = !ok && ended.code != AttemptOutcome::kFull && ended.code != AttemptOutcome::kTimeout;
     if (ok || failed) {
       double usual = std::clamp(fleet_errors, kFleetLeast, kBadShare * kBadShare);
       double likelier = std::log(failed ? kBadShare / usual : (1 - kBadShare) / (1 - usual));
@@ -445,7 +445,7 @@
       fleet_errors += kFleetGain * ((failed ? 1 : 0) - fleet_errors);
     }
     // No connection, or one lost: the process or the way to it is gone, whatever the list says.
-    bool lost = ended.code == OutcomeCode::kConnectFailed || ended.code == OutcomeCode::kReset;
+    bool lost = ended.code == AttemptOutcome::kConnectFailed || ended.code == AttemptOutcome::kReset;
     double spent = static_cast<double>(ended.spent_us);
     Zone& zone = zones[server.zone];
     (ok && spent <= kSlowRatio * median_us ? zone.fine : zone.late) += 1;
@@ -479,51 +479,51 @@
 
   // ================================ arrival and admission ================================
 
-  static EndWhy Because(EndCause cause, double figure, double bound) {
+  static CompletionReason Because(CompletionCause cause, double figure, double bound) {
     return {cause, static_cast<float>(figure), static_cast<float>(bound), {}};
   }
   // Told for people only, and once: what is not out at all, or why it is not any more.
-  bool Hold(Part& part, HeldWhy why, double figure = 0, double bound = 0, const Choice& choice = {}) {
-    if (held != nullptr && part.held != why && part.Out() == 0)
-      held->push_back({part.id, why, static_cast<float>(figure), static_cast<float>(bound), choice});
-    part.held = why;
+  bool MarkPending(Part& part, PendingReason reason, double figure = 0, double bound = 0, const Choice& choice = {}) {
+    if (held != nullptr && part.held != reason && part.Out() == 0)
+      held->push_back({part.id, reason, static_cast<float>(figure), static_cast<float>(bound), choice});
+    part.held = reason;
     return false;
   }
 
-  double TenantRate(std::size_t tenant) const { return s.tenants[tenant].allowance_per_s / s.group_size; }
+  double TenantRate(std::size_t tenant) const { return s.tenants[tenant].quota_per_s / s.fleet_size; }
 
-  void operator()(const QueryArrived& event) {
+  void operator()(const QueryReceived& event) {
     auto c = static_cast<std::size_t>(event.class_index);
-    if (c >= s.classes.size()) return out->push_back(Fail{event.id, Because(EndCause::kNoClass, 0, 0)});
+    if (c >= s.classes.size()) return out->push_back(Fail{event.id, Because(CompletionCause::kUnknownClass, 0, 0)});
     taken.push_back(now);
-    auto gap = static_cast<double>(std::min(now - query_us, s.classes[0].give_up_us * 2));
+    auto gap = static_cast<double>(std::min(now - query_us, s.classes[0].client_timeout_us * 2));
     if (query_us > 0) query_gap_us += kNewestGain * (gap - query_gap_us);
     query_us = now;
     Query query;
     query.id = event.id;
     query.number = event.number;
     query.class_index = c;
-    query.deadline_us = now + event.patience_us;
-    const ClassSettings& cls = s.classes[c];
+    query.deadline_us = now + event.timeout_remaining_us;
+    const QueryClassSettings& cls = s.classes[c];
     // What a marked later try lacks of a first one's patience has passed already. An unmarked short patience,
     // or a marked one when first tries are as short, is no sign of that: the client is just in a hurry.
     Micros& first = first_patience_us[c];
-    if (!event.repeated) first = event.patience_us;
-    bool shortened = event.repeated && event.patience_us + answer_margin_us < first;
-    Micros passed = shortened ? cls.give_up_us - event.patience_us : 0;
-    auto stretch = static_cast<Micros>(cls.aim_stretch * static_cast<double>(event.work_us));
-    query.aim_at_us = std::min(now + cls.aim_us + stretch - passed, query.deadline_us);
-    if (query.aim_at_us <= now) query.worth_factor *= cls.late_share;
+    if (!event.is_retry) first = event.timeout_remaining_us;
+    bool shortened = event.is_retry && event.timeout_remaining_us + answer_margin_us < first;
+    Micros passed = shortened ? cls.client_timeout_us - event.timeout_remaining_us : 0;
+    auto stretch = static_cast<Micros>(cls.objective_per_work * static_cast<double>(event.work_us));
+    query.objective_at_us = std::min(now + cls.latency_objective_us + stretch - passed, query.deadline_us);
+    if (query.objective_at_us <= now) query.worth_factor *= cls.late_value_fraction;
     auto tenant = static_cast<std::size_t>(event.tenant);
     if (tenant < tenant_tokens.size()) {
-      if (tenant_tokens[tenant] < 1) query.worth_factor *= s.over_share_worth;
+      if (tenant_tokens[tenant] < 1) query.worth_factor *= s.over_quota_value_factor;
       tenant_tokens[tenant] = std::max(tenant_tokens[tenant] - 1, 0.0);
     }
     numbers[event.number] = event.id;
     queries[event.id] = std::move(query);
   }
 
-  void operator()(const PartArrived& event) {
+  void operator()(const ShardRequestReceived& event) {
     taken.push_back(now);
     auto number = numbers.find(event.number);
     if (number == numbers.end()) return;
@@ -544,9 +544,9 @@
   double Density(std::size_t c) const { return s.classes[c].worth / std::max(class_parts[c], 1.0); }
 
   // What the best holder of the part's shard would take: a last holder may drown in a calm fleet.
-  double ExpectedLatency(const Part& part, ReplicaId* whose = nullptr) {
+  double ExpectedLatency(const Part& part, EndpointId* whose = nullptr) {
     double best[2] = {0, 0};  // of healthy holders, of sick ones
-    ForHolders(part.shard, [&](const Server& server) {
+    ForEachReplica(part.shard, [&](const Server& server) {
       if (!server.usable) return;
       double each = server.per_part_us == 0 ? per_part_us : server.per_part_us;
       double expected = each * static_cast<double>(1 + server.out.size());
@@ -558,15 +558,15 @@
     return best[0] > 0 ? best[0] : best[1];
   }
 
-  bool Admit(const Query& query, double hottest, EndWhy& why) {
+  bool Admit(const Query& query, double hottest, CompletionReason& reason) {
     double least = 1e300;
     for (std::size_t c = 0; c < s.classes.size(); ++c)
       if (class_parts[c] > 0) least = std::min(least, Density(c));
-    why = Because(EndCause::kNoWorth, query.worth_factor, 0);
+    reason = Because(CompletionCause::kNoRemainingValue, query.worth_factor, 0);
     if (query.worth_factor <= 0) return false;
     double hot = std::clamp((hottest - kHotFrom) / (kHotFull - kHotFrom), 0.0, 1.0);
-    why = hot > refusal ? Because(EndCause::kHot, hottest, kHotFrom)
-                        : Because(EndCause::kPressure, pressure, kRefuseFrom);
+    reason = hot > refusal ? Because(CompletionCause::kEndpointLoad, hottest, kHotFrom)
+                        : Because(CompletionCause::kLoad, pressure, kRefuseFrom);
     double chance = std::max(refusal, hot) * least / (Density(query.class_index) * query.worth_factor);
     return Unit() >= chance;
   }
@@ -576,13 +576,13 @@
   void Dispatch(Query& query) {
     query.dispatched = true;
     std::size_t c = query.class_index;
-    const ClassSettings& cls = s.classes[c];
+    const QueryClassSettings& cls = s.classes[c];
     if (query.step == 1) {
       auto count = static_cast<double>(query.parts.size());
       class_parts[c] = class_parts[c] == 0 ? count : class_parts[c] + kNewestGain * (count - class_parts[c]);
     }
     double aim =
-        static_cast<double>(query.aim_at_us - now) / (query.step == 1 && cls.fetch_parts > 0 ? 2 : 1);
+        static_cast<double>(query.objective_at_us - now) / (query.step == 1 && cls.fetch_phase_requests > 0 ? 2 : 1);
     std::vector<std::pair<Part*, double>> order;  // with the expected latency against the aim
     for (Id id : query.parts) {
       Part& part = parts.at(id);
@@ -591,7 +591,7 @@
     std::stable_sort(order.begin(), order.end(),
                      [](auto& a, auto& b) { return a.first->weight < b.first->weight; });
     // The level is the share skipped of the weight that may be; the cut is the weight which that reaches.
-    bool may_skip = cls.floor < cls.whole_at;
+    bool may_skip = cls.floor < cls.complete_coverage;
     double most = may_skip ? 1 - cls.floor : 0;
     double skipped = 0, hottest = 0;
     const Part* slowest = nullptr;
@@ -599,7 +599,7 @@
       part->wanted = !may_skip || skipped + part->weight > cut_level * most + 1e-12;
       if (part->wanted) continue;
       skipped += part->weight;
-      Hold(*part, HeldWhy::kCut, cut_level, part->weight);
+      MarkPending(*part, PendingReason::kCutoff, cut_level, part->weight);
     }
     // Beyond the cut: a part that cannot come in time from any holder only keeps those from others.
     for (auto& [part, heat] : order) {
@@ -607,18 +607,18 @@
       if (heat > kHotFull && skipped + part->weight <= most) {
         part->wanted = false;
         skipped += part->weight;
-        Hold(*part, HeldWhy::kHot, heat, kHotFull);
+        MarkPending(*part, PendingReason::kEndpointLoad, heat, kHotFull);
       } else if (!may_skip) {
         if (heat > hottest) slowest = part;
         hottest = std::max(hottest, heat);
       }
     }
-    EndWhy why;
-    if (query.step == 1 && !Admit(query, hottest, why)) {
-      ReplicaId whose[2];
-      if (why.cause == EndCause::kHot && slowest != nullptr) ExpectedLatency(*slowest, whose);
-      why.replica = whose[0];
-      return GiveUp(query, why);
+    CompletionReason reason;
+    if (query.step == 1 && !Admit(query, hottest, reason)) {
+      EndpointId whose[2];
+      if (reason.cause == CompletionCause::kEndpointLoad && slowest != nullptr) ExpectedLatency(*slowest, whose);
+      reason.replica = whose[0];
+      return GiveUp(query, reason);
     }
     for (auto it = order.rbegin(); it != order.rend(); ++it) {
       if (it->first->wanted) TrySend(query, *it->first);
@@ -628,36 +628,36 @@
   // ================================ the replica, and the send ================================
 
   template <typename Visit>
-  void ForHolders(int shard, Visit visit) {
-    for (int j = 0; j < s.reach && shard >= 0 && !holders.empty(); ++j) {
-      for (Server* server : holders[static_cast<std::size_t>((shard + j) % s.cells)]) visit(*server);
+  void ForEachReplica(int shard, Visit visit) {
+    for (int j = 0; j < s.reach && shard >= 0 && !endpoints.empty(); ++j) {
+      for (Server* server : endpoints[static_cast<std::size_t>((shard + j) % s.cells)]) visit(*server);
     }
   }
 
   // Fewest of this aggregator's parts out, ties at random, among those that the filter lets through.
-  Server* Choose(const Part& part, bool copy, Choice* why = nullptr) {
-    std::set<ReplicaId> tried;
+  Server* Choose(const Part& part, bool copy, Choice* reason = nullptr) {
+    std::set<EndpointId> tried;
     for (const Attempt& attempt : part.attempts) tried.insert(attempt.replica);
     std::vector<Server*> healthy, cold, again, sick, dead;
     Server* trial = nullptr;
-    auto note = [&](const Server& server, Standing standing) {
-      if (why == nullptr || why->count == kMostConsidered) return why ? void(++why->unlisted) : void();
+    auto note = [&](const Server& server, Eligibility standing) {
+      if (reason == nullptr || reason->count == kMaxCandidates) return reason ? void(++reason->unlisted) : void();
       auto now_out = static_cast<std::uint16_t>(std::min<std::size_t>(server.out.size(), 0xffff));
-      why->replicas[why->count++] = {server.told.id, now_out, standing, false};
+      reason->replicas[reason->count++] = {server.told.id, now_out, standing, false};
     };
     auto from = [&](const std::vector<Server*>& among) {
-      for (std::size_t i = 0; why != nullptr && i < why->count; ++i)
-        why->replicas[i].eligible = std::ranges::any_of(
-            among, [&](const Server* server) { return server->told.id == why->replicas[i].replica; });
+      for (std::size_t i = 0; reason != nullptr && i < reason->count; ++i)
+        reason->replicas[i].eligible = std::ranges::any_of(
+            among, [&](const Server* server) { return server->told.id == reason->replicas[i].replica; });
       return Fewest(part, among);
     };
-    ForHolders(part.shard, [&](Server& server) {
+    ForEachReplica(part.shard, [&](Server& server) {
       bool drains = server.told.availability == Availability::kDraining;
-      if (!server.usable) return note(server, drains ? Standing::kDraining : Standing::kGone);
-      if (!ColdAllows(server, true)) return note(server, Standing::kColdAccount);
+      if (!server.usable) return note(server, drains ? Eligibility::kDraining : Eligibility::kGone);
+      if (!ColdAllows(server, true)) return note(server, Eligibility::kSlowStartLimit);
       bool was_tried = tried.contains(server.told.id);
       if (Avoided(server)) {
-        note(server, !server.sick ? Standing::kFarZone : server.dead ? Standing::kDead : Standing::kSick);
+        note(server, !server.sick ? Eligibility::kZoneEjected : server.dead ? Eligibility::kUnresponsive : Eligibility::kOutlier);
         // Let back by few trial parts: one at a time, watched closely (kSickCopy); one for a whole far zone.
         const Zone& zone = zones[server.zone];
         bool due = now >= (zone.far ? zone.trial_us : server.trial_us);
@@ -665,17 +665,17 @@
         if (part.attempts.empty() && due && trial == nullptr) trial = &server;
         if (!was_tried) (server.dead ? dead : sick).push_back(&server);
       } else if (was_tried) {
-        note(server, Standing::kTried);
+        note(server, Eligibility::kAlreadyTried);
         again.push_back(&server);
       } else {
         bool fit = ColdAllows(server, false);
-        note(server, fit ? Standing::kFit : Standing::kColdShare);
+        note(server, fit ? Eligibility::kEligible : Eligibility::kSlowStartShare);
         (fit ? healthy : cold).push_back(&server);
       }
     });
     if (trial != nullptr) {
       PutTrialOff(*trial, 1);
-      zones[trial->zone].trial_us = now + static_cast<Micros>(kZoneTrial * least_aim_us);
+      zones[trial->zone].trial_us = now + static_cast<Micros>(kZoneTrial * min_latency_objective_us);
       return trial;
     }
     if (!healthy.empty()) return from(healthy);
@@ -694,7 +694,7 @@
     std::map<Micros, int> rounds{{now, 1}};
     for (const auto& [key, sent] : server.out) ++rounds[sent];
     int calls = 0;
-    for (auto [sent, count] : rounds) calls += (count + s.parts_per_call - 1) / s.parts_per_call;
+    for (auto [sent, count] : rounds) calls += (count + s.max_requests_per_call - 1) / s.max_requests_per_call;
     return calls;
   }
 
@@ -712,7 +712,7 @@
       least = calls;
       best.push_back(server);
     }
-    if (!s.warm_keys || part.key == 0)
+    if (!s.key_affinity || part.key == 0)
       return best[static_cast<std::size_t>(Unit() * static_cast<double>(best.size()))];
     auto heat = [&](const Server* server) {
       std::uint64_t id = std::uint64_t{server->told.id.address} << 16 | server->told.id.port;
@@ -725,9 +725,9 @@
   // Guard of the sixth rule, and our own limit on copies.
   bool FurtherAllowed(bool copy) {
     if (s.has_retry_budget) {
-      Trim(further, s.resend_span_us + s.resolution_us);
-      auto from = std::lower_bound(taken.begin(), taken.end(), now - s.resend_span_us + s.resolution_us);
-      double most = s.free_resends + s.further_ratio * static_cast<double>(taken.end() - from);
+      Trim(further, s.retry_budget_window_us + s.decision_interval_us);
+      auto from = std::lower_bound(taken.begin(), taken.end(), now - s.retry_budget_window_us + s.decision_interval_us);
+      double most = s.retry_budget_floor + s.retry_budget_ratio * static_cast<double>(taken.end() - from);
       if (static_cast<double>(further.size()) + 1 > most) return false;
     }
     if (!copy) return true;
@@ -739,24 +739,24 @@
   }
 
   // Guard of the second rule: may this part be sent once more?
-  bool EffectAllows(const ClassSettings& cls, const Part& part) const {
+  bool EffectAllows(const QueryClassSettings& cls, const Part& part) const {
     for (const Attempt& attempt : part.attempts) {
       if (attempt.never_ran) continue;
-      if (cls.effect == Effect::kAtMostOnce) return false;
-      bool outside = now + answer_margin_us - attempt.sent_us > cls.repeat_window_us;
-      if (cls.effect == Effect::kDeduplicated && outside) return false;
+      if (cls.effect == Effect::kNonIdempotent) return false;
+      bool outside = now + answer_margin_us - attempt.sent_us > cls.deduplication_window_us;
+      if (cls.effect == Effect::kIdempotencyKey && outside) return false;
     }
     return true;
   }
 
-  HeldWhy Barred(const ClassSettings& cls, const Part& part) const {
+  PendingReason Barred(const QueryClassSettings& cls, const Part& part) const {
     // A part that was out at a replica that died may be what killed it. Resent freely, a few take down all
     // holders of their shards. A query of which a part was answered is none of these.
     bool lost = std::ranges::any_of(part.attempts, &Attempt::lost);
     auto query = queries.find(part.query);
-    if (lost && (query == queries.end() || !query->second.vouched)) return HeldWhy::kKiller;
-    if (static_cast<int>(part.attempts.size()) >= s.max_attempts) return HeldWhy::kAttempts;
-    return EffectAllows(cls, part) ? HeldWhy::kNone : HeldWhy::kEffect;
+    if (lost && (query == queries.end() || !query->second.vouched)) return PendingReason::kPoisonQuery;
+    if (static_cast<int>(part.attempts.size()) >= s.max_attempts) return PendingReason::kAttemptLimit;
+    return EffectAllows(cls, part) ? PendingReason::kNone : PendingReason::kNotRepeatable;
   }
 
   // Replicas were lost unannounced of late: a query that kills what begins a part of it may be about. Each is
@@ -765,39 +765,39 @@
     if (query.vouched || query.step > 1) return false;
     bool guard = losses > kLossGuard;
     bool wide = query.parts.size() > kWideLeast && static_cast<double>(query.parts.size()) > kWide * usable;
-    bool hurried = static_cast<double>(query.aim_at_us - now) < kNoHurry * median_us;
+    bool hurried = static_cast<double>(query.objective_at_us - now) < kNoHurry * median_us;
     if (!guard && (!wide || hurried || pressure > kRefuseFrom)) return false;
     if (first) return query.newest_us == 0 && query.parts.size() > 1;
     return query.newest_us > 0 &&
-           (guard || static_cast<double>(now - query.newest_us) < kHeadStart * median_us);
+           (guard || static_cast<double>(now - query.newest_us) < kCanary * median_us);
   }
 
   bool TrySend(Query& query, Part& part, bool suspect = false) {
-    const ClassSettings& cls = s.classes[query.class_index];
+    const QueryClassSettings& cls = s.classes[query.class_index];
     bool copy = part.Out() > 0;
     bool more = !part.attempts.empty();
     Micros left = query.deadline_us - now;
     if (left <= answer_margin_us)
-      return Hold(part, HeldWhy::kTooLate, static_cast<double>(left) / 1e6,
+      return MarkPending(part, PendingReason::kDeadline, static_cast<double>(left) / 1e6,
                   static_cast<double>(answer_margin_us) / 1e6);
-    if (HeldWhy barred = Barred(cls, part); barred != HeldWhy::kNone)
-      return Hold(part, barred, static_cast<double>(part.attempts.size()), s.max_attempts);
-    if (!more && Held(query, false)) return Hold(part, HeldWhy::kHeadStart);
-    if (copy && (!s.may_copy || part.Out() > 1)) return false;
-    if (more && !FurtherAllowed(copy && !suspect)) return Hold(part, HeldWhy::kBudget);
-    SendWhy why{SendKind::kFirst, more ? part.attempts.back().code : OutcomeCode::kOk, {}};
-    Server* server = Choose(part, copy, &why.choice);
-    if (server == nullptr) return Hold(part, HeldWhy::kNoReplica, 0, 0, why.choice);
+    if (PendingReason barred = Barred(cls, part); barred != PendingReason::kNone)
+      return MarkPending(part, barred, static_cast<double>(part.attempts.size()), s.max_attempts);
+    if (!more && Held(query, false)) return MarkPending(part, PendingReason::kCanary);
+    if (copy && (!s.hedging_allowed || part.Out() > 1)) return false;
+    if (more && !FurtherAllowed(copy && !suspect)) return MarkPending(part, PendingReason::kRetryBudget);
+    DispatchReason reason{DispatchKind::kFirst, more ? part.attempts.back().code : AttemptOutcome::kOk, {}};
+    Server* server = Choose(part, copy, &reason.choice);
+    if (server == nullptr) return MarkPending(part, PendingReason::kNoEndpoint, 0, 0, reason.choice);
     if (copy) {
-      why.kind = suspect ? SendKind::kSuspectCopy : SendKind::kStragglerCopy;
+      reason.kind = suspect ? DispatchKind::kOutlierHedge : DispatchKind::kStragglerHedge;
     } else if (more) {
-      why.kind = SendKind::kResend;
-    } else if (Avoided(*server) && std::ranges::none_of(why.choice.replicas, &Considered::eligible)) {
-      why.kind = SendKind::kTrial;
+      reason.kind = DispatchKind::kRetry;
+    } else if (Avoided(*server) && std::ranges::none_of(reason.choice.replicas, &Candidate::eligible)) {
+      reason.kind = DispatchKind::kProbe;
     } else if (Held(query, true)) {
-      why.kind = SendKind::kHeadStart;
+      reason.kind = DispatchKind::kCanary;
     }
-    part.held = HeldWhy::kNone;
+    part.held = PendingReason::kNone;
     if (more) further.push_back(now);
     if (copy) copies_sent = kCopyMemory * copies_sent + 1, copies_won *= kCopyMemory;
     if (!more) query.newest_us = now, ++query.sent;
@@ -808,13 +808,13 @@
     --server->cold_hard;
     server->out[{part.id, static_cast<int>(part.attempts.size())}] = now;
     part.attempts.push_back({server->told.id, now, static_cast<int>(server->out.size())});
-    out->push_back(Send{part.id, server->told.id, query.deadline_us - answer_margin_us - now, why});
+    out->push_back(Send{part.id, server->told.id, query.deadline_us - answer_margin_us - now, reason});
     return true;
   }
 
   // ================================ outcomes ================================
 
-  void operator()(const AttemptEnded& ended) {
+  void operator()(const AttemptFinished& ended) {
     auto found = parts.find(ended.part);
     if (found == parts.end()) return;
     Part& part = found->second;
@@ -823,7 +823,7 @@
     Attempt& attempt = part.attempts[index];
     attempt.out = false;
     attempt.never_ran = ProvesNotRun(ended.code);
-    attempt.lost = ended.code == OutcomeCode::kReset;
+    attempt.lost = ended.code == AttemptOutcome::kReset;
     attempt.code = ended.code;
     auto server = servers.find(attempt.replica);
     if (server != servers.end()) {
@@ -838,19 +838,19 @@
     }
     if (part.Out() == 0) part.idle_since_us = now;
     if (attempt.lost) ++query->second.losses;
-    if (ended.code != OutcomeCode::kOk || part.in) return;
+    if (ended.code != AttemptOutcome::kOk || part.in) return;
     part.in = true;
     if (ended.attempt > 0 && part.Out() > 0) ++copies_won;
     query->second.vouched = true;
     if (++query->second.in >= kMostIn * query->second.sent && query->second.most_in_us == 0)
       query->second.most_in_us = now;
     query->second.in_weight += part.weight;
-    CancelOut(part, CancelWhy::kAnswered);
+    CancelOut(part, CancelReason::kAnswered);
   }
 
-  void CancelOut(Part& part, CancelWhy why) {
-    for (std::size_t a = 0; s.may_cancel && a < part.attempts.size(); ++a) {
-      if (part.attempts[a].out) out->push_back(Cancel{part.id, static_cast<int>(a), why});
+  void CancelOut(Part& part, CancelReason reason) {
+    for (std::size_t a = 0; s.cancellation_allowed && a < part.attempts.size(); ++a) {
+      if (part.attempts[a].out) out->push_back(Cancel{part.id, static_cast<int>(a), reason});
     }
   }
 
@@ -858,7 +858,7 @@
 
   // Every tick, for every open query.
   void Review(Query& query) {
-    const ClassSettings& cls = s.classes[query.class_index];
+    const QueryClassSettings& cls = s.classes[query.class_index];
     double possible = query.in_weight;
     bool all_in = !query.parts.empty();
     for (Id id : query.parts) {
@@ -871,45 +871,45 @@
         TrySend(query, part);
       } else if (part.Out() == 1 && CopyDue(query, *stuck)) {
         bool suspect = Suspect(*stuck);
-        if (s.may_copy) {
+        if (s.hedging_allowed) {
           TrySend(query, part, suspect);
         } else if (suspect && !stuck->called_off && FurtherAllowed(false) && Choose(part, true) != nullptr) {
           // Never two at once: called off, and sent again when that is confirmed. Only where the replica
           // looks sick: a part called off for its age alone is work thrown away.
           stuck->called_off = true;
           int attempt = static_cast<int>(stuck - part.attempts.begin());
-          out->push_back(Cancel{part.id, attempt, CancelWhy::kLooksSick});
+          out->push_back(Cancel{part.id, attempt, CancelReason::kEndpointOutlier});
         }
       }
-      if (part.Out() > 0 || Barred(cls, part) == HeldWhy::kNone) possible += part.weight;
+      if (part.Out() > 0 || Barred(cls, part) == PendingReason::kNone) possible += part.weight;
     }
     // Replicas died under it and none has answered: it goes no further.
     bool expired = now >= query.deadline_us - answer_margin_us;
     int borne = losses > kLossGuard ? 0 : 1;
     if (!query.vouched && query.losses > borne)
-      return GiveUp(query, Because(EndCause::kReplicasLost, query.losses, borne));
-    EndWhy late = Because(EndCause::kExpired, static_cast<double>(query.deadline_us - now) / 1e6,
+      return GiveUp(query, Because(CompletionCause::kEndpointsLost, query.losses, borne));
+    CompletionReason late = Because(CompletionCause::kExpired, static_cast<double>(query.deadline_us - now) / 1e6,
                           static_cast<double>(answer_margin_us) / 1e6);
     if (query.parts.empty() && query.step == 2) return expired ? GiveUp(query, late) : void();
-    bool whole = query.in_weight >= cls.whole_at - kWeightSlack && (query.step == 1 || all_in);
+    bool whole = query.in_weight >= cls.complete_coverage - kWeightSlack && (query.step == 1 || all_in);
     if (whole)
       return Conclude(query, query.step == 1 || query.first_full,
-                      Because(EndCause::kWhole, query.in_weight, cls.whole_at));
+                      Because(CompletionCause::kComplete, query.in_weight, cls.complete_coverage));
     bool floor_in =
-        query.in_weight >= cls.floor - kWeightSlack && query.in_weight > 0 && cls.floor < cls.whole_at;
+        query.in_weight >= cls.floor - kWeightSlack && query.in_weight > 0 && cls.floor < cls.complete_coverage;
     bool nothing_more = possible <= query.in_weight + 1e-12;
-    Micros answer_at = query.aim_at_us - answer_margin_us - static_cast<Micros>(kAnswerLead * least_aim_us);
-    if (query.step == 1 && cls.fetch_parts > 0) answer_at -= static_cast<Micros>(slow_us);
+    Micros answer_at = query.objective_at_us - answer_margin_us - static_cast<Micros>(kAnswerLead * min_latency_objective_us);
+    if (query.step == 1 && cls.fetch_phase_requests > 0) answer_at -= static_cast<Micros>(slow_us);
     answer_at = std::min(answer_at, query.deadline_us - answer_margin_us);
     if (floor_in && (now >= answer_at || nothing_more)) {
-      EndCause cause = nothing_more ? EndCause::kNothingMore : EndCause::kAim;
+      CompletionCause cause = nothing_more ? CompletionCause::kNoPendingRequests : CompletionCause::kLatencyObjective;
       return Conclude(query, false, Because(cause, query.in_weight, cls.floor));
     }
-    double least = std::min(cls.floor, cls.whole_at);
-    bool worthless = now >= query.aim_at_us - answer_margin_us && cls.late_share <= 0;
-    if (possible < least - kWeightSlack) return GiveUp(query, Because(EndCause::kHopeless, possible, least));
-    double over = static_cast<double>(now - query.aim_at_us) / 1e6;
-    if (expired || worthless) GiveUp(query, expired ? late : Because(EndCause::kWorthless, over, 0));
+    double least = std::min(cls.floor, cls.complete_coverage);
+    bool worthless = now >= query.objective_at_us - answer_margin_us && cls.late_value_fraction <= 0;
+    if (possible < least - kWeightSlack) return GiveUp(query, Because(CompletionCause::kCoverageUnreachable, possible, least));
+    double over = static_cast<double>(now - query.objective_at_us) / 1e6;
+    if (expired || worthless) GiveUp(query, expired ? late : Because(CompletionCause::kNoLateValue, over, 0));
   }
 
   // Its replica is gone or looks sick, or has answered parts sent well after this one, which is lost then.
@@ -921,23 +921,23 @@
 
   // A part out far longer than its fellows took; at once where its replica looks sick or is gone.
   bool CopyDue(const Query& query, const Attempt& attempt) const {
-    if (!(s.may_copy || s.may_cancel)) return false;
+    if (!(s.hedging_allowed || s.cancellation_allowed)) return false;
     if (static_cast<double>(query.deadline_us - now) < median_us) return false;
     double age = static_cast<double>(now - attempt.sent_us);
     if (Suspect(attempt)) return age > kSickCopy * median_us;
-    const ClassSettings& cls = s.classes[query.class_index];
+    const QueryClassSettings& cls = s.classes[query.class_index];
     double most_took = static_cast<double>(query.most_in_us - attempt.sent_us);
     // A whole-only query waits for its last part, be the fleet calm or not.
-    bool behind = query.most_in_us > 0 && cls.floor >= cls.whole_at && age > kStraggler * most_took &&
-                  age > median_us && static_cast<double>(query.aim_at_us - now) < kStragglerLead * slow_us;
+    bool behind = query.most_in_us > 0 && cls.floor >= cls.complete_coverage && age > kStraggler * most_took &&
+                  age > median_us && static_cast<double>(query.objective_at_us - now) < kStragglerLead * slow_us;
     return (pressure < kCopyPressure && age > copy_us) || (pressure < kStragglerPressure && behind);
   }
 
-  void Conclude(Query& query, bool full, const EndWhy& why) {
-    out->push_back(Answer{query.id, full, why});
-    const ClassSettings& cls = s.classes[query.class_index];
+  void Conclude(Query& query, bool full, const CompletionReason& reason) {
+    out->push_back(Answer{query.id, full, reason});
+    const QueryClassSettings& cls = s.classes[query.class_index];
     ReleaseParts(query);
-    if (query.step == 1 && cls.fetch_parts > 0) {
+    if (query.step == 1 && cls.fetch_phase_requests > 0) {
       query.step = 2;
       query.in = query.sent = 0;
       query.most_in_us = 0;
@@ -951,16 +951,16 @@
   // ================================ the end of a query ================================
 
   // Given up: told at once, with the time to come back. A refusal promises that nothing ran.
-  void GiveUp(Query& query, const EndWhy& why) {
-    const ClassSettings& cls = s.classes[query.class_index];
+  void GiveUp(Query& query, const CompletionReason& reason) {
+    const QueryClassSettings& cls = s.classes[query.class_index];
     auto unrun = [&](Id id) { return std::ranges::all_of(parts.at(id).attempts, &Attempt::never_ran); };
-    bool once = cls.effect == Effect::kAtMostOnce;
+    bool once = cls.effect == Effect::kNonIdempotent;
     bool harmless = !once || (query.step == 1 && std::ranges::all_of(query.parts, unrun));
     if (harmless && now < query.deadline_us) {
-      auto wait = static_cast<Micros>(least_aim_us * (kRetryAfter + refusal));
-      out->push_back(Refuse{query.id, s.may_retry_after ? std::min(s.max_retry_after_us, wait) : 0, why});
+      auto wait = static_cast<Micros>(min_latency_objective_us * (kRetryAfter + refusal));
+      out->push_back(Refuse{query.id, s.retry_after_allowed ? std::min(s.max_retry_after_us, wait) : 0, reason});
     } else {
-      out->push_back(Fail{query.id, why});
+      out->push_back(Fail{query.id, reason});
     }
     ReleaseParts(query);
     Forget(query);
@@ -970,7 +970,7 @@
     for (Id id : query.parts) {
       Part& part = parts.at(id);
       part.query = 0;
-      CancelOut(part, CancelWhy::kQueryOver);
+      CancelOut(part, CancelReason::kQueryOver);
       if (part.Out() == 0) parts.erase(id);
     }
     query.parts.clear();
@@ -981,7 +981,7 @@
     ended.insert(query.id);  // erased after the round: callers still hold it
   }
 
-  void operator()(const ClientGone& gone) {
+  void operator()(const ClientDisconnected& gone) {
     auto query = queries.find(gone.id);
     if (query == queries.end()) return;
     ReleaseParts(query->second);
@@ -997,14 +997,14 @@
   void operator()(const auto&) {}  // asked for nowhere
 
   void Handle(Micros at, std::span<const Event> events, std::vector<Action>& actions,
-              std::vector<PartHeld>* holds) {
+              std::vector<PendingShardRequest>* holds) {
     now = at;
     out = &actions;
     held = holds;
     for (const Event& event : events) {
-      const auto* query = std::get_if<QueryArrived>(&event);
+      const auto* query = std::get_if<QueryReceived>(&event);
       if (valid) std::visit(*this, event);
-      if (!valid && query) actions.push_back(Fail{query->id, Because(EndCause::kBadSettings, 0, 0)});
+      if (!valid && query) actions.push_back(Fail{query->id, Because(CompletionCause::kInvalidSettings, 0, 0)});
     }
     if (!valid) return;
     UpdateView();
@@ -1014,10 +1014,10 @@
       if (!ended.contains(id)) Review(query);
     for (Id id : ended) queries.erase(id);
     ended.clear();
-    Trim(taken, std::max(s.resend_span_us, copy_span_us));
+    Trim(taken, std::max(s.retry_budget_window_us, copy_span_us));
     if (!timer_set && !queries.empty()) {
       timer_set = true;
-      actions.push_back(SetTimer{std::max<Micros>(s.resolution_us, 1), 0});
+      actions.push_back(SetTimer{std::max<Micros>(s.decision_interval_us, 1), 0});
     }
   }
 
@@ -1026,11 +1026,11 @@
   std::uint64_t random_state;
   Micros now = 0;
   std::vector<Action>* out = nullptr;
-  std::vector<PartHeld>* held = nullptr;
-  double least_aim_us = 0;
+  std::vector<PendingShardRequest>* held = nullptr;
+  double min_latency_objective_us = 0;
   Micros answer_margin_us = 0, copy_span_us = 0;
-  std::map<ReplicaId, Server> servers;
-  std::vector<std::vector<Server*>> holders;  // by cell, those usable or not
+  std::map<EndpointId, Server> servers;
+  std::vector<std::vector<Server*>> endpoints;  // by cell, those usable or not
   double warm_weight = 0, warm_sent = 0;      // of all warm replicas; sent to one of weight 1 since the start
   std::map<Id, Query> queries;
   std::map<Id, Part> parts;
@@ -1057,15 +1057,15 @@
   int asks_failed = 0;  // calls to the list service since it last answered
 };
 
-Aggregator::Aggregator(const Settings& settings, std::uint64_t seed)
+Router::Router(const Settings& settings, std::uint64_t seed)
     : state_(std::make_unique<State>(settings, seed)) {}
-Aggregator::~Aggregator() = default;
-Aggregator::Aggregator(Aggregator&&) noexcept = default;
-Aggregator& Aggregator::operator=(Aggregator&&) noexcept = default;
+Router::~Router() = default;
+Router::Router(Router&&) noexcept = default;
+Router& Router::operator=(Router&&) noexcept = default;
 
-int Aggregator::Avoided() const { return static_cast<int>(state_->avoided); }
-void Aggregator::Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
-                        std::vector<PartHeld>* held) {
+int Router::Avoided() const { return static_cast<int>(state_->avoided); }
+void Router::Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
+                        std::vector<PendingShardRequest>* held) {
   state_->Handle(now, events, actions, held);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -16,17 +16,17 @@
 
 // One aggregator. Not thread-safe; instances share nothing. Same settings, seed and events: same actions.
 // With settings that CheckSettings turns down it fails every query at once and does nothing else.
-class Aggregator {
+class Router {
  public:
-  Aggregator(const Settings& settings, std::uint64_t seed);
-  ~Aggregator();
-  Aggregator(Aggregator&&) noexcept;
-  Aggregator& operator=(Aggregator&&) noexcept;
+  Router(const Settings& settings, std::uint64_t seed);
+  ~Router();
+  Router(Router&&) noexcept;
+  Router& operator=(Router&&) noexcept;
 
   // All events happen at `now`; the actions appended take effect at `now`, in order. `held`, where given,
   // gets a line for each part that is not sent, or not sent again, whenever the reason changes.
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
-              std::vector<PartHeld>* held = nullptr);
+              std::vector<PendingShardRequest>* held = nullptr);
   // Replicas listed that got nothing new of their own accord in the last round: they drain, look sick or are far.
   int Avoided() const;
 
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -10,22 +10,22 @@
 using Micros = std::int64_t;  // times and spans; the clock has no particular origin
 using Id = std::uint32_t;     // a query or a part
 
-struct ReplicaId {
+struct EndpointId {
   std::uint32_t address = 0;
   std::uint16_t port = 0;
-  auto operator<=>(const ReplicaId&) const = default;
+  auto operator<=>(const EndpointId&) const = default;
 };
 
 enum class Availability { kGone, kReady, kDraining };
 
-struct Replica {
-  ReplicaId id;
+struct Endpoint {
+  EndpointId id;
   int zone = 0;
   int kind = 0;
   int cell = 0;
   Availability availability = Availability::kReady;
   double weight = 1;
-  Micros launched_us = 0;  // 0: long ago
+  Micros started_us = 0;  // 0: long ago
 };
 
 }  // namespace liftrudder::routing
