--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-constexpr int kHolders = 3;
+constexpr int kMaxEndpoints = 3;
 
-std::string Config(const test_support::Discovery& discovery, const std::string& mgmt) {
+std::string Config(const test_support::FakeDiscovery& discovery, const std::string& mgmt) {
   return fmt::format(
       R"({{"name":"n1","seed":"8c1f30d27a5be964","listen":"127.0.0.1:0","mgmt":"{}","discovery":"{}","limits":{{"cores":1,"sockets":256,"memory_mb":64}},
 "known":{},"settings":{{"az":0,"groupSize":1,"ordinal":0,"resolutionUs":1000,"dcs":[],"kinds":["k"],
@@ -32,28 +32,28 @@
 "familyInfo":{{"cells":{},"reach":1,"slices":{},"perCall":1,"classFetch":[0,0],"classFloor":[1.0,1.0],"wholeAt":[1.0,1.0],"incompleteWorth":[0.95,0.95]}},
 "bounds":{{"attemptsCap":3,"cancelling":true,"connectTimeoutUs":250000,"idleCloseUs":30000000,"maxOpen":500,"maxRetryAfterUs":500000,"probes":true,"retryAfter":true,"secondCopies":false,"streamsPerConn":100}},
 "rules":{{"graceToAnswerUs":5000,"stopSendingWithinUs":1000000}}}}}})",
-      mgmt, discovery.addr(), discovery.List(), kHolders, kHolders);
+      mgmt, discovery.addr(), discovery.List(), kMaxEndpoints, kMaxEndpoints);
 }
 
 struct World {
-  World() : field(kHolders, 2'000) {
-    std::vector<test_support::Discovery::Entry> all;
-    for (int i = 0; i < kHolders; ++i) all.push_back({fmt::format("h{}", i), field.addr(i), i});
+  World() : field(kMaxEndpoints, 2'000) {
+    std::vector<test_support::FakeDiscovery::Entry> all;
+    for (int i = 0; i < kMaxEndpoints; ++i) all.push_back({fmt::format("h{}", i), field.addr(i), i});
     discovery.Tell(all);
   }
   int Parts() const {
     int sum = 0;
-    for (int i = 0; i < kHolders; ++i) sum += field.parts(i);
+    for (int i = 0; i < kMaxEndpoints; ++i) sum += field.parts(i);
     return sum;
   }
-  test_support::Field field;
-  test_support::Discovery discovery;
-  test_support::Folder folder;
+  test_support::TestFleet field;
+  test_support::FakeDiscovery discovery;
+  test_support::TemporaryDirectory directory;
 };
 
 // Calls at a second address.
-struct Desk {
-  explicit Desk(const test_support::Gatherer& gatherer) : addr(gatherer.Logged("are answered at ")) {}
+struct ExplainService {
+  explicit ExplainService(const test_support::CoordinatorProcess& coordinator_process) : addr(coordinator_process.Logged("are answered at ")) {}
   net::HttpMessage Call(const std::string& method, const std::string& path) const {
     return test_support::Fetch(addr, fmt::format("{} {} HTTP/1.1\r\nHost: g\r\n\r\n", method, path));
   }
@@ -113,55 +113,55 @@
 
 TEST_CASE("the second address: what may be called, and what is wrong about a call") {
   World world;
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, world.folder.path(), Config(world.discovery, "127.0.0.1:0"));
-  INFO(gatherer.Log());
-  REQUIRE(!gatherer.addr().empty());
-  Desk desk(gatherer);
-  Until([&] { return desk.Call("GET", "/healthcheck").status == 200; }, "ready");
-  CHECK(desk.Call("GET", "/stats").status == 200);
-  CHECK(desk.Call("GET", "/nothing").status == 404);
-  CHECK(desk.Call("GET", "/").status == 404);
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  INFO(coordinator_process.Log());
+  REQUIRE(!coordinator_process.addr().empty());
+  ExplainService explain_service(coordinator_process);
+  Until([&] { return explain_service.Call("GET", "/healthcheck").status == 200; }, "ready");
+  CHECK(explain_service.Call("GET", "/stats").status == 200);
+  CHECK(explain_service.Call("GET", "/nothing").status == 404);
+  CHECK(explain_service.Call("GET", "/").status == 404);
   for (auto [method, path] : {std::pair("PUT", "/healthcheck"),
                               {"POST", "/stats"},
                               {"GET", "/healthcheck/fail"},
                               {"DELETE", "/healthcheck/ok"}}) {
-    net::HttpMessage answer = desk.Call(method, path);
+    net::HttpMessage answer = explain_service.Call(method, path);
     CHECK(answer.status == 405);
     CHECK(answer.Header("Allow") != nullptr);
   }
-  CHECK(test_support::Fetch(desk.addr, "GET /stats\r\n\r\n").status == 400);
-  CHECK(test_support::Fetch(desk.addr, "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
+  CHECK(test_support::Fetch(explain_service.addr, "GET /stats\r\n\r\n").status == 400);
+  CHECK(test_support::Fetch(explain_service.addr, "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
             .status == 400);
-  CHECK(test_support::Fetch(desk.addr, "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n").status ==
+  CHECK(test_support::Fetch(explain_service.addr, "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n").status ==
         400);
   // Mute and half-finished callers, far more than are held, keep nobody out.
   std::vector<net::Fd> mute;
   for (int i = 0; i < 100; ++i) {
-    mute.push_back(net::Connect(desk.addr, test_support::kPatience));
+    mute.push_back(net::Connect(explain_service.addr, test_support::kPatience));
     if (i % 2 == 0) net::WriteAll(mute.back(), "GET /stats HT", test_support::kPatience);
   }
-  CHECK(desk.Call("GET", "/healthcheck").status == 200);
-  CHECK(gatherer.Stop() >= 0);
+  CHECK(explain_service.Call("GET", "/healthcheck").status == 200);
+  CHECK(coordinator_process.Stop() >= 0);
 }
 
 TEST_CASE("a second address or a passed socket that cannot be had is an error that names it") {
   World world;
   net::Fd taken = net::Listen("127.0.0.1:0");
-  std::string addr = net::LocalAddress(taken), path = world.folder.path() + "/config.json";
+  std::string addr = net::LocalAddress(taken), path = world.directory.path() + "/config.json";
   std::ofstream(path) << Config(world.discovery, addr);
   ::setenv("BALANCER_CONFIG", path.c_str(), 1);
   auto [code, said] = test_support::RunProgram(LIFTRUDDER_PROGRAM, {});
   CHECK(code == 1);
   CHECK(said.find("cannot listen on " + addr) != std::string::npos);
   std::ofstream(path) << Config(world.discovery, "");
-  for (auto [number, why] : {std::pair("77", "descriptor 77: Bad file descriptor"),
+  for (auto [number, reason] : {std::pair("77", "descriptor 77: Bad file descriptor"),
                              {"0", "passed socket: descriptor 0"},
                              {"3x", "'3x' is no descriptor's number"}}) {
     ::setenv("BALANCER_PASSED_SOCKET", number, 1);
     std::tie(code, said) = test_support::RunProgram(LIFTRUDDER_PROGRAM, {});
     INFO(said);
     CHECK(code == 1);
-    CHECK(said.find(why) != std::string::npos);
+    CHECK(said.find(reason) != std::string::npos);
   }
   ::unsetenv("BALANCER_PASSED_SOCKET");
   ::unsetenv("BALANCER_CONFIG");
@@ -169,17 +169,17 @@
 
 TEST_CASE("the figures are what clients were given and what holders saw") {
   World world;
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, world.folder.path(), Config(world.discovery, "127.0.0.1:0"));
-  REQUIRE(!gatherer.addr().empty());
-  Desk desk(gatherer);
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  REQUIRE(!coordinator_process.addr().empty());
+  ExplainService explain_service(coordinator_process);
   std::map<std::string, std::map<int, long>> given;
   Client client;
   for (int i = 0; i < 60; ++i) {
     std::string group = i % 3 == 0 ? "report" : "search";
-    ++given[group][client.Ask(gatherer.addr(), fmt::format("q{}", i), group, 1 + i % kHolders)];
+    ++given[group][client.Ask(coordinator_process.addr(), fmt::format("q{}", i), group, 1 + i % kMaxEndpoints)];
   }
-  CHECK(client.Ask(gatherer.addr(), "bad", "nosuch", 1) == 400);
-  auto stats = desk.Stats();
+  CHECK(client.Ask(coordinator_process.addr(), "bad", "nosuch", 1) == 400);
+  auto stats = explain_service.Stats();
   CHECK(stats["app_answered_total{group=\"search\"}"] == given["search"][200]);
   CHECK(stats["app_answered_total{group=\"report\"}"] == given["report"][200]);
   CHECK(given["search"][200] + given["report"][200] == 60);
@@ -187,69 +187,69 @@
         world.Parts());
   CHECK(stats["app_errored_total{group=\"search\"}"] == 0);
   CHECK(stats["app_current"] == 0);
-  CHECK(stats["app_cluster_size"] == kHolders);
+  CHECK(stats["app_cluster_size"] == kMaxEndpoints);
   CHECK(stats["app_cluster_unhealthy"] == 0);
   // One leaves: listed and avoided, then not listed; a query for its shard is refused or fails at once.
   world.discovery.Tell("h2", world.field.addr(2), 2, "draining");
-  Until([&] { return desk.Stats()["app_cluster_unhealthy"] == 1; }, "one avoided");
-  CHECK(desk.Stats()["app_cluster_size"] == kHolders);
+  Until([&] { return explain_service.Stats()["app_cluster_unhealthy"] == 1; }, "one avoided");
+  CHECK(explain_service.Stats()["app_cluster_size"] == kMaxEndpoints);
   world.discovery.Tell("h2", world.field.addr(2), 2, "gone");
   // The list is told at once, what is avoided with the next round of decisions.
-  Until([&] { return desk.Stats()["app_cluster_size"] == kHolders - 1; }, "one less");
-  Until([&] { return desk.Stats()["app_cluster_unhealthy"] == 0; }, "none avoided");
-  int status = client.Ask(gatherer.addr(), "none", "report", kHolders);
+  Until([&] { return explain_service.Stats()["app_cluster_size"] == kMaxEndpoints - 1; }, "one less");
+  Until([&] { return explain_service.Stats()["app_cluster_unhealthy"] == 0; }, "none avoided");
+  int status = client.Ask(coordinator_process.addr(), "none", "report", kMaxEndpoints);
   CHECK(status != 200);
-  stats = desk.Stats();
+  stats = explain_service.Stats();
   CHECK(stats["app_deferred_total{group=\"report\"}"] + stats["app_errored_total{group=\"report\"}"] == 1);
-  CHECK(gatherer.Stop() >= 0);
+  CHECK(coordinator_process.Stop() >= 0);
 }
 
 TEST_CASE("a drain ends kept connections behind their answers and when idle, and its end is an end") {
   World world;
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, world.folder.path(), Config(world.discovery, "127.0.0.1:0"));
-  REQUIRE(!gatherer.addr().empty());
-  Desk desk(gatherer);
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  REQUIRE(!coordinator_process.addr().empty());
+  ExplainService explain_service(coordinator_process);
   Client busy, idle;
-  CHECK(busy.Ask(gatherer.addr(), "b0", "search", 1) == 200);
-  CHECK(idle.Ask(gatherer.addr(), "i0", "search", 1) == 200);
-  CHECK(desk.Call("PUT", "/healthcheck/fail").status == 200);
-  CHECK(desk.Call("PUT", "/healthcheck/fail").status == 200);  // twice is once
-  CHECK(desk.Call("GET", "/healthcheck").status == 503);
-  CHECK(test_support::Get(gatherer.addr(), "/-/ready").status == 503);
-  gatherer.Signal(SIGHUP);
+  CHECK(busy.Ask(coordinator_process.addr(), "b0", "search", 1) == 200);
+  CHECK(idle.Ask(coordinator_process.addr(), "i0", "search", 1) == 200);
+  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);
+  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);  // twice is once
+  CHECK(explain_service.Call("GET", "/healthcheck").status == 503);
+  CHECK(test_support::Get(coordinator_process.addr(), "/-/ready").status == 503);
+  coordinator_process.Signal(SIGHUP);
   int asked = 0;
   // Kept busy: every request is answered, and at last the connection is ended behind an answer.
   Until(
       [&] {
-        return busy.Ask(gatherer.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 && !busy.fd.Valid();
+        return busy.Ask(coordinator_process.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 && !busy.fd.Valid();
       },
       "the busy connection ends");
   Until([&] { return Ended(idle.fd); }, "the idle connection ends");
   // Who comes all the same is served, on a connection for that one request.
   Client late;
-  CHECK(late.Ask(gatherer.addr(), "l0", "search", 1) == 200);
+  CHECK(late.Ask(coordinator_process.addr(), "l0", "search", 1) == 200);
   CHECK(!late.fd.Valid());
-  CHECK(desk.Call("GET", "/healthcheck").status == 503);
-  CHECK(desk.Call("PUT", "/healthcheck/ok").status == 200);
-  CHECK(desk.Call("GET", "/healthcheck").status == 200);
-  CHECK(test_support::Get(gatherer.addr(), "/-/ready").status == 200);
-  CHECK(late.Ask(gatherer.addr(), "l1", "search", 1) == 200);
+  CHECK(explain_service.Call("GET", "/healthcheck").status == 503);
+  CHECK(explain_service.Call("PUT", "/healthcheck/ok").status == 200);
+  CHECK(explain_service.Call("GET", "/healthcheck").status == 200);
+  CHECK(test_support::Get(coordinator_process.addr(), "/-/ready").status == 200);
+  CHECK(late.Ask(coordinator_process.addr(), "l1", "search", 1) == 200);
   CHECK(late.fd.Valid());
   late.fd = net::Fd();
-  CHECK(desk.Call("PUT", "/healthcheck/fail").status == 200);
-  CHECK(gatherer.Stop() >= 0);  // SIGTERM while it drains
+  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);
+  CHECK(coordinator_process.Stop() >= 0);  // SIGTERM while it drains
 }
 
 TEST_CASE("a process is replaced under load with nothing refused, reset or unread") {
   World world;
   net::Fd listener = net::Listen("127.0.0.1:0");
   std::string addr = net::LocalAddress(listener);
-  test_support::Folder second;
+  test_support::TemporaryDirectory second;
   std::string config = Config(world.discovery, "127.0.0.1:0");
-  auto old = std::make_unique<test_support::Gatherer>(LIFTRUDDER_PROGRAM, world.folder.path(), config,
+  auto old = std::make_unique<test_support::CoordinatorProcess>(LIFTRUDDER_PROGRAM, world.directory.path(), config,
                                                  std::vector<std::string>{}, listener.Get());
   REQUIRE(old->addr() == addr);
-  Until([&] { return Desk(*old).Call("GET", "/healthcheck").status == 200; }, "ready");
+  Until([&] { return ExplainService(*old).Call("GET", "/healthcheck").status == 200; }, "ready");
   std::atomic<bool> over{false};
   std::atomic<int> answered{0}, refused{0}, lost{0};
   std::vector<std::thread> clients;
@@ -257,7 +257,7 @@
     clients.emplace_back([&, c] {
       Client client;
       for (int i = 0; !over; ++i) {
-        int status = client.Ask(addr, fmt::format("c{}-{}", c, i), "search", 1 + i % kHolders);
+        int status = client.Ask(addr, fmt::format("c{}-{}", c, i), "search", 1 + i % kMaxEndpoints);
         // 429 is the module's word on its load, given in time; a lost connection has none, and 503 is the
         // door's.
         ++(status == 200 ? answered : status == 429 ? refused : lost);
@@ -265,9 +265,9 @@
     });
   }
   Until([&] { return answered > 100; }, "load");
-  test_support::Gatherer fresh(LIFTRUDDER_PROGRAM, second.path(), config, {}, listener.Get());
-  Desk desk(fresh);
-  Until([&] { return desk.Call("GET", "/healthcheck").status == 200; }, "the new one is ready");
+  test_support::CoordinatorProcess fresh(LIFTRUDDER_PROGRAM, second.path(), config, {}, listener.Get());
+  ExplainService explain_service(fresh);
+  Until([&] { return explain_service.Call("GET", "/healthcheck").status == 200; }, "the new one is ready");
   CHECK(old->Stop() >= 0);  // it ends what it has, and leaves by itself
   int before = answered;
   Until([&] { return answered > before + 200; }, "load on the new one alone");
@@ -275,7 +275,7 @@
   for (std::thread& client : clients) client.join();
   CHECK(lost == 0);
   CHECK(refused < answered / 20);
-  auto stats = desk.Stats();
+  auto stats = explain_service.Stats();
   CHECK(stats["app_answered_total{group=\"search\"}"] >= 200);
   CHECK(fresh.Stop() >= 0);
 }
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -24,14 +24,14 @@
 
 using namespace liftrudder;
 using test_support::Act;
-using liftrudder::routing::OutcomeCode;
+using liftrudder::routing::AttemptOutcome;
 using decision_log::Cause;
 using decision_log::Progress;
 using decision_log::Verdict;
 
 namespace {
 
-constexpr int kHolders = 6, kClients = 24, kEach = 100, kBurst = 40;
+constexpr int kMaxEndpoints = 6, kClients = 24, kEach = 100, kBurst = 40;
 using test_support::kPatience;
 
 struct Given {
@@ -42,109 +42,109 @@
 
 // What the outside saw.
 struct Outside {
-  std::map<std::string, std::vector<test_support::LoggedPart>> holders;  // by holder id
+  std::map<std::string, std::vector<test_support::LoggedPart>> endpoints;  // by holder id
   std::map<std::string, Given> clients;                             // by call id
 };
 
-bool Reached(const decision_log::AttemptStory& one) {
+bool Reached(const decision_log::AttemptTrace& one) {
   return one.ended_us && (one.progress == Progress::kWhollyWritten || one.progress == Progress::kAnswering);
 }
 
 // What does not fit, in words; empty: the stories and the outside agree.
-std::vector<std::string> Compare(const std::vector<decision_log::Story>& stories, const Outside& outside) {
+std::vector<std::string> Compare(const std::vector<decision_log::QueryTrace>& traces, const Outside& outside) {
   std::vector<std::string> wrong;
   // Holder by holder and part by part, in their order.
   std::map<std::pair<std::string, std::string>, std::vector<const test_support::LoggedPart*>> logged;
   std::map<std::string, std::vector<std::string>> parts_of;  // part ids logged, by call id
-  for (const auto& [holder, log] : outside.holders) {
+  for (const auto& [endpoint, log] : outside.endpoints) {
     for (const test_support::LoggedPart& one : log) {
-      logged[{holder, one.part}].push_back(&one);
-      parts_of[one.part.substr(0, one.part.rfind('.'))].push_back(holder + " " + one.part);
+      logged[{endpoint, one.part}].push_back(&one);
+      parts_of[one.part.substr(0, one.part.rfind('.'))].push_back(endpoint + " " + one.part);
     }
   }
-  for (const decision_log::Story& story : stories) {
-    auto bad = [&](const std::string& what) { wrong.push_back(story.call_id + ": " + what); };
-    auto client = outside.clients.find(story.call_id);
+  for (const decision_log::QueryTrace& trace : traces) {
+    auto bad = [&](const std::string& what) { wrong.push_back(trace.call_id + ": " + what); };
+    auto client = outside.clients.find(trace.call_id);
     if (client == outside.clients.end()) {
       bad("no client asked this");
       continue;
     }
     const Given& given = client->second;
-    if (given.class_name != story.class_name) bad("another class");
+    if (given.class_name != trace.class_name) bad("another class");
     if (given.status == 0) {
-      if (story.verdict == Verdict::kOpen) bad("the client left, and it is open");
+      if (trace.verdict == Verdict::kOpen) bad("the client left, and it is open");
     } else {
-      if (story.given.size() != 1 || story.given[0].status != given.status) bad("another status");
-      bool answered = story.verdict == Verdict::kWhole || story.verdict == Verdict::kPartial;
+      if (trace.given.size() != 1 || trace.given[0].status != given.status) bad("another status");
+      bool answered = trace.verdict == Verdict::kComplete || trace.verdict == Verdict::kPartial;
       if ((given.status == 200) != answered) bad("another verdict");
-      if (given.status == 200 && given.full != (story.verdict == Verdict::kWhole)) bad("whole or not");
-      if (given.status == 429 && story.verdict != Verdict::kRefused) bad("not refused");
+      if (given.status == 200 && given.full != (trace.verdict == Verdict::kComplete)) bad("whole or not");
+      if (given.status == 429 && trace.verdict != Verdict::kRefused) bad("not refused");
     }
     std::size_t explained = 0;
     int pieces = 0;
-    for (const decision_log::PartStory& part : story.parts) {
-      std::string id = fmt::format("{}.{}", story.call_id, part.shard);
-      std::map<std::string, std::vector<const decision_log::AttemptStory*>> sent;
+    for (const decision_log::ShardRequestTrace& part : trace.parts) {
+      std::string id = fmt::format("{}.{}", trace.call_id, part.shard);
+      std::map<std::string, std::vector<const decision_log::AttemptTrace*>> sent;
       bool in = false;
-      for (const decision_log::AttemptStory& one : part.attempts) {
+      for (const decision_log::AttemptTrace& one : part.attempts) {
         if (!one.ended_us) bad(id + ": an attempt without an end");
         // A frame cut short is not in a holder's log; one that was withdrawn while it was written is.
         bool withdrawn = one.ended_us && one.progress == Progress::kPartlyWritten &&
                          (one.cause == Cause::kWithdrawn || one.cause == Cause::kExpired);
-        if (Reached(one) || withdrawn) sent[one.holder.id].push_back(&one);
-        in = in || (one.ended_us && one.cause == Cause::kServed && *one.ended_us <= story.ended_us);
+        if (Reached(one) || withdrawn) sent[one.endpoint.id].push_back(&one);
+        in = in || (one.ended_us && one.cause == Cause::kServed && *one.ended_us <= trace.ended_us);
         bool chosen = false;
-        for (const decision_log::ConsideredStory& each : one.considered)
-          chosen = chosen || each.holder.id == one.holder.id;
+        for (const decision_log::CandidateTrace& each : one.considered)
+          chosen = chosen || each.endpoint.id == one.endpoint.id;
         if (!chosen) bad(id + ": sent to a holder that was not looked at");
-        if (one.number > 0 && one.kind == liftrudder::routing::SendKind::kFirst) bad(id + ": a second first try");
-        if (one.kind == liftrudder::routing::SendKind::kResend) {
-          const decision_log::AttemptStory& before = part.attempts[static_cast<std::size_t>(one.number) - 1];
+        if (one.number > 0 && one.kind == liftrudder::routing::DispatchKind::kFirst) bad(id + ": a second first try");
+        if (one.kind == liftrudder::routing::DispatchKind::kRetry) {
+          const decision_log::AttemptTrace& before = part.attempts[static_cast<std::size_t>(one.number) - 1];
           if (before.outcome != one.after) bad(id + ": sent again after another outcome");
         }
       }
       pieces += in ? 1 : 0;
-      for (auto& [holder, attempts] : sent) {
-        auto found = logged.find({holder, id});
+      for (auto& [endpoint, attempts] : sent) {
+        auto found = logged.find({endpoint, id});
         std::size_t count = found == logged.end() ? 0 : found->second.size();
         // What was wholly written lies unread when another part's reset ends the shared connection.
         auto unread = [](const auto* one) { return one->cause == Cause::kConnectionLost; };
         while (attempts.size() > count && std::any_of(attempts.begin(), attempts.end(), unread))
           attempts.erase(std::find_if(attempts.begin(), attempts.end(), unread));
         if (count != attempts.size()) {
-          bad(fmt::format("{}: {} attempts at {}, which saw {}", id, attempts.size(), holder, count));
+          bad(fmt::format("{}: {} attempts at {}, which saw {}", id, attempts.size(), endpoint, count));
           continue;
         }
         explained += count;
         for (std::size_t i = 0; i < count; ++i) {
-          const decision_log::AttemptStory& one = *attempts[i];
+          const decision_log::AttemptTrace& one = *attempts[i];
           Act act = found->second[i]->act;
           bool fits = true;
-          if (one.cause == Cause::kServed) fits = act == Act::kServe && one.outcome == OutcomeCode::kOk;
-          if (one.cause == Cause::kBroke) fits = act == Act::kBreak && one.outcome == OutcomeCode::kError;
-          if (one.cause == Cause::kSkipped) fits = act == Act::kSkip && one.outcome == OutcomeCode::kFull;
+          if (one.cause == Cause::kServed) fits = act == Act::kServe && one.outcome == AttemptOutcome::kOk;
+          if (one.cause == Cause::kBroke) fits = act == Act::kBreak && one.outcome == AttemptOutcome::kError;
+          if (one.cause == Cause::kSkipped) fits = act == Act::kSkip && one.outcome == AttemptOutcome::kFull;
           // On a shared connection another part's end is the end of all.
-          if (one.cause == Cause::kConnectionLost) fits = one.outcome == OutcomeCode::kReset;
-          if (one.cause == Cause::kSpoilt) fits = one.outcome == OutcomeCode::kError;
-          if (!fits) bad(fmt::format("{}: at {} it ended otherwise", id, holder));
+          if (one.cause == Cause::kConnectionLost) fits = one.outcome == AttemptOutcome::kReset;
+          if (one.cause == Cause::kSpoilt) fits = one.outcome == AttemptOutcome::kError;
+          if (!fits) bad(fmt::format("{}: at {} it ended otherwise", id, endpoint));
           // Silence ends by our own doing alone.
           if (act == Act::kSilent && one.cause != Cause::kWithdrawn && one.cause != Cause::kExpired &&
               one.cause != Cause::kConnectionLost && one.cause != Cause::kSpoilt)
-            bad(fmt::format("{}: {} said nothing", id, holder));
-          net::Micros sent_us = story.arrived_us + one.at_us;
+            bad(fmt::format("{}: {} said nothing", id, endpoint));
+          net::Micros sent_us = trace.arrived_us + one.at_us;
           if (found->second[i]->at_us + 2'000 < sent_us) bad(id + ": it came before it was sent");
         }
       }
     }
-    if (given.status == 200 && pieces != story.pieces) bad("another number of pieces");
-    auto seen = parts_of.find(story.call_id);
+    if (given.status == 200 && pieces != trace.pieces) bad("another number of pieces");
+    auto seen = parts_of.find(trace.call_id);
     std::size_t all = seen == parts_of.end() ? 0 : seen->second.size();
     if (all != explained) bad(fmt::format("the holders saw {} attempts, {} are explained", all, explained));
   }
   return wrong;
 }
 
-std::string Config(const test_support::Discovery& discovery, const std::string& folder) {
+std::string Config(const test_support::FakeDiscovery& discovery, const std::string& directory) {
   auto grade = [](const char* name, const char* effect, double late) {
     return fmt::format(
         R"({{"name":"{}","aimUs":1000000,"giveUpUs":4000000,"lateShare":{},"value":1.0,"effect":"{}","repeatWindowUs":5000000,"dedupScope":"all"}})",
@@ -158,7 +158,7 @@
 "familyInfo":{{"cells":6,"reach":3,"slices":6,"perCall":1,"classFetch":[0,0,0],"classFloor":[0.4,1.0,1.0],"wholeAt":[1.0,1.0,1.0],"incompleteWorth":[0.95,0.9,0.9]}},
 "bounds":{{"attemptsCap":3,"cancelling":true,"connectTimeoutUs":250000,"idleCloseUs":30000000,"maxOpen":400,"maxRetryAfterUs":500000,"probes":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":100}},
 "rules":{{"graceToAnswerUs":20000,"stopSendingWithinUs":1000000}}}}}})",
-      discovery.addr(), folder, discovery.List(), grade("search", "idempotent", 0.3),
+      discovery.addr(), directory, discovery.List(), grade("search", "idempotent", 0.3),
       grade("report", "idempotent", 0.1), grade("booking", "deduplicated", 0));
 }
 
@@ -170,7 +170,7 @@
   for (int i = 0; i < parts; ++i) sum += 1.0 / (i + 1);
   for (int i = 0; i < parts; ++i) {
     tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "",
-                           (static_cast<int>(dice / 8 % kHolders) + i) % kHolders, 1.0 / (i + 1) / sum);
+                           (static_cast<int>(dice / 8 % kMaxEndpoints) + i) % kMaxEndpoints, 1.0 / (i + 1) / sum);
   }
   std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s-{}\"}}", tablets, id);
   return fmt::format(
@@ -214,14 +214,14 @@
 }  // namespace
 
 TEST_CASE("explanations equal what holders and clients saw, and one wrong field shows") {
-  test_support::Folder own;
-  const std::string folder = own.path();
+  test_support::TemporaryDirectory own;
+  const std::string directory = own.path();
   std::atomic<bool> silence{false};
-  std::vector<std::unique_ptr<test_support::FrameHolder>> holders;
-  test_support::Discovery discovery;
-  for (int cell = 0; cell < kHolders; ++cell) {
-    holders.push_back(
-        std::make_unique<test_support::FrameHolder>([cell, &silence](const std::string& part, std::size_t nth) {
+  std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
+  test_support::FakeDiscovery discovery;
+  for (int cell = 0; cell < kMaxEndpoints; ++cell) {
+    endpoints.push_back(
+        std::make_unique<test_support::FakeEndpoint>([cell, &silence](const std::string& part, std::size_t nth) {
           std::uint64_t dice = decision_log::HashId(part + std::to_string(cell) + (nth % 2 == 0 ? "a" : "b"));
           test_support::Behaviour how;
           how.delay_us = 1'000 + static_cast<net::Micros>(dice >> 40) % 14'000;
@@ -240,20 +240,20 @@
             how.act = Act::kSilent;
           return how;
         }));
-    discovery.Tell("s-" + std::to_string(cell), holders.back()->addr(), cell, "ready");
+    discovery.Tell("s-" + std::to_string(cell), endpoints.back()->addr(), cell, "ready");
   }
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, folder, Config(discovery, folder));
-  INFO(gatherer.Log());
-  REQUIRE(!gatherer.addr().empty());
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, directory));
+  INFO(coordinator_process.Log());
+  REQUIRE(!coordinator_process.addr().empty());
 
   std::vector<std::map<std::string, Given>> seen(kClients + kBurst);
   std::vector<std::thread> clients;
   for (int who = 0; who < kClients; ++who)
-    clients.emplace_back([&, who] { Ask(gatherer.addr(), who, kEach, seen[static_cast<std::size_t>(who)]); });
+    clients.emplace_back([&, who] { Ask(coordinator_process.addr(), who, kEach, seen[static_cast<std::size_t>(who)]); });
   // Events follow the clients' progress as the holders see it, not a clock.
   auto served = [&] {
     std::size_t all = 0;
-    for (const auto& holder : holders) all += holder->Log().size();
+    for (const auto& endpoint : endpoints) all += endpoint->Log().size();
     return all;
   };
   auto until = [&](std::size_t parts) {
@@ -263,23 +263,23 @@
   until(800);
   silence = true;
   until(1600);
-  discovery.Tell("s-2", holders[2]->addr(), 2, "draining");
+  discovery.Tell("s-2", endpoints[2]->addr(), 2, "draining");
   until(3000);
   silence = false;
   for (int who = kClients; who < kClients + kBurst; ++who)
-    clients.emplace_back([&, who] { Ask(gatherer.addr(), who, 10, seen[static_cast<std::size_t>(who)]); });
+    clients.emplace_back([&, who] { Ask(coordinator_process.addr(), who, 10, seen[static_cast<std::size_t>(who)]); });
   for (std::thread& client : clients) client.join();
 
   // Attempts that are still out end with their time at the latest; until then the record is read as it grows.
   decision_log::Filter all;
   all.limit = 100'000;
   auto settled = [&] {
-    test_support::Get(gatherer.addr(), "/-/why?summary=1");  // has what is known written down
-    decision_log::Arena record = decision_log::Arena::Open(folder + "/why.record");
-    for (const decision_log::Story& story : tests::ReadAll(record, all).stories) {
-      if (story.verdict == Verdict::kOpen) return false;
-      for (const decision_log::PartStory& part : story.parts) {
-        for (const decision_log::AttemptStory& one : part.attempts) {
+    test_support::Get(coordinator_process.addr(), "/-/why?summary=1");  // has what is known written down
+    decision_log::RecordFile record = decision_log::RecordFile::Open(directory + "/why.record");
+    for (const decision_log::QueryTrace& trace : tests::ReadAll(record, all).traces) {
+      if (trace.verdict == Verdict::kOpen) return false;
+      for (const decision_log::ShardRequestTrace& part : trace.parts) {
+        for (const decision_log::AttemptTrace& one : part.attempts) {
           if (!one.ended_us) return false;
         }
       }
@@ -287,7 +287,7 @@
     return true;
   };
   for (int i = 0; i < 100 && !settled(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(250));
-  gatherer.Kill();
+  coordinator_process.Kill();
 
   Outside outside;
   std::size_t left = 0, turned_away = 0;
@@ -296,92 +296,92 @@
     left += given.status == 0 ? 1 : 0;
     turned_away += given.status == 503 ? 1 : 0;
   }
-  for (int cell = 0; cell < kHolders; ++cell)
-    outside.holders["s-" + std::to_string(cell)] = holders[static_cast<std::size_t>(cell)]->Log();
+  for (int cell = 0; cell < kMaxEndpoints; ++cell)
+    outside.endpoints["s-" + std::to_string(cell)] = endpoints[static_cast<std::size_t>(cell)]->Log();
 
-  decision_log::Arena record = decision_log::Arena::Open(folder + "/why.record");
+  decision_log::RecordFile record = decision_log::RecordFile::Open(directory + "/why.record");
   tests::Kept found = tests::ReadAll(record, all);
-  std::vector<decision_log::Story> stories;
+  std::vector<decision_log::QueryTrace> traces;
   std::map<Verdict, int> verdicts;
-  std::map<liftrudder::routing::SendKind, int> kinds;
-  for (decision_log::Story& story : found.stories) {
-    ++verdicts[story.verdict];
-    if (story.verdict == Verdict::kTurnedAway) continue;
-    CHECK_FALSE(story.torn);
-    CHECK_FALSE(story.events_cut);
-    for (const auto& part : story.parts) {
+  std::map<liftrudder::routing::DispatchKind, int> kinds;
+  for (decision_log::QueryTrace& trace : found.traces) {
+    ++verdicts[trace.verdict];
+    if (trace.verdict == Verdict::kRejected) continue;
+    CHECK_FALSE(trace.torn);
+    CHECK_FALSE(trace.events_cut);
+    for (const auto& part : trace.parts) {
       for (const auto& one : part.attempts) ++kinds[one.kind];
     }
-    stories.push_back(std::move(story));
+    traces.push_back(std::move(trace));
   }
   CHECK(found.torn == 0);
-  CHECK(stories.size() + turned_away >= outside.clients.size() - left);
-  CHECK(stories.size() >= 2000);
-  WARN("compared " << stories.size() << " queries of " << outside.clients.size() << " asked");
+  CHECK(traces.size() + turned_away >= outside.clients.size() - left);
+  CHECK(traces.size() >= 2000);
+  WARN("compared " << traces.size() << " queries of " << outside.clients.size() << " asked");
   // What the test is about has happened.
   CHECK(left > 10);
-  CHECK(kinds[liftrudder::routing::SendKind::kResend] > 50);
-  CHECK(kinds[liftrudder::routing::SendKind::kStragglerCopy] + kinds[liftrudder::routing::SendKind::kSuspectCopy] > 5);
-  CHECK(verdicts[Verdict::kWhole] > 1000);
+  CHECK(kinds[liftrudder::routing::DispatchKind::kRetry] > 50);
+  CHECK(kinds[liftrudder::routing::DispatchKind::kStragglerHedge] + kinds[liftrudder::routing::DispatchKind::kOutlierHedge] > 5);
+  CHECK(verdicts[Verdict::kComplete] > 1000);
 
-  std::vector<std::string> wrong = Compare(stories, outside);
+  std::vector<std::string> wrong = Compare(traces, outside);
   INFO((wrong.empty() ? std::string("all fit")
                       : fmt::format("{} do not fit, such as {}", wrong.size(), wrong[0])));
   CHECK(wrong.empty());
 
   // The command line reads the same file.
-  const std::string path = folder + "/why.record", program = LIFTRUDDER_PROGRAM;
-  auto [code, text] = test_support::RunProgram(program, {"why", "--file", path, stories[0].call_id});
+  const std::string path = directory + "/why.record", program = LIFTRUDDER_PROGRAM;
+  auto [code, text] = test_support::RunProgram(program, {"why", "--file", path, traces[0].call_id});
   CHECK(code == 0);
-  CHECK(text.find("Query " + stories[0].call_id + " came at") == 0);
+  CHECK(text.find("Query " + traces[0].call_id + " came at") == 0);
   CHECK(test_support::RunProgram(program, {"why", "--file", path, "nobody"}).first == 1);
   CHECK(test_support::RunProgram(program, {"why", "--file", path, "--verdict", "fine"}).first == 2);
   CHECK(test_support::RunProgram(program, {"why", "--file", path + ".none"}).first == 2);
-  CHECK(test_support::RunProgram(program, {"why", "--at", gatherer.addr(), "x"}).first == 3);
+  CHECK(test_support::RunProgram(program, {"why", "--at", coordinator_process.addr(), "x"}).first == 3);
   CHECK(test_support::RunProgram(program, {"why", "--file", path, "--json", "--summary"})
             .second.find("\"resent_after\"") != std::string::npos);
 
   // One field changed anywhere is found out.
   std::size_t place = 0;
-  while (stories[place].verdict != Verdict::kWhole || stories[place].parts[0].attempts.size() != 1) ++place;
-  auto sabotaged = [&](const std::function<void(decision_log::Story&)>& harm) {
-    std::vector<decision_log::Story> harmed = stories;
+  while (traces[place].verdict != Verdict::kComplete || traces[place].parts[0].attempts.size() != 1) ++place;
+  auto sabotaged = [&](const std::function<void(decision_log::QueryTrace&)>& harm) {
+    std::vector<decision_log::QueryTrace> harmed = traces;
     harm(harmed[place]);
     return !Compare(harmed, outside).empty();
   };
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts[0].holder.id = "s-9"; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts[0].cause = Cause::kBroke; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts[0].outcome = OutcomeCode::kFull; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts[0].progress = Progress::kNotConnected; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts.push_back(s.parts[0].attempts[0]); }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts.clear(); }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].shard += kHolders; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.parts[0].attempts[0].at_us += 60'000'000; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.verdict = Verdict::kPartial; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.given[0].status = 503; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.class_name = "other"; }));
-  CHECK(sabotaged([](decision_log::Story& s) { s.pieces += 1; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].endpoint.id = "s-9"; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].cause = Cause::kBroke; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].outcome = AttemptOutcome::kFull; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].progress = Progress::kNotConnected; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.push_back(s.parts[0].attempts[0]); }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.clear(); }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].shard += kMaxEndpoints; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].at_us += 60'000'000; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.verdict = Verdict::kPartial; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.given[0].status = 503; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.class_name = "other"; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.pieces += 1; }));
 }
 
 TEST_CASE("what the last client was given is written down before a planned end") {
-  test_support::Folder own;
-  test_support::Discovery discovery;
-  test_support::FrameHolder holder([](const std::string&, std::size_t) {
+  test_support::TemporaryDirectory own;
+  test_support::FakeDiscovery discovery;
+  test_support::FakeEndpoint endpoint([](const std::string&, std::size_t) {
     return test_support::Behaviour{Act::kServe, 1'500'000};  // beyond the time in which the listener stays
   });
-  for (int cell = 0; cell < kHolders; ++cell)
-    discovery.Tell("s-" + std::to_string(cell), holder.addr(), cell, "ready");
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, own.path(), Config(discovery, own.path()));
-  REQUIRE(!gatherer.addr().empty());
+  for (int cell = 0; cell < kMaxEndpoints; ++cell)
+    discovery.Tell("s-" + std::to_string(cell), endpoint.addr(), cell, "ready");
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, own.path(), Config(discovery, own.path()));
+  REQUIRE(!coordinator_process.addr().empty());
   int status = 0;
-  std::thread client([&] { status = test_support::Fetch(gatherer.addr(), Request("last", 1, 0)).status; });
-  while (holder.Log().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-  CHECK(gatherer.Stop() >= 0);
+  std::thread client([&] { status = test_support::Fetch(coordinator_process.addr(), Request("last", 1, 0)).status; });
+  while (endpoint.Log().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+  CHECK(coordinator_process.Stop() >= 0);
   client.join();
   CHECK(status == 200);
-  decision_log::Arena record = decision_log::Arena::Open(own.path() + "/why.record");
+  decision_log::RecordFile record = decision_log::RecordFile::Open(own.path() + "/why.record");
   tests::Kept found = tests::ReadAll(record, {});
-  REQUIRE(found.stories.size() == 1);
-  REQUIRE(found.stories[0].given.size() == 1);
-  CHECK(found.stories[0].given[0].status == 200);
+  REQUIRE(found.traces.size() == 1);
+  REQUIRE(found.traces[0].given.size() == 1);
+  CHECK(found.traces[0].given[0].status == 200);
 }
--- a/tests/app/key_rotation_test.cpp
+++ b/tests/app/key_rotation_test.cpp
@@ -65,10 +65,10 @@
           {"exp", NowS() + life_s}, {"tenant", "north"}, {"sub", "teacher"}};
 }
 
-Json Config(const std::string& holder) {
+Json Config(const std::string& endpoint) {
   Json cls = {{"name", "whole"}, {"aimUs", 2'000'000},     {"giveUpUs", 8'000'000}, {"lateShare", 0.3},
               {"value", 1.0},    {"effect", "idempotent"}, {"repeatWindowUs", 0},   {"dedupScope", "all"}};
-  Json entry = {{"id", "h"}, {"addr", holder},   {"zone", "dc1"}, {"kind", "k"},
+  Json entry = {{"id", "h"}, {"addr", endpoint},   {"zone", "dc1"}, {"kind", "k"},
                 {"cell", 0}, {"state", "ready"}, {"weight", 1.0}, {"started_ms", 0}};
   Json settings =
       Json::parse(R"({"az":0,"groupSize":1,"ordinal":0,"resolutionUs":1000,"dcs":["dc1"],"kinds":["k"],
@@ -96,13 +96,13 @@
 
 TEST_CASE(
     "keys rotate under load on sockets: nobody let in wrongly, nobody valid refused, both sides agree") {
-  test_support::Folder folder;
+  test_support::TemporaryDirectory directory;
   net::SteadyClock clock;
   metrics::Counters counters;
-  Holder holder;
+  Holder endpoint;
   net::Fd listener = net::Listen("127.0.0.1:0");
   const std::string at = net::LocalAddress(listener);
-  net::Server serving(std::move(listener), holder, clock, counters, {200, 200});
+  net::Server serving(std::move(listener), endpoint, clock, counters, {200, 200});
   std::vector<Signer> signers;
   for (int i = 0; i < kKeys; ++i) signers.emplace_back(i % 2 == 0);
   Signer forger(false);
@@ -115,14 +115,14 @@
       if (i == n - 1) key["until"] = NowS() + 3600;
       keys.push_back(key);
     }
-    std::ofstream(folder.path() + "/keys.new") << Json{{"keys", keys}};
-    std::filesystem::rename(folder.path() + "/keys.new", folder.path() + "/keys.json");
+    std::ofstream(directory.path() + "/keys.new") << Json{{"keys", keys}};
+    std::filesystem::rename(directory.path() + "/keys.new", directory.path() + "/keys.json");
   };
   put(0);
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, folder.path(), Config(at).dump(),
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(), Config(at).dump(),
                              {"--opensearch", "$CONFIG"});
-  INFO(gatherer.Log());
-  REQUIRE(!gatherer.addr().empty());
+  INFO(coordinator_process.Log());
+  REQUIRE(!coordinator_process.addr().empty());
 
   // `settled`: the program has said that it holds the set; `begun`: the file is being put in place. What is
   // asked between the two may go either way.
@@ -141,7 +141,7 @@
     std::string body = fmt::format(R"({{"size":0,"query":{{"match":{{"t":"{}"}}}}}})", mark);
     int before = settled;
     int status =
-        test_support::Fetch(gatherer.addr(),
+        test_support::Fetch(coordinator_process.addr(),
                        fmt::format("POST /lessons/_search HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer "
                                    "{}\r\nContent-Length: {}\r\n\r\n{}",
                                    token, body.size(), body))
@@ -154,15 +154,15 @@
     bool must = good && number <= before && number >= after - 1;  // at every one
     bool fits = status == 200 ? may : status == 401 && !must;
     // The holder saw what was let in, and nothing of what was not.
-    fits = fits && holder.Saw(mark) == (status == 200);
+    fits = fits && endpoint.Saw(mark) == (status == 200);
     if (fits) return;
     std::lock_guard lock(mutex);
     wrong.push_back(
         fmt::format("{} of kind {}, key {}, steps {} to {}: {}", mark, kind, key, before, after, status));
   };
-  std::vector<std::thread> callers;
+  std::vector<std::thread> authenticator;
   for (int who = 0; who < kCallers; ++who) {
-    callers.emplace_back([&, who] {
+    authenticator.emplace_back([&, who] {
       for (std::size_t turn = static_cast<std::size_t>(who); !done; ++turn) ask(who, turn);
     });
   }
@@ -174,15 +174,15 @@
     begun = n;
     put(n);
     const std::string said = fmt::format("'k{}' was announced, is active", n);
-    for (int i = 0; i < 2'000 && gatherer.Log().find(said) == std::string::npos; ++i)
+    for (int i = 0; i < 2'000 && coordinator_process.Log().find(said) == std::string::npos; ++i)
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    in_time = gatherer.Log().find(said) != std::string::npos;
+    in_time = coordinator_process.Log().find(said) != std::string::npos;
     settled = n;
   }
   std::size_t until = asked + kAStep;
   for (int i = 0; i < 2'000 && asked < until; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
   done = true;
-  for (std::thread& caller : callers) caller.join();
+  for (std::thread& caller : authenticator) caller.join();
   CHECK(in_time);
   INFO((wrong.empty() ? std::string("all fit")
                       : fmt::format("{} do not fit, such as {}", wrong.size(), wrong[0])));
@@ -190,6 +190,6 @@
   CHECK(asked > kAStep * kKeys);
   CHECK(let_in > 50);
   CHECK(let_in < asked / 4);
-  CHECK(holder.Count() == let_in);
-  CHECK(gatherer.Stop() >= 0);
+  CHECK(endpoint.Count() == let_in);
+  CHECK(coordinator_process.Stop() >= 0);
 }
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr int kHolders = 1024, kFirst = 4, kSockets = 640, kMemoryMb = 64;
+constexpr int kMaxEndpoints = 1024, kFirst = 4, kSockets = 640, kMemoryMb = 64;
 constexpr net::Micros kServeUs = 5'000;
 
-std::string Config(const test_support::Discovery& discovery) {
+std::string Config(const test_support::FakeDiscovery& discovery) {
   return fmt::format(
       R"({{"name":"n1","seed":"8c1f30d27a5be964","listen":"127.0.0.1:0","discovery":"{}","limits":{{"cores":1,"sockets":{},"memory_mb":{}}},
 "known":{},"settings":{{"az":0,"groupSize":{},"ordinal":0,"resolutionUs":1000,"dcs":[],"kinds":["k"],
@@ -30,16 +30,16 @@
 "familyInfo":{{"cells":{},"reach":3,"slices":{},"perCall":1,"classFetch":[0],"classFloor":[1.0],"wholeAt":[1.0],"incompleteWorth":[0.95]}},
 "bounds":{{"attemptsCap":3,"cancelling":true,"connectTimeoutUs":250000,"idleCloseUs":30000000,"maxOpen":5000,"maxRetryAfterUs":500000,"probes":true,"retryAfter":true,"secondCopies":true,"streamsPerConn":100}},
 "rules":{{"graceToAnswerUs":5000,"stopSendingWithinUs":1000000}}}}}})",
-      discovery.addr(), kSockets, kMemoryMb, discovery.List(), kHolders, kHolders, kHolders);
+      discovery.addr(), kSockets, kMemoryMb, discovery.List(), kMaxEndpoints, kMaxEndpoints, kMaxEndpoints);
 }
 
-std::string Name(int holder) { return fmt::format("holder-{:0>64}", holder); }
+std::string Name(int endpoint) { return fmt::format("holder-{:0>64}", endpoint); }
 
 net::HttpMessage AskAll(const std::string& addr, const std::string& id) {
   std::string tablets;
-  for (int shard = 0; shard < kHolders; ++shard)
+  for (int shard = 0; shard < kMaxEndpoints; ++shard)
     tablets +=
-        fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard, 1.0 / kHolders);
+        fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard, 1.0 / kMaxEndpoints);
   std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", tablets);
   return test_support::Fetch(
       addr, fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: {}\r\nX-Call-Class: report\r\n"
@@ -66,72 +66,72 @@
   return std::distance(std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", pid)), {});
 }
 
-void WaitLog(const test_support::Gatherer& gatherer, const std::string& text) {
+void WaitLog(const test_support::CoordinatorProcess& coordinator_process, const std::string& text) {
   net::SteadyClock clock;
   for (net::Micros until = clock.Now() + test_support::kPatience; clock.Now() < until;) {
-    if (gatherer.Log().find(text) != std::string::npos) return;
+    if (coordinator_process.Log().find(text) != std::string::npos) return;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
-  FAIL("the log does not say: " << text << "\n" << gatherer.Log());
+  FAIL("the log does not say: " << text << "\n" << coordinator_process.Log());
 }
 
 }  // namespace
 
 TEST_CASE(
     "a list that grows from a few holders to 1,024 is served within the limits, a drain in its middle") {
-  test_support::Field field(kHolders, kServeUs);
-  test_support::Discovery discovery;
+  test_support::TestFleet field(kMaxEndpoints, kServeUs);
+  test_support::FakeDiscovery discovery;
   discovery.Indent();
-  std::vector<test_support::Discovery::Entry> few, rest;
-  for (int i = 0; i < kHolders; ++i) (i < kFirst ? few : rest).push_back({Name(i), field.addr(i), i});
+  std::vector<test_support::FakeDiscovery::Entry> few, rest;
+  for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Name(i), field.addr(i), i});
   discovery.Tell(few);
-  test_support::Folder folder;
-  test_support::Gatherer gatherer(LIFTRUDDER_PROGRAM, folder.path(), Config(discovery));
-  INFO(gatherer.Log());
-  REQUIRE(!gatherer.addr().empty());
+  test_support::TemporaryDirectory directory;
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(), Config(discovery));
+  INFO(coordinator_process.Log());
+  REQUIRE(!coordinator_process.addr().empty());
   // It listens before its watch is taken; told earlier, both lists come as one and nothing grows.
-  WaitLog(gatherer, fmt::format(", whole: {} entries", few.size()));
+  WaitLog(coordinator_process, fmt::format(", whole: {} entries", few.size()));
   discovery.Tell(rest);
-  WaitLog(gatherer, fmt::format("{} entries", rest.size()));
+  WaitLog(coordinator_process, fmt::format("{} entries", rest.size()));
 
   for (int round = 0; round < 3; ++round) {
-    net::HttpMessage answer = AskAll(gatherer.addr(), fmt::format("wide-{}", round));
+    net::HttpMessage answer = AskAll(coordinator_process.addr(), fmt::format("wide-{}", round));
     REQUIRE(answer.status == 200);
     CHECK(answer.body.starts_with("{\"full\":true"));
-    CHECK(Count(answer.body, "\"tablet\":") == kHolders);
+    CHECK(Count(answer.body, "\"tablet\":") == kMaxEndpoints);
   }
   // Half of the list is told to leave in one change: once it is heard, none of those gets a first byte.
-  std::vector<test_support::Discovery::Entry> leaving;
+  std::vector<test_support::FakeDiscovery::Entry> leaving;
   std::vector<int> before;
-  for (int i = 0; i < kHolders; i += 2) leaving.push_back({Name(i), field.addr(i), i, "draining"});
+  for (int i = 0; i < kMaxEndpoints; i += 2) leaving.push_back({Name(i), field.addr(i), i, "draining"});
   discovery.Tell(leaving);
-  WaitLog(gatherer, fmt::format("{} entries", leaving.size()));
-  for (int i = 0; i < kHolders; i += 2) before.push_back(field.parts(i));
+  WaitLog(coordinator_process, fmt::format("{} entries", leaving.size()));
+  for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(field.parts(i));
   for (int round = 0; round < 3; ++round) {
-    net::HttpMessage answer = AskAll(gatherer.addr(), fmt::format("left-{}", round));
+    net::HttpMessage answer = AskAll(coordinator_process.addr(), fmt::format("left-{}", round));
     REQUIRE(answer.status == 200);
     CHECK(answer.body.starts_with("{\"full\":true"));
-    CHECK(Descriptors(gatherer.pid()) <= kSockets);
+    CHECK(Descriptors(coordinator_process.pid()) <= kSockets);
   }
   int late = 0;
-  for (int i = 0; i < kHolders; i += 2) late += field.parts(i) - before[static_cast<std::size_t>(i / 2)];
+  for (int i = 0; i < kMaxEndpoints; i += 2) late += field.parts(i) - before[static_cast<std::size_t>(i / 2)];
   CHECK(late == 0);
 
   // What can be asked of the record covers them all.
-  net::HttpMessage why = test_support::Get(gatherer.addr(), "/-/why?id=left-0");
-  CHECK(why.status == 200);
-  long held_kb = Status(gatherer.pid(), "VmHWM"), threads = Status(gatherer.pid(), "Threads");
+  net::HttpMessage reason = test_support::Get(coordinator_process.addr(), "/-/why?id=left-0");
+  CHECK(reason.status == 200);
+  long held_kb = Status(coordinator_process.pid(), "VmHWM"), threads = Status(coordinator_process.pid(), "Threads");
   std::printf(
       "1,024 holders: %ld KB at most, %ld descriptors, %ld threads, %d connections taken for 6 x 1,024 "
       "parts\n",
-      held_kb, Descriptors(gatherer.pid()), threads, field.taken());
+      held_kb, Descriptors(coordinator_process.pid()), threads, field.taken());
   if (!LIFTRUDDER_SANITIZED) CHECK(held_kb <= kMemoryMb * 1024);
   CHECK(threads <= 12);
-  CHECK(Descriptors(gatherer.pid()) <= kSockets);
+  CHECK(Descriptors(coordinator_process.pid()) <= kSockets);
   // Fewer places than holders: most connections live on all the same.
-  CHECK(field.taken() < 6 * kHolders);
-  std::string log = gatherer.Log();
+  CHECK(field.taken() < 6 * kMaxEndpoints);
+  std::string log = coordinator_process.Log();
   CHECK(log.find("no connection after") == std::string::npos);
   CHECK(log.find(" error ") == std::string::npos);
-  CHECK(gatherer.Stop() >= 0);
+  CHECK(coordinator_process.Stop() >= 0);
 }
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -21,9 +21,9 @@
 using namespace liftrudder;
 using tests::Kept;
 using tests::ReadAll;
-using liftrudder::routing::EndCause;
-using liftrudder::routing::OutcomeCode;
-using decision_log::Door;
+using liftrudder::routing::CompletionCause;
+using liftrudder::routing::AttemptOutcome;
+using decision_log::IntakeResult;
 using decision_log::Recorder;
 using decision_log::Verdict;
 
@@ -39,8 +39,8 @@
   explicit Fixture(std::size_t bytes = kBytes, const std::string& path = "")
       : record(bytes, path, kAbout, 7) {
     record.Now(now);
-    for (std::uint32_t holder = 1; holder <= 3; ++holder)
-      record.Holder(holder, "s-" + std::to_string(holder), "127.0.0.1:" + std::to_string(9000 + holder));
+    for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint)
+      record.Holder(endpoint, "s-" + std::to_string(endpoint), "127.0.0.1:" + std::to_string(9000 + endpoint));
   }
 
   std::uint32_t Open(const std::string& id, int class_index, int parts = 2, const std::string& label = "") {
@@ -51,23 +51,23 @@
                 told);
     return query;
   }
-  void Send(std::uint32_t query, int part, int attempt, std::uint32_t holder,
-            liftrudder::routing::SendKind kind = liftrudder::routing::SendKind::kFirst, OutcomeCode after = OutcomeCode::kOk) {
-    liftrudder::routing::Send send{0, {holder, 1}, kSecond, {kind, after, {}}};
-    send.why.choice.count = 2;
-    send.why.choice.replicas[0] = {{holder, 1}, 1, liftrudder::routing::Standing::kFit, true};
-    send.why.choice.replicas[1] = {{holder % 3 + 1, 1}, 0, liftrudder::routing::Standing::kSick, false};
+  void Send(std::uint32_t query, int part, int attempt, std::uint32_t endpoint,
+            liftrudder::routing::DispatchKind kind = liftrudder::routing::DispatchKind::kFirst, AttemptOutcome after = AttemptOutcome::kOk) {
+    liftrudder::routing::Send send{0, {endpoint, 1}, kSecond, {kind, after, {}}};
+    send.reason.choice.count = 2;
+    send.reason.choice.replicas[0] = {{endpoint, 1}, 1, liftrudder::routing::Eligibility::kEligible, true};
+    send.reason.choice.replicas[1] = {{endpoint % 3 + 1, 1}, 0, liftrudder::routing::Eligibility::kOutlier, false};
     record.Sent(query, part, attempt, send);
   }
-  void End(std::uint32_t query, Verdict verdict, EndCause cause = EndCause::kWhole) {
-    record.Final(query, verdict, {cause, 1, 1, {}}, Door::kNone, 0, 2);
+  void End(std::uint32_t query, Verdict verdict, CompletionCause cause = CompletionCause::kComplete) {
+    record.Final(query, verdict, {cause, 1, 1, {}}, IntakeResult::kNone, 0, 2);
   }
-  void Whole(const std::string& id, int class_index, Verdict verdict = Verdict::kWhole,
-             EndCause cause = EndCause::kWhole) {
+  void Whole(const std::string& id, int class_index, Verdict verdict = Verdict::kComplete,
+             CompletionCause cause = CompletionCause::kComplete) {
     std::uint32_t query = Open(id, class_index);
     for (int part = 0; part < 2; ++part) {
       Send(query, part, 0, 1);
-      record.Ended(query, part, 0, 1, OutcomeCode::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+      record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
     End(query, verdict, cause);
   }
@@ -75,7 +75,7 @@
     record.Flush();
     decision_log::Filter filter;
     filter.id = id;
-    return ReadAll(record.arena(), filter);
+    return ReadAll(record.record_file(), filter);
   }
 
   std::int64_t now = kStart;
@@ -84,14 +84,14 @@
 };
 
 std::string Told(const Kept& found, const decision_log::Filter& filter, bool json) {
-  decision_log::Telling telling(filter, kAbout, json);
-  for (const decision_log::Story& story : found.stories) telling.Add(story);
-  return std::move(telling).Finish(found);
+  decision_log::TraceRenderer renderer(filter, kAbout, json);
+  for (const decision_log::QueryTrace& trace : found.traces) renderer.Add(trace);
+  return std::move(renderer).Finish(found);
 }
 
 std::string ErrorOf(const std::string& path) {
   try {
-    decision_log::Arena::Open(path);
+    decision_log::RecordFile::Open(path);
   } catch (const std::runtime_error& error) {
     return error.what();
   }
@@ -106,33 +106,33 @@
   f.Send(query, 0, 0, 1);
   f.Send(query, 1, 0, 2);
   f.now += 10'000, f.record.Now(f.now);
-  f.record.Ended(query, 0, 0, 1, OutcomeCode::kFull, decision_log::Progress::kAnswering, decision_log::Cause::kSkipped);
-  f.Send(query, 0, 1, 2, liftrudder::routing::SendKind::kResend, OutcomeCode::kFull);
+  f.record.Ended(query, 0, 0, 1, AttemptOutcome::kFull, decision_log::Progress::kAnswering, decision_log::Cause::kSkipped);
+  f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kFull);
   f.now += 10'000, f.record.Now(f.now);
-  f.record.Ended(query, 0, 1, 2, OutcomeCode::kReset, decision_log::Progress::kWhollyWritten,
+  f.record.Ended(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kConnectionLost);
-  f.Send(query, 0, 2, 3, liftrudder::routing::SendKind::kResend, OutcomeCode::kReset);
-  f.Send(query, 1, 1, 3, liftrudder::routing::SendKind::kStragglerCopy);
-  f.record.Ended(query, 0, 2, 3, OutcomeCode::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
-  f.record.Ended(query, 1, 1, 3, OutcomeCode::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
-  f.record.Cancelled(query, 1, {0, 0, liftrudder::routing::CancelWhy::kAnswered});
-  f.End(query, Verdict::kWhole);
+  f.Send(query, 0, 2, 3, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kReset);
+  f.Send(query, 1, 1, 3, liftrudder::routing::DispatchKind::kStragglerHedge);
+  f.record.Ended(query, 0, 2, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+  f.record.Ended(query, 1, 1, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+  f.record.Cancelled(query, 1, {0, 0, liftrudder::routing::CancelReason::kAnswered});
+  f.End(query, Verdict::kComplete);
   f.now += 10'000, f.record.Now(f.now);
-  f.record.Ended(query, 1, 0, 2, OutcomeCode::kCancelled, decision_log::Progress::kWhollyWritten,
+  f.record.Ended(query, 1, 0, 2, AttemptOutcome::kCancelled, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kWithdrawn);
   auto found = f.Find("q-1");
-  REQUIRE(found.stories.size() == 1);
-  const decision_log::Story& story = found.stories[0];
-  CHECK(story.class_name == "term-report");
-  REQUIRE(story.parts.size() == 2);
-  REQUIRE(story.parts[0].attempts.size() == 3);
-  REQUIRE(story.parts[1].attempts.size() == 2);
-  CHECK(story.parts[0].attempts[1].holder.id == "s-2");
-  CHECK(story.parts[0].attempts[1].outcome == OutcomeCode::kReset);
-  CHECK(story.parts[0].attempts[2].after == OutcomeCode::kReset);
-  CHECK(story.parts[1].attempts[0].ended_us == 30'000);
-  CHECK(story.parts[1].attempts[0].cause == decision_log::Cause::kWithdrawn);
-  std::string text = decision_log::TextOf(story);
+  REQUIRE(found.traces.size() == 1);
+  const decision_log::QueryTrace& trace = found.traces[0];
+  CHECK(trace.class_name == "term-report");
+  REQUIRE(trace.parts.size() == 2);
+  REQUIRE(trace.parts[0].attempts.size() == 3);
+  REQUIRE(trace.parts[1].attempts.size() == 2);
+  CHECK(trace.parts[0].attempts[1].endpoint.id == "s-2");
+  CHECK(trace.parts[0].attempts[1].outcome == AttemptOutcome::kReset);
+  CHECK(trace.parts[0].attempts[2].after == AttemptOutcome::kReset);
+  CHECK(trace.parts[1].attempts[0].ended_us == 30'000);
+  CHECK(trace.parts[1].attempts[0].cause == decision_log::Cause::kWithdrawn);
+  std::string text = decision_log::TextOf(trace);
   CHECK(text.find("was sent again, since the attempt before lost its connection, to s-3") !=
         std::string::npos);
   CHECK(text.find("the connection was lost after the request was written, so it may have run") !=
@@ -147,11 +147,11 @@
   f.Whole(odd, 0);
   f.Whole(odd, 0);
   auto found = f.Find(longest);
-  REQUIRE(found.stories.size() == 1);
-  CHECK(found.stories[0].call_id.size() == decision_log::kNoteId);
-  CHECK(found.stories[0].id_cut);
+  REQUIRE(found.traces.size() == 1);
+  CHECK(found.traces[0].call_id.size() == decision_log::kNoteId);
+  CHECK(found.traces[0].id_cut);
   found = f.Find(odd);
-  CHECK(found.stories.size() == 2);  // the same id twice: both are told
+  CHECK(found.traces.size() == 2);  // the same id twice: both are told
   decision_log::Filter filter;
   filter.id = odd;
   std::string json = Told(found, filter, true);
@@ -163,25 +163,25 @@
   Fixture f;
   std::string label = "week-1 " + std::string(200, 'x');
   std::uint32_t query = f.Open("s1", 0, 2, label.substr(0, decision_log::kNoteId));
-  f.End(query, Verdict::kWhole);
-  REQUIRE(f.Find(label).stories.size() == 1);
-  CHECK(f.Find(label).stories[0].call_id == "s1");
+  f.End(query, Verdict::kComplete);
+  REQUIRE(f.Find(label).traces.size() == 1);
+  CHECK(f.Find(label).traces[0].call_id == "s1");
   for (int i = 0; i < 20'000; ++i) {
     f.Whole("same", 0);
     f.record.Flush();
-    if (i % 100 == 0 && f.Find(label).stories.empty()) break;
+    if (i % 100 == 0 && f.Find(label).traces.empty()) break;
   }
-  CHECK(f.Find(label).stories.empty());
-  REQUIRE(f.Find(label).sightings.size() == 1);
-  CHECK(f.Find(label).sightings[0].verdict == Verdict::kWhole);
-  CHECK(f.Find("same").sightings.size() == decision_log::kMostSightings);
+  CHECK(f.Find(label).traces.empty());
+  REQUIRE(f.Find(label).occurrences.size() == 1);
+  CHECK(f.Find(label).occurrences[0].verdict == Verdict::kComplete);
+  CHECK(f.Find("same").occurrences.size() == decision_log::kMaxOccurrences);
 }
 
 TEST_CASE("a reading holds one query at a time, however many fit") {
   Fixture f(4 * 1024 * 1024);
   std::uint32_t wide = f.Open("wide", 0, 1000);
   for (int part = 0; part < 1000; ++part) f.Send(wide, part, 0, 1);
-  f.End(wide, Verdict::kPartial, EndCause::kAim);
+  f.End(wide, Verdict::kPartial, CompletionCause::kLatencyObjective);
   for (int i = 0; i < 8000; ++i) f.Whole("q-" + std::to_string(i), i % 3);
   f.record.Flush();
   for (bool json : {false, true}) {
@@ -190,27 +190,27 @@
     question.json = json;
     test_support::ForgetMost();
     std::size_t before = test_support::BytesHeld();
-    CHECK(decision_log::AnswerFrom(f.record.arena(), question).body.size() > 100'000);
+    CHECK(decision_log::AnswerFrom(f.record.record_file(), question).body.size() > 100'000);
     // The reply, which doubles as it grows, and one query of the largest kind, unpacked.
     if (test_support::kCounted) CHECK(test_support::MostBytesHeld() - before < 3 * decision_log::kMostReply);
     question.filter.id = "wide";
     test_support::ForgetMost();
-    CHECK(decision_log::AnswerFrom(f.record.arena(), question).status == 200);
+    CHECK(decision_log::AnswerFrom(f.record.record_file(), question).status == 200);
     if (test_support::kCounted) CHECK(test_support::MostBytesHeld() - before < 8 * 1024 * 1024);
   }
 }
 
 TEST_CASE("property: no words that a block may hold end the reader") {
-  test_support::Folder folder;
-  const std::string path = folder.path() + "/why.record";
+  test_support::TemporaryDirectory directory;
+  const std::string path = directory.path() + "/why.record";
   { Fixture f(kBytes, path); }
-  decision_log::Arena arena = decision_log::Arena::Open(path);
-  bool ok = rc::check("random events", [&arena] {
-    std::size_t at = arena.layout().block_at;
-    arena.BeginCell(at);
+  decision_log::RecordFile record_file = decision_log::RecordFile::Open(path);
+  bool ok = rc::check("random events", [&record_file] {
+    std::size_t at = record_file.layout().block_at;
+    record_file.BeginCell(at);
     auto used = *rc::gen::inRange<std::uint64_t>(0, 40);
-    arena.Store(at + 1, 1 | used << 48);
-    arena.Store(at + 2, *rc::gen::element<std::uint64_t>(decision_log::kNoBlock, 0, 5));
+    record_file.Store(at + 1, 1 | used << 48);
+    record_file.Store(at + 2, *rc::gen::element<std::uint64_t>(decision_log::kNoBlock, 0, 5));
     for (std::size_t i = 3; i < decision_log::kBlockWords; ++i) {
       auto word = *rc::gen::arbitrary<std::uint64_t>();
       // Most begin as events do.
@@ -218,13 +218,13 @@
         word = (word & ~std::uint64_t{0xffff}) | *rc::gen::inRange<std::uint64_t>(0, 11) |
                *rc::gen::inRange<std::uint64_t>(0, 8) << 8;
       }
-      arena.Store(at + i, word);
+      record_file.Store(at + i, word);
     }
-    arena.EndCell(at, decision_log::kBlockWords);
+    record_file.EndCell(at, decision_log::kBlockWords);
     decision_log::Question question;
     for (bool json : {false, true}) {
       question.json = json;
-      RC_ASSERT(!decision_log::AnswerFrom(arena, question).body.empty());
+      RC_ASSERT(!decision_log::AnswerFrom(record_file, question).body.empty());
     }
   });
   CHECK(ok);
@@ -234,12 +234,12 @@
   Fixture f;
   std::uint32_t query = f.Open("wide", 0, 1000);
   for (int part = 0; part < 1000; ++part) f.Send(query, part, 0, 1);
-  f.End(query, Verdict::kPartial, EndCause::kAim);
+  f.End(query, Verdict::kPartial, CompletionCause::kLatencyObjective);
   auto found = f.Find("wide");
-  REQUIRE(found.stories.size() == 1);
-  CHECK(found.stories[0].events_cut);
-  CHECK(found.stories[0].verdict == Verdict::kPartial);
-  CHECK(decision_log::Reader(f.record.arena()).Summarize().blocks_used <= f.record.arena().layout().blocks / 16);
+  REQUIRE(found.traces.size() == 1);
+  CHECK(found.traces[0].events_cut);
+  CHECK(found.traces[0].verdict == Verdict::kPartial);
+  CHECK(decision_log::Reader(f.record.record_file()).Summarize().blocks_used <= f.record.record_file().layout().blocks / 16);
 }
 
 TEST_CASE("no allocation a query once running, and the bytes claimed stay the same") {
@@ -259,8 +259,8 @@
                   parts);
     for (int part = 0; part < 6; ++part) f.Send(query, part, 0, 1);
     for (int part = 0; part < 6; ++part)
-      f.record.Ended(query, part, 0, 1, OutcomeCode::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
-    f.End(query, i % 50 == 0 ? Verdict::kRefused : Verdict::kWhole);
+      f.record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+    f.End(query, i % 50 == 0 ? Verdict::kRefused : Verdict::kComplete);
     f.record.Flush();
   }
   if (test_support::kCounted) {
@@ -282,7 +282,7 @@
     f.record.Now(f.now);
     std::string id = "before-" + std::to_string(i);
     if (i % 80 == 0) {
-      f.Whole(id, 1, i % 160 == 0 ? Verdict::kRefused : Verdict::kPartial, EndCause::kPressure);
+      f.Whole(id, 1, i % 160 == 0 ? Verdict::kRefused : Verdict::kPartial, CompletionCause::kLoad);
       reports.insert(id);
     } else {
       f.Whole(id, i % 3);
@@ -291,30 +291,30 @@
     f.record.Flush();
   }
   std::size_t ordinary_before = 0;
-  for (const std::string& id : ordinary) ordinary_before += f.Find(id).stories.size();
+  for (const std::string& id : ordinary) ordinary_before += f.Find(id).traces.size();
   for (int burst = 0; burst < 20; ++burst) {  // 20 such bursts: no room is left by the first
     for (int i = 0; i < 8 * 36; ++i) {
       f.now += 27'000;
       f.record.Now(f.now);
       bool refused = i % 2 == 0;
       f.Whole("burst-" + std::to_string(burst) + "-" + std::to_string(i), i % 3,
-              refused ? Verdict::kRefused : Verdict::kWhole,
-              refused ? EndCause::kPressure : EndCause::kWhole);
+              refused ? Verdict::kRefused : Verdict::kComplete,
+              refused ? CompletionCause::kLoad : CompletionCause::kComplete);
       f.record.Flush();
     }
   }
   std::size_t kept = 0;
-  for (const std::string& id : reports) kept += f.Find(id).stories.size();
+  for (const std::string& id : reports) kept += f.Find(id).traces.size();
   INFO("refused or partial reports kept: " << kept << " of " << reports.size());
   CHECK(kept >= reports.size() * 2 / 3);
   std::size_t sample = 0;
-  for (const std::string& id : ordinary) sample += f.Find(id).stories.size();
+  for (const std::string& id : ordinary) sample += f.Find(id).traces.size();
   INFO("ordinary ones kept: " << sample << " of " << ordinary_before << " before");
   CHECK(sample >= 30);
   // Nothing that was seen lately is met with silence.
   for (const std::string& id : ordinary) {
     auto found = f.Find(id);
-    REQUIRE((!found.stories.empty() || !found.sightings.empty() || found.sightings_from > 0));
+    REQUIRE((!found.traces.empty() || !found.occurrences.empty() || found.occurrences_from > 0));
   }
 }
 
@@ -324,15 +324,15 @@
   for (int i = 0; i < 20'000; ++i) {  // all in one second, so that it is as good a victim as any
     f.Whole("other-" + std::to_string(i), 0);
     f.record.Flush();
-    if (i % 100 == 0 && f.Find("gone").stories.empty()) break;
+    if (i % 100 == 0 && f.Find("gone").traces.empty()) break;
   }
   auto found = f.Find("gone");
-  REQUIRE(found.stories.empty());
-  REQUIRE(found.sightings.size() == 1);
+  REQUIRE(found.traces.empty());
+  REQUIRE(found.occurrences.size() == 1);
   decision_log::Filter filter;
   filter.id = "gone";
   CHECK(Told(found, filter, false).find("gone was seen then, not kept: whole at") == 0);
-  auto dropped = decision_log::Reader(f.record.arena()).Summarize().last_minute;
+  auto dropped = decision_log::Reader(f.record.record_file()).Summarize().last_minute;
   CHECK(dropped[decision_log::kTallyDropped + static_cast<std::size_t>(decision_log::Group::kOrdinary)] > 0);
 }
 
@@ -341,20 +341,20 @@
   std::vector<std::uint32_t> open;
   for (int i = 0; i < 6000; ++i) open.push_back(f.Open("open-" + std::to_string(i), 0));
   f.record.Flush();
-  auto summary = decision_log::Reader(f.record.arena()).Summarize();
+  auto summary = decision_log::Reader(f.record.record_file()).Summarize();
   CHECK(summary.totals[decision_log::kTallyLost] > 0);
   CHECK(summary.blocks_used == summary.blocks);
-  for (std::uint32_t query : open) f.End(query, Verdict::kWhole);
+  for (std::uint32_t query : open) f.End(query, Verdict::kComplete);
   auto found = f.Find("open-0");
-  REQUIRE(found.stories.size() == 1);
-  CHECK(found.stories[0].verdict == Verdict::kWhole);
+  REQUIRE(found.traces.size() == 1);
+  CHECK(found.traces[0].verdict == Verdict::kComplete);
 }
 
 TEST_CASE("a flood at the door is counted, and only so much of it is kept") {
   Fixture f;
-  f.Whole("mine", 1, Verdict::kRefused, EndCause::kPressure);
+  f.Whole("mine", 1, Verdict::kRefused, CompletionCause::kLoad);
   decision_log::Note note;
-  note.door = Door::kMalformed;
+  note.intake = IntakeResult::kMalformed;
   note.status = 400;
   note.SetId("bad");
   std::size_t told = 0;
@@ -365,22 +365,22 @@
     if (i % 100 == 99) f.record.Flush();
   }
   f.record.Flush();
-  auto summary = decision_log::Reader(f.record.arena()).Summarize();
-  std::size_t counted = summary.totals[decision_log::kTallyDoor + static_cast<std::size_t>(Door::kMalformed)] +
-                        summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kMailFull)];
+  auto summary = decision_log::Reader(f.record.record_file()).Summarize();
+  std::size_t counted = summary.totals[decision_log::kTallyIntake + static_cast<std::size_t>(IntakeResult::kMalformed)] +
+                        summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)];
   CHECK(counted == told);
-  CHECK(f.Find("bad").stories.size() <= 40);
-  CHECK(f.Find("mine").stories.size() == 1);
+  CHECK(f.Find("bad").traces.size() <= 40);
+  CHECK(f.Find("mine").traces.size() == 1);
   // A box that is full says so and is counted.
   for (int i = 0; i < 1000; ++i) f.record.Tell(note);
   f.record.Flush();
-  summary = decision_log::Reader(f.record.arena()).Summarize();
-  CHECK(summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kMailFull)] == 1000 - 256);
+  summary = decision_log::Reader(f.record.record_file()).Summarize();
+  CHECK(summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)] == 1000 - 256);
 }
 
 TEST_CASE("what a killed program left can be read; damage is skipped and counted, or named") {
-  test_support::Folder own;
-  const std::string folder = own.path(), path = folder + "/why.record";
+  test_support::TemporaryDirectory own;
+  const std::string directory = own.path(), path = directory + "/why.record";
   {
     Fixture f(kBytes, path);
     for (int i = 0; i < 100; ++i) f.Whole("q-" + std::to_string(i), 0);
@@ -390,9 +390,9 @@
   decision_log::Filter all;
   all.limit = 500;
   {
-    decision_log::Arena left = decision_log::Arena::Open(path);
+    decision_log::RecordFile left = decision_log::RecordFile::Open(path);
     auto found = ReadAll(left, all);
-    CHECK(found.stories.size() == 100);
+    CHECK(found.traces.size() == 100);
     CHECK(found.busy == 1);
     CHECK(decision_log::Reader(left).about().name == "n1");
   }
@@ -404,9 +404,9 @@
   };
   patch(layout.block_at * 8 + 100, 'x');  // in the first block's events
   {
-    decision_log::Arena left = decision_log::Arena::Open(path);
+    decision_log::RecordFile left = decision_log::RecordFile::Open(path);
     auto found = ReadAll(left, all);
-    CHECK(found.stories.size() == 99);
+    CHECK(found.traces.size() == 99);
     CHECK(found.torn == 1);
   }
   std::filesystem::copy_file(path, path + ".short");
@@ -416,7 +416,7 @@
   CHECK(ErrorOf(path + ".short").find("cut short: 100 bytes") != std::string::npos);
   std::ofstream(path + ".long", std::ios::binary) << std::ifstream(path, std::ios::binary).rdbuf() << "more";
   CHECK(ErrorOf(path + ".long").find("of another size") != std::string::npos);
-  CHECK(ErrorOf(folder).find("not a file") != std::string::npos);
+  CHECK(ErrorOf(directory).find("not a file") != std::string::npos);
   CHECK(ErrorOf(path + ".none").find("cannot be opened") != std::string::npos);
   patch(8, 9);
   CHECK(ErrorOf(path).find("of version 9; this program reads version 2") != std::string::npos);
@@ -438,12 +438,12 @@
       while (!done) {
         decision_log::Filter filter;
         filter.limit = 200;
-        for (const decision_log::Story& story : ReadAll(f.record.arena(), filter).stories) {
+        for (const decision_log::QueryTrace& trace : ReadAll(f.record.record_file(), filter).traces) {
           ++read;
-          bool ended = story.verdict == Verdict::kWhole;
-          bool all = story.parts.size() == 2 && story.parts[0].attempts.size() == 1 &&
-                     story.parts[1].attempts.size() == 1;
-          if (!story.torn && ended && !all) ++wrong;
+          bool ended = trace.verdict == Verdict::kComplete;
+          bool all = trace.parts.size() == 2 && trace.parts[0].attempts.size() == 1 &&
+                     trace.parts[1].attempts.size() == 1;
+          if (!trace.torn && ended && !all) ++wrong;
         }
       }
     });
@@ -468,15 +468,15 @@
   std::uint32_t query = f.Open("second", 0);
   f.now -= kSecond;
   f.record.Now(f.now);
-  f.End(query, Verdict::kWhole);
-  CHECK(f.Find("first").stories.size() == 1);
-  REQUIRE(f.Find("second").stories.size() == 1);
-  CHECK(f.Find("second").stories[0].ended_us == 0);
+  f.End(query, Verdict::kComplete);
+  CHECK(f.Find("first").traces.size() == 1);
+  REQUIRE(f.Find("second").traces.size() == 1);
+  CHECK(f.Find("second").traces[0].ended_us == 0);
 }
 
 TEST_CASE("property: retention keeps its sums, and only what is over its share is let go of") {
   bool ok = rc::check("random keeps, grows and victims", [] {
-    decision_log::Retention retention(400, *rc::gen::arbitrary<std::uint64_t>());
+    decision_log::RetentionPolicy retention(400, *rc::gen::arbitrary<std::uint64_t>());
     std::map<std::uint32_t, std::pair<std::size_t, std::uint32_t>> kept;  // entry: stratum, blocks
     std::set<std::uint32_t> free;
     for (std::uint32_t i = 0; i < 400; ++i) free.insert(i);
@@ -544,13 +544,13 @@
   Fixture f;
   std::int64_t now = kStart;
   int freshened = 0;
-  decision_log::Desk desk(
-      f.record.arena(), [&] { ++freshened; }, [&] { return now; });
+  decision_log::ExplainService explain_service(
+      f.record.record_file(), [&] { ++freshened; }, [&] { return now; });
   int answered = 0;
-  for (int i = 0; i < 50; ++i) answered += desk.Ask({{"summary", "1"}}).status == 200 ? 1 : 0;
+  for (int i = 0; i < 50; ++i) answered += explain_service.Ask({{"summary", "1"}}).status == 200 ? 1 : 0;
   CHECK(answered == 10);
   CHECK(freshened == 10);
-  CHECK(desk.Ask({}).retry_after_us > 0);
+  CHECK(explain_service.Ask({}).retry_after_us > 0);
   now += kSecond;
-  CHECK(desk.Ask({}).status == 200);
+  CHECK(explain_service.Ask({}).status == 200);
 }
--- a/tests/identity/identity_fuzz.cpp
+++ b/tests/identity/identity_fuzz.cpp
@@ -58,7 +58,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   std::string_view text(reinterpret_cast<const char*>(data), size);
-  bool accepted = std::holds_alternative<Caller>(Verify(text, *Here().keys, kRules, kNow));
+  bool accepted = std::holds_alternative<VerifiedToken>(Verify(text, *Here().keys, kRules, kNow));
   Need(accepted == Here().signed_here.contains(text), "exactly the tokens signed here are accepted");
   auto read = KeySet::Read(text), again = KeySet::Read(text);
   Need(read.index() == again.index(), "a key set reads the same twice");
@@ -72,8 +72,8 @@
   } else {
     Need(!std::get<std::string>(read).empty(), "a refused key set says why");
   }
-  auto book = Book::Read(text);
-  if (const auto* wrong = std::get_if<std::string>(&book)) Need(!wrong->empty(), "a refused book says why");
+  auto permission_table = PermissionTable::Read(text);
+  if (const auto* wrong = std::get_if<std::string>(&permission_table)) Need(!wrong->empty(), "a refused book says why");
   return 0;
 }
 
--- a/tests/identity/identity_test.cpp
+++ b/tests/identity/identity_test.cpp
@@ -47,7 +47,7 @@
   return std::holds_alternative<std::string>(read) ? std::get<std::string>(read) : "";
 }
 
-Denial Deny(const std::variant<Caller, Denial>& out) {
+Denial Deny(const std::variant<VerifiedToken, Denial>& out) {
   return std::holds_alternative<Denial>(out) ? std::get<Denial>(out) : Denial::kNone;
 }
 
@@ -95,9 +95,9 @@
   for (const auto& [signer, kid] : {std::pair(&Ed(), "ed"), std::pair(&Ec(), "ec")}) {
     auto out = Verify(signer->Token(kid, Claims()), *keys, kRules, kNow);
     REQUIRE(Deny(out) == Denial::kNone);
-    CHECK(std::get<Caller>(out).tenant == "north");
-    CHECK(std::get<Caller>(out).subject == "teacher-7");
-    CHECK(std::get<Caller>(out).kid == kid);
+    CHECK(std::get<VerifiedToken>(out).tenant == "north");
+    CHECK(std::get<VerifiedToken>(out).subject == "teacher-7");
+    CHECK(std::get<VerifiedToken>(out).kid == kid);
   }
   CHECK(Deny(Verify(Ed().Token("ed", With(Claims(), "aud", {"other", "gatherer"})), *keys, kRules, kNow)) ==
         Denial::kNone);
@@ -155,9 +155,9 @@
       {Ed().Token("ed", Without(Claims(), "tenant")), Denial::kNoTenant},
       {Ed().Token("ed", With(Claims(), "sub", "")), Denial::kNoTenant},
   };
-  for (const auto& [token, why] : table) {
-    INFO(token << " should be " << Name(why));
-    CHECK(Name(Deny(Verify(token, *keys, kRules, kNow))) == Name(why));
+  for (const auto& [token, reason] : table) {
+    INFO(token << " should be " << Name(reason));
+    CHECK(Name(Deny(Verify(token, *keys, kRules, kNow))) == Name(reason));
   }
   // The skew's two edges.
   CHECK(Deny(Verify(Ed().Token("ed", With(Claims(), "exp", kNow / kSecond - 4)), *keys, kRules, kNow)) ==
@@ -188,59 +188,59 @@
   CHECK(Wrong(Json{{"keys", {Ed().Jwk("a"), Ec().Jwk("a")}}}.dump()).find("'a' is there twice") !=
         std::string::npos);
 
-  Gate gate(kRules, 16);
-  REQUIRE_FALSE(gate.Replace(Set({Ed().Jwk("a")})));
-  auto wrong = gate.Replace(Set({Ec().Jwk("a")}));
+  TokenVerifier token_verifier(kRules, 16);
+  REQUIRE_FALSE(token_verifier.Replace(Set({Ed().Jwk("a")})));
+  auto wrong = token_verifier.Replace(Set({Ec().Jwk("a")}));
   REQUIRE(wrong);
   CHECK(wrong->find("'a' names another key") != std::string::npos);
   // Nor after it has been gone for a while.
-  REQUIRE_FALSE(gate.Replace(Set({Ed().Jwk("c")})));
-  CHECK(gate.Replace(Set({Ec().Jwk("a")})));
-  REQUIRE_FALSE(gate.Replace(Set({Ed().Jwk("a")})));
-  CHECK(Deny(gate.Admit(Ed().Token("a", Claims()), kNow)) == Denial::kNone);
+  REQUIRE_FALSE(token_verifier.Replace(Set({Ed().Jwk("c")})));
+  CHECK(token_verifier.Replace(Set({Ec().Jwk("a")})));
+  REQUIRE_FALSE(token_verifier.Replace(Set({Ed().Jwk("a")})));
+  CHECK(Deny(token_verifier.Admit(Ed().Token("a", Claims()), kNow)) == Denial::kNone);
 }
 
 TEST_CASE("a key's life: announced, active, retiring, withdrawn; tokens already seen follow at once") {
-  Gate gate(kRules, 16);
+  TokenVerifier token_verifier(kRules, 16);
   std::string token = Ed().Token("a", Claims());
   auto put = [&](const char* state) {
     Json key = With(Ed().Jwk("a"), "state", state);
     if (std::string(state) == "retiring") key["until"] = kNow / kSecond + 2;
-    REQUIRE_FALSE(gate.Replace(Set({key})));
+    REQUIRE_FALSE(token_verifier.Replace(Set({key})));
   };
   put("announced");
-  CHECK(Deny(gate.Admit(token, kNow)) == Denial::kKeyAnnounced);
+  CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kKeyAnnounced);
   put("active");
-  CHECK(Deny(gate.Admit(token, kNow)) == Denial::kNone);
-  CHECK(gate.Cached() == 1);
+  CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kNone);
+  CHECK(token_verifier.Cached() == 1);
   put("retiring");
-  CHECK(Deny(gate.Admit(token, kNow + 2 * kSecond - 1)) == Denial::kNone);
-  CHECK(Deny(gate.Admit(token, kNow + 2 * kSecond)) == Denial::kKeyRetired);
+  CHECK(Deny(token_verifier.Admit(token, kNow + 2 * kSecond - 1)) == Denial::kNone);
+  CHECK(Deny(token_verifier.Admit(token, kNow + 2 * kSecond)) == Denial::kKeyRetired);
   put("active");
-  CHECK(Deny(gate.Admit(token, kNow)) == Denial::kNone);
+  CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kNone);
   put("withdrawn");
-  CHECK(gate.Cached() == 0);
-  CHECK(Deny(gate.Admit(token, kNow)) == Denial::kKeyWithdrawn);
-  REQUIRE_FALSE(gate.Replace(Set({Ec().Jwk("b")})));
-  CHECK(Deny(gate.Admit(token, kNow)) == Denial::kUnknownKey);
+  CHECK(token_verifier.Cached() == 0);
+  CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kKeyWithdrawn);
+  REQUIRE_FALSE(token_verifier.Replace(Set({Ec().Jwk("b")})));
+  CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kUnknownKey);
 }
 
 TEST_CASE("the cache is bounded, and what it holds expires") {
-  Gate gate(kRules, 8);
-  REQUIRE_FALSE(gate.Replace(Set({Ed().Jwk("a")})));
+  TokenVerifier token_verifier(kRules, 8);
+  REQUIRE_FALSE(token_verifier.Replace(Set({Ed().Jwk("a")})));
   std::vector<std::string> tokens;
   for (int i = 0; i < 50; ++i)
     tokens.push_back(Ed().Token("a", With(Claims(), "sub", "s" + std::to_string(i))));
-  for (const std::string& token : tokens) CHECK(Deny(gate.Admit(token, kNow)) == Denial::kNone);
-  CHECK(gate.Cached() == 8);
+  for (const std::string& token : tokens) CHECK(Deny(token_verifier.Admit(token, kNow)) == Denial::kNone);
+  CHECK(token_verifier.Cached() == 8);
   for (const std::string& token : tokens)
-    CHECK(Deny(gate.Admit(token, kNow + 65 * kSecond)) == Denial::kExpired);
-  CHECK(Deny(gate.Admit(tokens.back(), kNow - 66 * kSecond)) ==
+    CHECK(Deny(token_verifier.Admit(token, kNow + 65 * kSecond)) == Denial::kExpired);
+  CHECK(Deny(token_verifier.Admit(tokens.back(), kNow - 66 * kSecond)) ==
         Denial::kNotYet);  // a clock that stepped back
 }
 
 TEST_CASE("keys rotate under load: no wrongful acceptance, no refusal within the overlap") {
-  Gate gate(kRules, 64);
+  TokenVerifier token_verifier(kRules, 64);
   std::vector<std::unique_ptr<Signer>> signers;
   std::vector<std::string> tokens;
   constexpr int kKeys = 12;
@@ -261,17 +261,17 @@
       keys.push_back(key);
     }
     begun = n;
-    REQUIRE_FALSE(gate.Replace(Set(keys)));
+    REQUIRE_FALSE(token_verifier.Replace(Set(keys)));
     settled = n;
   };
   rotate(0);
   std::atomic<bool> done{false};
-  std::vector<std::thread> callers;
+  std::vector<std::thread> authenticator;
   for (int who = 0; who < 4; ++who) {
-    callers.emplace_back([&, who] {
+    authenticator.emplace_back([&, who] {
       for (std::size_t i = static_cast<std::size_t>(who); !done; ++i) {
         int key = static_cast<int>(i % kKeys), before = settled;
-        bool in = Deny(gate.Admit(tokens[static_cast<std::size_t>(key)], kNow)) == Denial::kNone;
+        bool in = Deny(token_verifier.Admit(tokens[static_cast<std::size_t>(key)], kNow)) == Denial::kNone;
         int after = begun;
         ++asked;
         bool may = key <= after && key >= before - 1;   // at some step between
@@ -287,7 +287,7 @@
     rotate(n);
   }
   done = true;
-  for (std::thread& caller : callers) caller.join();
+  for (std::thread& caller : authenticator) caller.join();
   CHECK(wrongful == 0);
   CHECK(refused == 0);
 }
@@ -298,18 +298,18 @@
                            R"(","tenants":{
       "north":{"indices":["*"],"certificates":["dns:north.example","uri:urn:north"],"networks":["10.0.0.0/8"]},
       "south":{"indices":["*"],"certificates":["dns:south.example"]}}})";
-  auto read = identity::Book::Read(text);
+  auto read = identity::PermissionTable::Read(text);
   REQUIRE(read.index() == 0);
-  identity::Callers callers(std::get<identity::Book>(std::move(read)));
+  identity::Authenticator authenticator(std::get<identity::PermissionTable>(std::move(read)));
   std::vector<std::string> changes;
-  REQUIRE_FALSE(callers.TakeKeys(Json{{"keys", Json::array({Ed().Jwk("a")})}}.dump(), changes));
+  REQUIRE_FALSE(authenticator.TakeKeys(Json{{"keys", Json::array({Ed().Jwk("a")})}}.dump(), changes));
   Json claims = Claims();
   claims["tenant"] = "south";
   const std::string south = "Bearer " + Ed().Token("a", claims), junk = "Basic x";
   struct Case {
     const char* what;
     identity::Presented shown;
-    std::string tenant, why;
+    std::string tenant, reason;
   };
   const Case cases[] = {
       {"nothing", {nullptr, "10.0.0.1", {}, ""}, "", "no token"},
@@ -344,16 +344,16 @@
   };
   for (const Case& one : cases) {
     INFO(one.what);
-    auto admitted = callers.Admit(one.shown, kNow);
-    const auto* visitor = std::get_if<identity::Visitor>(&admitted);
-    CHECK((visitor == nullptr ? "" : visitor->tenant) == one.tenant);
-    CHECK((visitor == nullptr ? std::get<identity::Refusal>(admitted).why : "") == one.why);
+    auto admitted = authenticator.Admit(one.shown, kNow);
+    const auto* principal = std::get_if<identity::Principal>(&admitted);
+    CHECK((principal == nullptr ? "" : principal->tenant) == one.tenant);
+    CHECK((principal == nullptr ? std::get<identity::Refusal>(admitted).reason : "") == one.reason);
   }
   for (const char* wrong :
        {R"({"a":{"indices":["*"],"certificates":["north.example"]}})",
         R"({"a":{"indices":["*"],"certificates":["dns:"]}})",
         R"({"a":{"indices":["*"],"certificates":["dns:x"]},"b":{"certificates":["dns:x"]}})"}) {
-    auto again = identity::Book::Read(
+    auto again = identity::PermissionTable::Read(
         fmt::format(R"({{"keys":"k","issuer":"i","audience":"g","tenants":{}}})", wrong));
     REQUIRE(again.index() == 1);
     CHECK(std::get<std::string>(again).find("[certificates]") != std::string::npos);
@@ -361,8 +361,8 @@
 }
 
 TEST_CASE("sign-for-tests gives tokens and key sets that the gate takes, of either kind of key") {
-  liftrudder::test_support::Folder folder;
-  const std::string program = LIFTRUDDER_PROGRAM, file = folder.path() + "/key.pem";
+  liftrudder::test_support::TemporaryDirectory directory;
+  const std::string program = LIFTRUDDER_PROGRAM, file = directory.path() + "/key.pem";
   auto run = [&](std::vector<std::string> more) {
     std::vector<std::string> all{"token", "sign-for-tests", "--key", file, "--kid", "a"};
     all.insert(all.end(), more.begin(), more.end());
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -12,7 +12,7 @@
 #include "limits/watch_timeouts.h"
 
 using liftrudder::limits::Backoff;
-using liftrudder::limits::ListWaitsOf;
+using liftrudder::limits::WatchTimeoutsOf;
 using Micros = Backoff::Micros;
 
 TEST_CASE("a wait stays under a bound that doubles up to the cap, and a success resets it") {
@@ -81,12 +81,12 @@
 
 namespace {
 
-liftrudder::routing::Settings GroupOf(int size, bool must_subscribe) {
+liftrudder::routing::Settings GroupOf(int size, bool subscription_required) {
   liftrudder::routing::Settings settings;
-  settings.group_size = size;
-  settings.must_subscribe = must_subscribe;
-  settings.ask_within_us = 10'000'000;
-  settings.stop_sending_within_us = 1'000'000;
+  settings.fleet_size = size;
+  settings.subscription_required = subscription_required;
+  settings.poll_deadline_us = 10'000'000;
+  settings.drain_grace_us = 1'000'000;
   return settings;
 }
 
@@ -97,7 +97,7 @@
 TEST_CASE("an agent of one's own is asked before anything it tells has run out, whatever the group's size") {
   for (int size : {1, 100, 300, 3000}) {
     liftrudder::routing::Settings settings = GroupOf(size, false);
-    auto waits = ListWaitsOf(settings);
+    auto waits = WatchTimeoutsOf(settings);
     Micros longest = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       Backoff backoff(waits.first_us, waits.most_us, seed);
@@ -106,34 +106,34 @@
     }
     INFO("group of " << size << ", longest wait " << longest << " us");
     CHECK(longest > 0);
-    CHECK(longest <= settings.stop_sending_within_us / 4);
+    CHECK(longest <= settings.drain_grace_us / 4);
   }
 }
 
 TEST_CASE(
     "a list service that all of a group call is asked by a group of 300 as by one of 100, spread wider") {
-  auto hundred = ListWaitsOf(GroupOf(100, true)), all = ListWaitsOf(GroupOf(300, true));
+  auto hundred = WatchTimeoutsOf(GroupOf(100, true)), all = WatchTimeoutsOf(GroupOf(300, true));
   CHECK(hundred.start_us == 3'000'000);
   CHECK(hundred.first_us == 1'250'000);
   CHECK(hundred.most_us == 5'000'000);
   CHECK(all.start_us >= hundred.start_us);
-  CHECK(ListWaitsOf(GroupOf(1, true)).start_us == 30'000);
+  CHECK(WatchTimeoutsOf(GroupOf(1, true)).start_us == 30'000);
 }
 
 // A fifth of a core: a round of 50 us takes 250. Answers come twice a millisecond, now and then a query.
 TEST_CASE("rounds for answers take a tenth of the time, and a query waits for a resolution at most") {
   liftrudder::routing::Settings settings = GroupOf(300, false);
-  liftrudder::routing::ClassSettings search;
-  search.aim_us = 500'000;
+  liftrudder::routing::QueryClassSettings search;
+  search.latency_objective_us = 500'000;
   settings.classes = {search};
-  settings.resolution_us = 1'000;
-  liftrudder::coordinator::Pace pace(settings);
+  settings.decision_interval_us = 1'000;
+  liftrudder::coordinator::RoundPacer pace(settings);
   constexpr Micros kRound = 250, kEnd = 1'000'000;
   Micros now = 0, in_rounds = 0, longest = 0;
   while (now < kEnd) {
     now = pace.Later();
     longest = std::max(longest, now - pace.Last());
-    CHECK(pace.Soon() - pace.Last() == settings.resolution_us);
+    CHECK(pace.Soon() - pace.Last() == settings.decision_interval_us);
     pace.Began(now);
     pace.Ended(now += kRound);
     in_rounds += kRound;
--- a/tests/limits/tenant_quotas_test.cpp
+++ b/tests/limits/tenant_quotas_test.cpp
@@ -10,9 +10,9 @@
 #include <queue>
 #include <set>
 
-using liftrudder::limits::Accounts;
+using liftrudder::limits::TenantQuotas;
 using liftrudder::limits::ShareSettings;
-using Micros = Accounts::Micros;
+using Micros = TenantQuotas::Micros;
 
 namespace {
 
@@ -31,7 +31,7 @@
   explicit Load(const ShareSettings& settings) : accounts(settings, 1) {}
 
   // `per_s` queries of one work each, until `end`: a's from `callers` callers in turn, the others' from four.
-  void Run(const std::map<std::string, double>& per_s, Micros end, int callers = 4) {
+  void Run(const std::map<std::string, double>& per_s, Micros end, int authenticator = 4) {
     std::map<std::string, Micros> next;
     for (const auto& [name, rate] : per_s) next[name] = now;
     while (now < end) {
@@ -41,7 +41,7 @@
         accounts.End(open.top().second.first, open.top().second.second);
         open.pop();
       }
-      std::string caller = "t" + std::to_string(asked[who->first]++ % (who->first == "a" ? callers : 4));
+      std::string caller = "t" + std::to_string(asked[who->first]++ % (who->first == "a" ? authenticator : 4));
       auto verdict = accounts.Ask(who->first, caller, 1, now);
       if (verdict.granted) open.push({now + lasts, {who->first, caller}});
       (verdict.granted ? granted : refused)[who->first] += 1;
@@ -50,7 +50,7 @@
   }
 
   using Ending = std::pair<Micros, std::pair<std::string, std::string>>;
-  Accounts accounts;
+  TenantQuotas accounts;
   Micros now = kSecond, lasts = 50 * kMs;
   std::priority_queue<Ending, std::vector<Ending>, std::greater<>> open;
   std::map<std::string, int> asked, granted, refused;
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("queries open are bounded, and room is kept for those below their share") {
-  Accounts accounts(Four(), 1);
+  TenantQuotas accounts(Four(), 1);
   int greedy = 0;
   for (Micros now = kSecond; now < 3 * kSecond; now += kMs)
     greedy += accounts.Ask("a", std::to_string(now), 1, now).granted;
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE("those refused are asked back one after the other, not together") {
-  Accounts accounts(Four(), 7);
+  TenantQuotas accounts(Four(), 7);
   std::multiset<Micros> back;
   for (int i = 0; i < 1000; ++i) {
     auto verdict = accounts.Ask("a", std::to_string(i), 1, kSecond);
@@ -129,7 +129,7 @@
     settings.most_open = *rc::gen::inRange(4, 200);
     int tenants = *rc::gen::inRange(1, 6);
     for (int t = 0; t < tenants; ++t) settings.weights["t" + std::to_string(t)] = *rc::gen::inRange(1, 10);
-    Accounts accounts(settings, *rc::gen::arbitrary<std::uint64_t>());
+    TenantQuotas accounts(settings, *rc::gen::arbitrary<std::uint64_t>());
     std::vector<std::pair<std::string, std::string>> open;
     Micros now = kSecond;
     double granted = 0, most_cost = 0;
@@ -157,12 +157,12 @@
       RC_ASSERT(granted <= most + 1e-6);
     }
     RC_ASSERT(accounts.Open() == static_cast<int>(open.size()));
-    RC_ASSERT(accounts.Callers() <= Accounts::kMostCallers);
+    RC_ASSERT(accounts.Authenticator() <= TenantQuotas::kMostCallers);
   });
 }
 
 TEST_CASE("a tenant removed with queries out ends them and gets no more, and callers' accounts make room") {
-  Accounts accounts(Four(), 1);
+  TenantQuotas accounts(Four(), 1);
   REQUIRE(accounts.Ask("a", "x", 1, kSecond).granted);
   accounts.Take({{"b", 1}});
   CHECK_FALSE(accounts.Ask("a", "x", 1, kSecond + kMs).granted);
@@ -172,6 +172,6 @@
     auto verdict = accounts.Ask("b", std::to_string(i), 1, 2 * kSecond + i * 10 * kMs);
     if (verdict.granted) accounts.End("b", std::to_string(i));
   }
-  CHECK(accounts.Callers() <= Accounts::kMostCallers);
+  CHECK(accounts.Authenticator() <= TenantQuotas::kMostCallers);
   CHECK(accounts.Ask("b", "new", 1, 200 * kSecond).granted);
 }
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -27,7 +27,7 @@
  public:
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override {
     std::unique_lock lock(mutex_);
-    vigil_ = exchange.vigil;
+    reply_waiter_ = exchange.reply_waiter;
     ++inside_;
     moved_.notify_all();
     if (request.target == "/held") moved_.wait(lock, [this] { return free_; });
@@ -37,7 +37,7 @@
     std::unique_lock lock(mutex_);
     ++at_door_;
     moved_.notify_all();
-    if (hold_door_) moved_.wait(lock, [this] { return free_; });
+    if (hold_intake_) moved_.wait(lock, [this] { return free_; });
     net::HttpResponse out;
     out.status = status;
     return out;
@@ -45,9 +45,9 @@
   net::HttpResponse Overloaded(const net::HttpMessage*) override { return Malformed(503); }
   void Wrote(const std::vector<net::Served>&, int, std::size_t, bool) override {}
 
-  void HoldDoor() {
+  void HoldIntake() {
     std::lock_guard lock(mutex_);
-    hold_door_ = true;
+    hold_intake_ = true;
   }
   void Free() {
     std::lock_guard lock(mutex_);
@@ -62,17 +62,17 @@
     std::unique_lock lock(mutex_);
     REQUIRE(moved_.wait_for(lock, kPatienceS, [this] { return at_door_ > 0; }));
   }
-  std::shared_ptr<net::Vigil> vigil() {
+  std::shared_ptr<net::ReplyWaiter> reply_waiter() {
     std::lock_guard lock(mutex_);
-    return vigil_;
+    return reply_waiter_;
   }
 
  private:
   std::mutex mutex_;
   std::condition_variable moved_;
-  std::shared_ptr<net::Vigil> vigil_;
+  std::shared_ptr<net::ReplyWaiter> reply_waiter_;
   int inside_ = 0, at_door_ = 0;
-  bool free_ = false, hold_door_ = false;
+  bool free_ = false, hold_intake_ = false;
 };
 
 struct Serving {
@@ -126,7 +126,7 @@
   net::Fd client = net::Connect(one.addr, kPatience);
   Say(client, Request("/held"));
   one.handler.AwaitInside(1);
-  auto here = one.handler.vigil()->client();
+  auto here = one.handler.reply_waiter()->client();
   CHECK_FALSE(here->Gone());
   SECTION("by closing") { client = net::Fd(); }
   SECTION("by a reset") { Reset(client); }
@@ -150,32 +150,32 @@
   net::Fd client = net::Connect(one.addr, kPatience);
   Say(client, Request("/"));
   CHECK(Answer(client) == 200);
-  auto first = one.handler.vigil()->client();
+  auto first = one.handler.reply_waiter()->client();
   Say(client, Request("/held"));
   one.handler.AwaitInside(2);
-  CHECK(one.handler.vigil()->client() != first);
+  CHECK(one.handler.reply_waiter()->client() != first);
   one.handler.Free();
   CHECK(Answer(client) == 200);
 }
 
 TEST_CASE("what waits for a client that has left is not begun") {
-  net::LinkLimits limits;
+  net::ConnectionLimits limits;
   limits.max_connections = limits.streams_per_connection = 1;
   LinksUnderTest all(1, limits);
-  auto client = std::make_shared<coordinator::Presence>();
+  auto client = std::make_shared<coordinator::ClientPresence>();
   SECTION("behind another part on the only connection") {
     all.Send(0);
-    net::Fd holder = all.Take(0);
+    net::Fd endpoint = all.Take(0);
     all.Send(0, client);
     client->Leave();
-    net::WriteAll(holder, Served(1), kPatience);
+    net::WriteAll(endpoint, Served(1), kPatience);
     CHECK(all.Ended(0).cause == Cause::kServed);
     coordinator::AttemptResult second = all.Ended(1);
     CHECK(second.cause == Cause::kLeft);
-    CHECK(coordinator::OutcomeOf(second.progress, second.cause) == coordinator::OutcomeCode::kMoot);
+    CHECK(coordinator::OutcomeOf(second.progress, second.cause) == coordinator::AttemptOutcome::kNotSent);
     all.links.reset();
     std::string more;
-    CHECK(net::ReadSome(holder, more, kPatience) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, more, kPatience) == net::Io::kEnd);
     CHECK(more.empty());
   }
   SECTION("as it is handed over") {
@@ -186,17 +186,17 @@
 }
 
 TEST_CASE("the parts of one round for one holder share calls, and what has left by then is in none") {
-  net::LinkLimits limits;
-  limits.parts_per_call = 3;
+  net::ConnectionLimits limits;
+  limits.max_requests_per_call = 3;
   LinksUnderTest all(1, limits);
   all.ends_round = false;
-  auto client = std::make_shared<coordinator::Presence>();
+  auto client = std::make_shared<coordinator::ClientPresence>();
   all.Send(0);
   all.Send(0, client);
   all.Send(0);
   client->Leave();
   all.links->EndRound();
-  net::Fd holder = all.Take(0);
+  net::Fd endpoint = all.Take(0);
   auto line = [](int part) { return "q." + std::to_string(part) + " " + std::to_string(part) + " d="; };
   std::size_t size = static_cast<unsigned char>(all.got[0]);
   REQUIRE(all.got.size() == size + 4);  // one frame
@@ -204,7 +204,7 @@
   CHECK(all.got.find(line(2)) == std::string::npos);
   CHECK(all.got.find(line(3)) != std::string::npos);
   CHECK(all.Ended(0).cause == Cause::kLeft);
-  net::WriteAll(holder, Served(3) + Served(1), kPatience);
+  net::WriteAll(endpoint, Served(3) + Served(1), kPatience);
   CHECK(all.Ended(1).cause == Cause::kServed);
   CHECK(all.Ended(2).cause == Cause::kServed);
 }
@@ -212,19 +212,19 @@
 TEST_CASE("a part that is called off ends when its holder has answered it or its connection has ended") {
   LinksUnderTest all(1, {});
   all.Send(0);
-  net::Fd holder = all.Take(0);
+  net::Fd endpoint = all.Take(0);
   all.links->CallOff({1, 0});
   all.links->CallOff({1, 0});
   std::string word;
-  REQUIRE(net::ReadSome(holder, word, kPatience) == net::Io::kOk);
+  REQUIRE(net::ReadSome(endpoint, word, kPatience) == net::Io::kOk);
   CHECK(word == std::string{4, 0, 0, 0} + "cq.1");  // once
   CHECK(all.Results() == 0);
   SECTION("answered") {
-    net::WriteAll(holder, Served(1), kPatience);
+    net::WriteAll(endpoint, Served(1), kPatience);
     CHECK(all.Ended(0).cause == Cause::kServed);
   }
   SECTION("reset") {
-    holder = {};
+    endpoint = {};
     CHECK(all.Ended(0).cause == Cause::kConnectionLost);
   }
   SECTION("its query is over") {
@@ -232,7 +232,7 @@
     CHECK(all.Ended(0).cause == Cause::kWithdrawn);
     all.links.reset();
     word.clear();
-    CHECK(net::ReadSome(holder, word, kPatience) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, word, kPatience) == net::Io::kEnd);
     CHECK(word.empty());
   }
 }
@@ -243,10 +243,10 @@
   config.discovery = net::LocalAddress(listener);
   config.settings.cells = 1;
   net::SteadyClock clock;
-  coordinator::Directory directory;
+  coordinator::EndpointRegistry endpoint_registry;
   metrics::Counters counters;
-  coordinator::Core core(config.settings, 1, clock, directory, counters);
-  platform::DiscoveryWatch watch(config, directory, core, clock);
+  coordinator::Coordinator coordinator(config.settings, 1, clock, endpoint_registry, counters);
+  platform::DiscoveryWatch watch(config, endpoint_registry, coordinator, clock);
   auto take = [&] {
     net::Fd fd = net::Accept(listener, kPatience);
     std::string ask;
@@ -268,7 +268,7 @@
 
 TEST_CASE("who stands in the backlog when the listener closes is answered") {
   Serving one;
-  one.handler.HoldDoor();
+  one.handler.HoldIntake();
   net::Fd bad = net::Connect(one.addr, kPatience);
   Say(bad, "no request\r\n\r\n");
   one.handler.AwaitAtDoor();  // the door takes nobody in any more
@@ -302,7 +302,7 @@
   one.handler.AwaitInside(1);
   one.server->StopListening();
   Until([&] { return !net::Connect(one.addr, kPatience).Valid(); });
-  auto here = one.handler.vigil()->client();
+  auto here = one.handler.reply_waiter()->client();
   client = net::Fd();
   Until([&] { return here->Gone(); });
 }
@@ -310,10 +310,10 @@
 TEST_CASE("the end waits for clients that have not taken their answers in") {
   net::Fd listener = net::Listen("127.0.0.1:0");
   net::Fd client = net::Connect(net::LocalAddress(listener), kPatience);
-  net::Lingerer lingerer(2);
-  CHECK(lingerer.WaitEmpty(0));
-  lingerer.Take(net::Accept(listener, kPatience));
-  CHECK_FALSE(lingerer.WaitEmpty(0));
+  net::LingeringCloser lingering_closer(2);
+  CHECK(lingering_closer.WaitEmpty(0));
+  lingering_closer.Take(net::Accept(listener, kPatience));
+  CHECK_FALSE(lingering_closer.WaitEmpty(0));
   client = net::Fd();
-  CHECK(lingerer.WaitEmpty(kPatience));
+  CHECK(lingering_closer.WaitEmpty(kPatience));
 }
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -352,7 +352,7 @@
   Serving serving(8);
   net::Fd listener = net::Listen("127.0.0.1:0");
   net::Fd client = net::Connect(net::LocalAddress(listener), kPatience);
-  net::ClientLine line(net::Accept(listener, kPatience), &serving.source);
+  net::ClientConnection line(net::Accept(listener, kPatience), &serving.source);
   CHECK(line.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::Io::kError);
   line.Finish();
   TlsClient side;
--- a/tests/opensearch/access_control_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -170,9 +170,9 @@
     CHECK(networks.Contain(in));
   for (const char* out : {"10.2.0.1", "fd00:13::1", "192.0.2.8", "", "x", "::ffff:10.2.0.1", "a01::"})
     CHECK_FALSE(networks.Contain(out));
-  Json book = {
+  Json permission_table = {
       {"keys", "k"}, {"issuer", "i"}, {"audience", "a"}, {"tenants", {{"north", {{"indices", {"x"}}}}}}};
-  CHECK(std::holds_alternative<identity::Book>(identity::Book::Read(book.dump())));
+  CHECK(std::holds_alternative<identity::PermissionTable>(identity::PermissionTable::Read(permission_table.dump())));
   for (auto [place, value, says] :
        {std::tuple("/tenants/north/netwroks", Json::array({"10.0.0.0/8"}),
                    "tenant 'north': [netwroks] is not known"),
@@ -185,9 +185,9 @@
         {"/skewS", Json(301), "[skewS]"},
         {"/issuer", Json(""), "[issuer] is missing"},
         {"/tenants", Json(), "[tenants]"}}) {
-    Json bad = book;
+    Json bad = permission_table;
     bad[Json::json_pointer(place)] = value;
-    auto read = identity::Book::Read(bad.dump());
+    auto read = identity::PermissionTable::Read(bad.dump());
     INFO(place);
     REQUIRE(std::holds_alternative<std::string>(read));
     CHECK_THAT(std::get<std::string>(read), Catch::Matchers::Contains(says));
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE("refusals are written a few a second, and those left out are counted") {
-  identity::Audit audit;
+  identity::AuditLimiter audit;
   std::int64_t unwritten = 0, written = 0;
   for (int i = 0; i < 1000; ++i) written += audit.Take(1'000'000 + i, unwritten);
   CHECK(written == 20);
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -119,13 +119,13 @@
   }
   Json all = {{"version", 7}, {"full", true}, {"servers", servers}};
   for (int indent : {-1, 4}) {
-    coordinator::HolderList list = config::ParseHolders(all.dump(indent), Known());
+    coordinator::EndpointList list = config::ParseEndpointList(all.dump(indent), Known());
     CHECK(list.version == 7);
-    CHECK(list.kind == liftrudder::routing::ListKind::kFull);
+    CHECK(list.kind == liftrudder::routing::EndpointListKind::kFull);
     REQUIRE(list.entries.size() == 1024);
     CHECK(list.entries[1023].id == fmt::format("s-{:0>200}", 1023));
     CHECK(list.entries[1023].told.cell == 1023);
-    CHECK(list.entries[1023].told.launched_us == 1'023'000);
+    CHECK(list.entries[1023].told.started_us == 1'023'000);
     CHECK(list.entries[1023].told.weight == 1.5);
     CHECK(list.entries[1023].told.availability == liftrudder::routing::Availability::kDraining);
   }
@@ -135,7 +135,7 @@
   auto wrong = [](const std::string& entry) -> std::string {
     std::string good = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
     try {
-      config::ParseHolders(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}", Known());
+      config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}", Known());
     } catch (const std::runtime_error& error) {
       return error.what();
     }
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -17,30 +17,30 @@
 namespace {
 
 constexpr Micros kMs = 1000, kSecond = 1000 * kMs, kRound = 10 * kMs;
-constexpr int kGatherers = 100, kSlots = 4;  // parts that a holder does at once
+constexpr int kCoordinators = 100, kSlots = 4;  // parts that a holder does at once
 constexpr Micros kWork = 40 * kMs;           // of one part at a warm holder
 
-Settings Shared(int holders) {
+Settings Shared(int endpoints) {
   Settings s;
-  ClassSettings whole;
-  whole.aim_us = 500 * kMs;
-  whole.give_up_us = 1500 * kMs;
+  QueryClassSettings whole;
+  whole.latency_objective_us = 500 * kMs;
+  whole.client_timeout_us = 1500 * kMs;
   s.classes = {whole};
-  s.group_size = kGatherers;
-  s.cells = s.shards = holders;
+  s.fleet_size = kCoordinators;
+  s.cells = s.shards = endpoints;
   s.reach = 3;
   s.max_attempts = 3;
-  s.may_cancel = s.may_copy = true;
-  s.resolution_us = kRound;
-  s.start_capacity = 0.05;
-  s.cold_us = 12 * kSecond;
-  s.fall_multiple = 4;
-  s.fall_us = kSecond;
+  s.cancellation_allowed = s.hedging_allowed = true;
+  s.decision_interval_us = kRound;
+  s.slow_start_capacity = 0.05;
+  s.slow_start_us = 12 * kSecond;
+  s.collapse_load_multiple = 4;
+  s.collapse_window_us = kSecond;
   return s;
 }
 
 struct Holder {
-  Replica told;
+  Endpoint told;
   bool up = true;
   double fails = 0;  // share of parts
   std::vector<Micros> free = std::vector<Micros>(kSlots, 0);
@@ -51,46 +51,46 @@
 // Holders by id; each gatherer is told of a change up to half a second after it.
 class Group {
  public:
-  Group(int holders, double load, std::uint64_t seed) : s(Shared(holders)), random(seed), load_(load) {
-    ListNews all{ListKind::kFull, 1, {}};
+  Group(int endpoints, double load, std::uint64_t seed) : s(Shared(endpoints)), random(seed), load_(load) {
+    EndpointListUpdate all{EndpointListKind::kFull, 1, {}};
     // Neighbours by number are none by cell, so that the first few share no shard.
-    for (int i = 0; i < holders; ++i) all.replicas.push_back(Add(i * 7 % holders).told);
-    for (int g = 0; g < kGatherers; ++g) {
+    for (int i = 0; i < endpoints; ++i) all.replicas.push_back(Add(i * 7 % endpoints).told);
+    for (int g = 0; g < kCoordinators; ++g) {
       modules_.emplace_back(s, seed * 1000 + g);
       Tell(g, 0, all);
     }
   }
 
   Holder& Add(int cell, Micros launched = 0) {
-    ReplicaId id{static_cast<std::uint32_t>(holders.size() + 1), 1};
-    Holder& holder = holders[id];
-    holder.told = {id, 0, 0, cell, Availability::kReady, 1, launched};
-    return holder;
+    EndpointId id{static_cast<std::uint32_t>(endpoints.size() + 1), 1};
+    Holder& endpoint = endpoints[id];
+    endpoint.told = {id, 0, 0, cell, Availability::kReady, 1, launched};
+    return endpoint;
   }
   // The machine dies; what is out there hears of it at once. Or it comes back cold.
-  void Lose(Holder& holder) {
-    holder.up = false;
-    holder.lost = now;
-    holder.told.availability = Availability::kGone;
-    TellAll(holder);
+  void Lose(Holder& endpoint) {
+    endpoint.up = false;
+    endpoint.lost = now;
+    endpoint.told.availability = Availability::kGone;
+    TellAll(endpoint);
   }
-  void Return(Holder& holder) {
-    holder.up = true;
-    holder.told.availability = Availability::kReady;
-    holder.told.launched_us = now;
-    holder.free.assign(kSlots, now);
-    TellAll(holder);
+  void Return(Holder& endpoint) {
+    endpoint.up = true;
+    endpoint.told.availability = Availability::kReady;
+    endpoint.told.started_us = now;
+    endpoint.free.assign(kSlots, now);
+    TellAll(endpoint);
   }
-  void TellAll(const Holder& holder) {
-    for (int g = 0; g < kGatherers; ++g)
+  void TellAll(const Holder& endpoint) {
+    for (int g = 0; g < kCoordinators; ++g)
       Tell(g, now + static_cast<Micros>(Unit() * 0.5 * kSecond),
-           ListNews{ListKind::kDelta, ++version_, {holder.told}});
+           EndpointListUpdate{EndpointListKind::kDelta, ++version_, {endpoint.told}});
   }
 
-  double Warmth(const Holder& holder) const {
-    if (holder.told.launched_us == 0) return 1;
-    double age = static_cast<double>(now - holder.told.launched_us) / static_cast<double>(s.cold_us);
-    return std::min(1.0, s.start_capacity + (1 - s.start_capacity) * age);
+  double Warmth(const Holder& endpoint) const {
+    if (endpoint.told.started_us == 0) return 1;
+    double age = static_cast<double>(now - endpoint.told.started_us) / static_cast<double>(s.slow_start_us);
+    return std::min(1.0, s.slow_start_capacity + (1 - s.slow_start_capacity) * age);
   }
 
   void RunUntil(Micros end) {
@@ -110,7 +110,7 @@
 
   Settings s;
   std::mt19937_64 random;
-  std::map<ReplicaId, Holder> holders;
+  std::map<EndpointId, Holder> endpoints;
   Micros now = kSecond;
   int asked = 0, whole = 0;
   std::function<void(const Holder&)> at_send = [](const Holder&) {};
@@ -128,11 +128,11 @@
   void Tell(int g, Micros at, Event event) { due_.push({at, ++order_, g, std::move(event)}); }
 
   void Ask() {
-    int g = static_cast<int>(Unit() * kGatherers);
+    int g = static_cast<int>(Unit() * kCoordinators);
     auto shard = static_cast<int>(Unit() * s.shards);
     Id id = ++ids_;
-    Tell(g, now, QueryArrived{id, id, 1, 0, 0, false, 0, s.classes[0].give_up_us, 0});
-    Tell(g, now, PartArrived{id, id, shard, 1, 0, 0});
+    Tell(g, now, QueryReceived{id, id, 1, 0, 0, false, 0, s.classes[0].client_timeout_us, 0});
+    Tell(g, now, ShardRequestReceived{id, id, shard, 1, 0, 0});
     ++asked;
   }
 
@@ -141,27 +141,27 @@
       Tell(g, now + timer->span_us, TimerFired{timer->label});
     if (const auto* answer = std::get_if<Answer>(&action)) whole += answer->full;
     if (const auto* send = std::get_if<Send>(&action)) {
-      Holder& holder = holders.at(send->replica);
-      at_send(holder);
+      Holder& endpoint = endpoints.at(send->replica);
+      at_send(endpoint);
       int attempt = attempts_[send->part]++;
       Micros spent = kRound;
-      OutcomeCode code = OutcomeCode::kConnectFailed;
-      if (holder.up) {
-        holder.came.push_back(now);
-        auto slot = std::ranges::min_element(holder.free);
-        bool fails = Unit() < holder.fails;
-        if (!fails) *slot = std::max(*slot, now) + static_cast<Micros>(kWork / Warmth(holder));
+      AttemptOutcome code = AttemptOutcome::kConnectFailed;
+      if (endpoint.up) {
+        endpoint.came.push_back(now);
+        auto slot = std::ranges::min_element(endpoint.free);
+        bool fails = Unit() < endpoint.fails;
+        if (!fails) *slot = std::max(*slot, now) + static_cast<Micros>(kWork / Warmth(endpoint));
         if (!fails) spent = *slot - now;
-        code = fails ? OutcomeCode::kError : OutcomeCode::kOk;
-        if (spent > send->timeout_us) spent = send->timeout_us, code = OutcomeCode::kTimeout;
+        code = fails ? AttemptOutcome::kError : AttemptOutcome::kOk;
+        if (spent > send->timeout_us) spent = send->timeout_us, code = AttemptOutcome::kTimeout;
       }
       Tell(g, now + spent,
-           AttemptEnded{send->part, attempt, send->replica, code, spent, code == OutcomeCode::kOk, {}});
+           AttemptFinished{send->part, attempt, send->replica, code, spent, code == AttemptOutcome::kOk, {}});
     }
   }
 
   double load_;
-  std::vector<Aggregator> modules_;
+  std::vector<Router> modules_;
   std::priority_queue<Due> due_;
   std::map<Id, int> attempts_;
   std::uint64_t order_ = 0, version_ = 1;
@@ -171,22 +171,22 @@
 
 // The most that came to a cold holder in a window of the fall time, as a multiple of what it can do at its
 // end.
-double WorstPush(const Group& group, const Holder& holder) {
+double WorstPush(const Group& group, const Holder& endpoint) {
   double worst = 0;
-  for (std::size_t last = 0, first = 0; last < holder.came.size(); ++last) {
-    Micros at = holder.came[last];
-    if (at < holder.told.launched_us || at > holder.told.launched_us + group.s.cold_us) continue;
-    while (holder.came[first] < std::max(at - group.s.fall_us, holder.told.launched_us)) ++first;
-    double age = static_cast<double>(at - holder.told.launched_us) / static_cast<double>(group.s.cold_us);
+  for (std::size_t last = 0, first = 0; last < endpoint.came.size(); ++last) {
+    Micros at = endpoint.came[last];
+    if (at < endpoint.told.started_us || at > endpoint.told.started_us + group.s.slow_start_us) continue;
+    while (endpoint.came[first] < std::max(at - group.s.collapse_window_us, endpoint.told.started_us)) ++first;
+    double age = static_cast<double>(at - endpoint.told.started_us) / static_cast<double>(group.s.slow_start_us);
     double able =
-        (group.s.start_capacity + (1 - group.s.start_capacity) * age) * kSlots * group.s.fall_us / kWork;
+        (group.s.slow_start_capacity + (1 - group.s.slow_start_capacity) * age) * kSlots * group.s.collapse_window_us / kWork;
     worst = std::max(worst, static_cast<double>(last - first + 1) / able);
   }
   return worst;
 }
 
-int CameSince(const Holder& holder, Micros since) {
-  return static_cast<int>(std::ranges::count_if(holder.came, [&](Micros at) { return at >= since; }));
+int CameSince(const Holder& endpoint, Micros since) {
+  return static_cast<int>(std::ranges::count_if(endpoint.came, [&](Micros at) { return at >= since; }));
 }
 
 }  // namespace
@@ -195,19 +195,19 @@
   Group group(30, 0.6, GENERATE(1, 2));
   group.RunUntil(4 * kSecond);
   std::vector<Holder*> zone;
-  for (auto& [id, holder] : group.holders)
-    if (holder.told.cell % 3 == 0) zone.push_back(&holder);
-  for (Holder* holder : zone) group.Lose(*holder);
+  for (auto& [id, endpoint] : group.endpoints)
+    if (endpoint.told.cell % 3 == 0) zone.push_back(&endpoint);
+  for (Holder* endpoint : zone) group.Lose(*endpoint);
   group.RunUntil(7 * kSecond);
-  for (Holder* holder : zone) group.Return(*holder);
+  for (Holder* endpoint : zone) group.Return(*endpoint);
   group.RunUntil(20 * kSecond);
   double all = 0, back = 0;
-  for (auto& [id, holder] : group.holders) all += CameSince(holder, 18 * kSecond);
-  for (Holder* holder : zone) {
-    back += CameSince(*holder, 18 * kSecond);
-    INFO("cell " << holder->told.cell);
-    CHECK(WorstPush(group, *holder) < group.s.fall_multiple);
-    CHECK(CameSince(*holder, 7 * kSecond) > 0);
+  for (auto& [id, endpoint] : group.endpoints) all += CameSince(endpoint, 18 * kSecond);
+  for (Holder* endpoint : zone) {
+    back += CameSince(*endpoint, 18 * kSecond);
+    INFO("cell " << endpoint->told.cell);
+    CHECK(WorstPush(group, *endpoint) < group.s.collapse_load_multiple);
+    CHECK(CameSince(*endpoint, 7 * kSecond) > 0);
   }
   CHECK(back > 0.8 * all / 3);
   CHECK(group.whole > 0.98 * group.asked);
@@ -219,27 +219,27 @@
   for (std::uint64_t seed : {1, 2, 3, 4}) {
     Group group(60, 0.5, seed);
     group.RunUntil(4 * kSecond);
-    std::vector<ReplicaId> old;
-    for (auto& [id, holder] : group.holders)
-      if (holder.told.cell % 5 < 3) old.push_back(id);
+    std::vector<EndpointId> old;
+    for (auto& [id, endpoint] : group.endpoints)
+      if (endpoint.told.cell % 5 < 3) old.push_back(id);
     std::ranges::shuffle(old, group.random);
     int to_gone = 0;
-    group.at_send = [&](const Holder& holder) { to_gone += !holder.up && group.now > holder.lost + kSecond; };
+    group.at_send = [&](const Holder& endpoint) { to_gone += !endpoint.up && group.now > endpoint.lost + kSecond; };
     std::vector<Holder*> fresh;
     for (std::size_t i = 0; i < old.size(); ++i) {
       group.RunUntil(4 * kSecond + static_cast<Micros>(i) * 7 * kSecond / static_cast<Micros>(old.size()));
-      fresh.push_back(&group.Add(group.holders.at(old[i]).told.cell));
+      fresh.push_back(&group.Add(group.endpoints.at(old[i]).told.cell));
       group.Return(*fresh.back());
-      group.Lose(group.holders.at(old[i]));
+      group.Lose(group.endpoints.at(old[i]));
     }
     group.RunUntil(22 * kSecond);
     CHECK(to_gone == 0);
     double all = 0, least = 1e9;
-    for (auto& [id, holder] : group.holders) all += CameSince(holder, 20 * kSecond);
-    for (Holder* holder : fresh) {
-      INFO("cell " << holder->told.cell);
-      CHECK(WorstPush(group, *holder) < group.s.fall_multiple);
-      least = std::min<double>(least, CameSince(*holder, 20 * kSecond));
+    for (auto& [id, endpoint] : group.endpoints) all += CameSince(endpoint, 20 * kSecond);
+    for (Holder* endpoint : fresh) {
+      INFO("cell " << endpoint->told.cell);
+      CHECK(WorstPush(group, *endpoint) < group.s.collapse_load_multiple);
+      least = std::min<double>(least, CameSince(*endpoint, 20 * kSecond));
     }
     least_of_all += least;
     mean_of_all += all / group.s.cells;
@@ -256,8 +256,8 @@
 struct Shares {
   explicit Shares(const Group& group) {
     double good = 0, fewest = 1e9;
-    for (const auto& [id, holder] : group.holders) {
-      came[id.address] = CameSince(holder, group.now - 10 * kSecond);
+    for (const auto& [id, endpoint] : group.endpoints) {
+      came[id.address] = CameSince(endpoint, group.now - 10 * kSecond);
       if (id.address <= kBad) continue;
       good += came[id.address] / (group.s.cells - kBad);
       fewest = std::min(fewest, came[id.address]);
@@ -276,7 +276,7 @@
   double usual = GENERATE(0.02, 0.12);
   const double bad[kBad] = {0.5, 0.9, 1.0};
   Group group(30, 0.4, 1);
-  for (auto& [id, holder] : group.holders) holder.fails = id.address <= kBad ? bad[id.address - 1] : usual;
+  for (auto& [id, endpoint] : group.endpoints) endpoint.fails = id.address <= kBad ? bad[id.address - 1] : usual;
   group.RunUntil(31 * kSecond);
   Shares during(group);
   INFO("usual " << usual << ": " << during.came[1] << " " << during.came[2] << " " << during.came[3]);
@@ -284,7 +284,7 @@
   CHECK(during.came[2] < 0.3);
   CHECK(during.came[3] < 0.25);
   CHECK(during.least_good > 0.6);
-  for (auto& [id, holder] : group.holders) holder.fails = usual;
+  for (auto& [id, endpoint] : group.endpoints) endpoint.fails = usual;
   group.RunUntil(76 * kSecond);
   Shares after(group);
   INFO("after: " << after.came[1] << " " << after.came[2] << " " << after.came[3]);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -12,48 +12,48 @@
 namespace {
 
 constexpr Micros kMs = 1000;
-constexpr Micros kAim = 1000 * kMs;
+constexpr Micros kLatencyObjective = 1000 * kMs;
 
 Settings BaseSettings() {
   Settings s;
-  ClassSettings whole;
-  whole.aim_us = kAim;
-  whole.give_up_us = 3 * kAim;
-  whole.late_share = 0.2;
-  ClassSettings partial = whole;
+  QueryClassSettings whole;
+  whole.latency_objective_us = kLatencyObjective;
+  whole.client_timeout_us = 3 * kLatencyObjective;
+  whole.late_value_fraction = 0.2;
+  QueryClassSettings partial = whole;
   partial.floor = 0.4;
-  partial.incomplete_worth = 0.9;
+  partial.partial_value_factor = 0.9;
   partial.worth = 3;
-  ClassSettings fetching = partial;
-  fetching.aim_us = 2 * kAim;
-  fetching.fetch_parts = 2;
+  QueryClassSettings fetching = partial;
+  fetching.latency_objective_us = 2 * kLatencyObjective;
+  fetching.fetch_phase_requests = 2;
   s.classes = {whole, partial, fetching};
-  s.group_size = 2;
+  s.fleet_size = 2;
   s.cells = 4;
   s.reach = 4;
   s.shards = 4;
   s.max_attempts = 4;
-  s.may_cancel = s.may_copy = s.may_retry_after = true;
+  s.cancellation_allowed = s.hedging_allowed = s.retry_after_allowed = true;
   s.max_retry_after_us = 1000 * kMs;
-  s.resolution_us = 5 * kMs;
-  s.start_capacity = 0.2;
-  s.cold_us = 10000 * kMs;
-  s.fall_multiple = 4;
-  s.fall_us = 2000 * kMs;
+  s.decision_interval_us = 5 * kMs;
+  s.slow_start_capacity = 0.2;
+  s.slow_start_us = 10000 * kMs;
+  s.collapse_load_multiple = 4;
+  s.collapse_window_us = 2000 * kMs;
   return s;
 }
 
-enum Class { kWhole = 0, kPartial = 1, kFetching = 2 };
+enum Class { kComplete = 0, kPartial = 1, kFetching = 2 };
 
 class Bench {
  public:
   explicit Bench(Settings s = BaseSettings(), std::uint64_t seed = 7) : module(s, seed) {
-    ListNews news{ListKind::kCached, 1, {}};
+    EndpointListUpdate news{EndpointListKind::kCached, 1, {}};
     for (int cell = 0; cell < s.cells; ++cell) news.replicas.push_back(Member(cell));
     Do(news);
   }
 
-  static Replica Member(int cell, Availability how = Availability::kReady, Micros launched = 0) {
+  static Endpoint Member(int cell, Availability how = Availability::kReady, Micros launched = 0) {
     return {{static_cast<std::uint32_t>(cell), 1}, 0, 0, cell, how, 1, launched};
   }
 
@@ -76,26 +76,26 @@
   }
 
   // A query with parts of these weights; part ids are id * 100 + index, shards their index.
-  std::vector<Action> Ask(Id id, int cls, std::vector<double> weights, Micros patience = 2 * kAim,
-                          int tenant = 0, bool repeated = false) {
-    std::vector<Event> events{QueryArrived{id, static_cast<std::int64_t>(id),
-                                           static_cast<int>(weights.size()), cls, tenant, repeated, 0,
+  std::vector<Action> Ask(Id id, int cls, std::vector<double> weights, Micros patience = 2 * kLatencyObjective,
+                          int tenant = 0, bool is_retry = false) {
+    std::vector<Event> events{QueryReceived{id, static_cast<std::int64_t>(id),
+                                           static_cast<int>(weights.size()), cls, tenant, is_retry, 0,
                                            patience, 0}};
     for (std::size_t i = 0; i < weights.size(); ++i) {
-      events.push_back(PartArrived{static_cast<Id>(id * 100 + i), static_cast<std::int64_t>(id),
+      events.push_back(ShardRequestReceived{static_cast<Id>(id * 100 + i), static_cast<std::int64_t>(id),
                                    static_cast<int>(i), weights[i], 0, 0});
     }
     return Do(events);
   }
 
-  std::vector<Action> End(Id part, int attempt, OutcomeCode code = OutcomeCode::kOk) {
+  std::vector<Action> End(Id part, int attempt, AttemptOutcome code = AttemptOutcome::kOk) {
     auto [replica, since] = out.at({part, attempt});
     out.erase({part, attempt});
-    return Do(AttemptEnded{part, attempt, replica, code, now - since, code == OutcomeCode::kOk, {}});
+    return Do(AttemptFinished{part, attempt, replica, code, now - since, code == AttemptOutcome::kOk, {}});
   }
 
   // Brings in everything that is out.
-  void EndAll(OutcomeCode code = OutcomeCode::kOk) {
+  void EndAll(AttemptOutcome code = AttemptOutcome::kOk) {
     auto keys = out;
     for (const auto& [key, value] : keys) End(key.first, key.second, code);
   }
@@ -103,7 +103,7 @@
   // A calm history: one-part queries, each taking `latency`.
   void Calm(int queries, Micros latency = 100 * kMs) {
     for (int i = 0; i < queries; ++i) {
-      Ask(next_id, kWhole, {1});
+      Ask(next_id, kComplete, {1});
       ++next_id;
       now += latency;
       EndAll();
@@ -119,7 +119,7 @@
     }
     return found;
   }
-  ReplicaId Where(Id part, int attempt = 0) const {
+  EndpointId Where(Id part, int attempt = 0) const {
     for (const auto& [send, number] : sent) {
       if (send.part == part && number == attempt) return send.replica;
     }
@@ -129,14 +129,14 @@
   int Sends(Id part) const { return attempts.contains(part) ? attempts.at(part) : 0; }
   // Fills the fleet: queries whose parts stay out.
   void Load(int queries) {
-    for (int i = 0; i < queries; ++i) Ask(next_id++, kWhole, {0.25, 0.25, 0.25, 0.25}, 3 * kAim);
+    for (int i = 0; i < queries; ++i) Ask(next_id++, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   }
 
-  Aggregator module;
+  Router module;
   Micros now = 100000 * kMs;
   std::vector<Action> last;
   std::vector<std::pair<Send, int>> sent;
-  std::map<std::pair<Id, int>, std::pair<ReplicaId, Micros>> out;
+  std::map<std::pair<Id, int>, std::pair<EndpointId, Micros>> out;
   std::map<Id, int> attempts;
   Id next_id = 1000;
 };
@@ -165,23 +165,23 @@
 
 TEST(Cut, AClassThatNeedsEveryPartSendsAll) {
   Bench bench;
-  bench.Ask(1, kWhole, {0.9, 0.1, 0.0});
+  bench.Ask(1, kComplete, {0.9, 0.1, 0.0});
   EXPECT_EQ(bench.sent.size(), 3u);
 }
 
-TEST(Replica, FewestOwnPartsOut) {
+TEST(Endpoint, FewestOwnPartsOut) {
   Bench bench;
-  for (Id id = 1; id <= 4; ++id) bench.Ask(id, kWhole, {1});
-  std::set<ReplicaId> used;
+  for (Id id = 1; id <= 4; ++id) bench.Ask(id, kComplete, {1});
+  std::set<EndpointId> used;
   for (const auto& [send, attempt] : bench.sent) used.insert(send.replica);
   EXPECT_EQ(used.size(), 4u);
 }
 
-TEST(Replica, OnlyHoldersOfTheShard) {
+TEST(Endpoint, OnlyReplicasOfTheShard) {
   Settings s = BaseSettings();
   s.reach = 1;
   Bench bench(s);
-  bench.Ask(1, kWhole, {0.25, 0.25, 0.25, 0.25});
+  bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25});
   for (Id part = 100; part < 104; ++part) EXPECT_EQ(bench.Where(part).address, part - 100);
 }
 
@@ -199,9 +199,9 @@
 
 TEST(NoQueryLost, EndsBeforeTheClientsTimeAndSendsNothingAfter) {
   Bench bench;
-  bench.Ask(1, kWhole, {1}, kAim);
+  bench.Ask(1, kComplete, {1}, kLatencyObjective);
   int ends = 0;
-  for (Micros t = 0; t < 2 * kAim; t += 5 * kMs) {
+  for (Micros t = 0; t < 2 * kLatencyObjective; t += 5 * kMs) {
     std::size_t sends = bench.sent.size();
     bench.Tick(5 * kMs);
     auto count = bench.Last<Refuse>().size() + bench.Last<Fail>().size() + bench.Last<Answer>().size();
@@ -209,7 +209,7 @@
       EXPECT_EQ(bench.sent.size(), sends);
     }
     if (count > 0) {
-      EXPECT_LT(bench.now, 100000 * kMs + kAim);
+      EXPECT_LT(bench.now, 100000 * kMs + kLatencyObjective);
     }
     ends += static_cast<int>(count);
   }
@@ -218,18 +218,18 @@
 
 TEST(NoQueryLost, NoReplicaAtAllIsEndedAtOnce) {
   Bench bench;
-  bench.Do(ListNews{ListKind::kFull, 2, {}});
-  bench.Ask(1, kWhole, {1});
-  bench.Tick(2 * kAim);
+  bench.Do(EndpointListUpdate{EndpointListKind::kFull, 2, {}});
+  bench.Ask(1, kComplete, {1});
+  bench.Tick(2 * kLatencyObjective);
   EXPECT_TRUE(bench.sent.empty());
 }
 
 TEST(NoQueryLost, EventsForUnknownOrEndedIdsAreIgnored) {
   Bench bench;
-  bench.Do({ClientGone{77}, AttemptEnded{9, 0, {1, 1}, OutcomeCode::kOk, 5, true, {}},
-            PartArrived{5, 99, 0, 1, 0, 0}});
-  bench.Ask(1, kWhole, {1});
-  bench.Do(ClientGone{1});
+  bench.Do({ClientDisconnected{77}, AttemptFinished{9, 0, {1, 1}, AttemptOutcome::kOk, 5, true, {}},
+            ShardRequestReceived{5, 99, 0, 1, 0, 0}});
+  bench.Ask(1, kComplete, {1});
+  bench.Do(ClientDisconnected{1});
   bench.EndAll();
   EXPECT_TRUE(bench.Last<Answer>().empty());
 }
@@ -238,13 +238,13 @@
 
 TEST(Effect, UnsafePartsAreResentOnlyWhenProvedNotRun) {
   Settings s = BaseSettings();
-  s.classes[0].effect = Effect::kAtMostOnce;
+  s.classes[0].effect = Effect::kNonIdempotent;
   Bench bench(s);
-  bench.Ask(1, kWhole, {1});
-  bench.End(100, 0, OutcomeCode::kFull);
+  bench.Ask(1, kComplete, {1});
+  bench.End(100, 0, AttemptOutcome::kFull);
   EXPECT_EQ(bench.Sends(100), 2);
   bench.now += 20 * kMs;
-  bench.End(100, 1, OutcomeCode::kError);
+  bench.End(100, 1, AttemptOutcome::kError);
   EXPECT_EQ(bench.Sends(100), 2);
   EXPECT_EQ(bench.Last<Fail>().size(), 1u);
   EXPECT_TRUE(bench.Last<Refuse>().empty());
@@ -252,17 +252,17 @@
 
 TEST(Effect, KeyedPartsAreResentOnlyInsideTheWindow) {
   Settings s = BaseSettings();
-  s.classes[0].effect = Effect::kDeduplicated;
-  s.classes[0].repeat_window_us = 300 * kMs;
+  s.classes[0].effect = Effect::kIdempotencyKey;
+  s.classes[0].deduplication_window_us = 300 * kMs;
   Bench inside(s), outside(s);
-  inside.Ask(1, kWhole, {1});
+  inside.Ask(1, kComplete, {1});
   inside.now += 100 * kMs;
-  inside.End(100, 0, OutcomeCode::kError);
+  inside.End(100, 0, AttemptOutcome::kError);
   EXPECT_EQ(inside.Sends(100), 2);
-  s.may_copy = false;
-  outside.Ask(1, kWhole, {1});
+  s.hedging_allowed = false;
+  outside.Ask(1, kComplete, {1});
   outside.now += 290 * kMs;
-  outside.End(100, 0, OutcomeCode::kError);
+  outside.End(100, 0, AttemptOutcome::kError);
   EXPECT_EQ(outside.Sends(100), 1);
 }
 
@@ -270,10 +270,10 @@
 
 TEST(Drain, NothingNewToADrainingOrGoneReplica) {
   Bench bench;
-  bench.Do(ListNews{ListKind::kDelta,
+  bench.Do(EndpointListUpdate{EndpointListKind::kDelta,
                     2,
                     {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kGone)}});
-  for (Id id = 1; id <= 20; ++id) bench.Ask(id, kWhole, {1});
+  for (Id id = 1; id <= 20; ++id) bench.Ask(id, kComplete, {1});
   for (const auto& [send, attempt] : bench.sent) EXPECT_GE(send.replica.address, 2u);
 }
 
@@ -282,10 +282,10 @@
 TEST(Cold, AStartedReplicaGetsNoMoreThanItsWarmthsShare) {
   Bench bench;
   bench.Calm(40, 20 * kMs);
-  bench.Do(ListNews{ListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
+  bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
   int to_cold = 0, to_others = 0;
   for (int i = 0; i < 60; ++i) {
-    bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Ask(bench.next_id++, kComplete, {1});
     (bench.sent.back().first.replica.address == 0 ? to_cold : to_others)++;
     bench.now += 20 * kMs;
     bench.EndAll();
@@ -296,11 +296,11 @@
 
 TEST(Cold, AllStartedTogetherStillHoldTheBudget) {
   Bench bench;
-  ListNews news{ListKind::kDelta, 2, {}};
+  EndpointListUpdate news{EndpointListKind::kDelta, 2, {}};
   for (int cell = 0; cell < 4; ++cell)
     news.replicas.push_back(Bench::Member(cell, Availability::kReady, bench.now));
   bench.Do(news);
-  for (int i = 0; i < 50; ++i) bench.Ask(bench.next_id++, kWhole, {1});
+  for (int i = 0; i < 50; ++i) bench.Ask(bench.next_id++, kComplete, {1});
   EXPECT_LE(bench.sent.size(), 4u);
 }
 
@@ -311,7 +311,7 @@
   bench.Ask(1, kPartial, {0.5, 0.3, 0.2});
   bench.now += 50 * kMs;
   bench.End(101, 0);
-  bench.now = 100000 * kMs + kAim;
+  bench.now = 100000 * kMs + kLatencyObjective;
   bench.Tick(0);
   EXPECT_TRUE(bench.Last<Answer>().empty());  // 0.3 is under the floor of 0.4
   bench.End(100, 0);
@@ -321,12 +321,12 @@
 
 TEST(Honest, BothStepsMustBeWhole) {
   Bench bench;
-  bench.Ask(1, kFetching, {0.6, 0.4}, 3 * kAim);
+  bench.Ask(1, kFetching, {0.6, 0.4}, 3 * kLatencyObjective);
   bench.now += 50 * kMs;
   bench.EndAll();
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
   EXPECT_TRUE(bench.Last<Answer>()[0].full);
-  bench.Do({PartArrived{201, 1, 0, 0.5, 0, 0}, PartArrived{202, 1, 1, 0.5, 0, 0}});
+  bench.Do({ShardRequestReceived{201, 1, 0, 0.5, 0, 0}, ShardRequestReceived{202, 1, 1, 0.5, 0, 0}});
   bench.now += 50 * kMs;
   bench.End(201, 0);
   EXPECT_TRUE(bench.Last<Answer>().empty());
@@ -340,13 +340,13 @@
 TEST(Budget, FurtherAttemptsStayWithinIt) {
   Settings s = BaseSettings();
   s.has_retry_budget = true;
-  s.free_resends = 2;
-  s.further_ratio = 0;
-  s.resend_span_us = 1000 * kMs;
+  s.retry_budget_floor = 2;
+  s.retry_budget_ratio = 0;
+  s.retry_budget_window_us = 1000 * kMs;
   Bench bench(s);
-  for (Id id = 1; id <= 6; ++id) bench.Ask(id, kWhole, {1});
+  for (Id id = 1; id <= 6; ++id) bench.Ask(id, kComplete, {1});
   auto keys = bench.out;
-  for (const auto& [key, value] : keys) bench.End(key.first, key.second, OutcomeCode::kFull);
+  for (const auto& [key, value] : keys) bench.End(key.first, key.second, AttemptOutcome::kFull);
   EXPECT_EQ(bench.sent.size(), 8u);
 }
 
@@ -356,7 +356,7 @@
 TEST(Hang, APartOutFarLongerThanItsFellowsIsCopied) {
   Bench bench;
   bench.Calm(60);
-  bench.Ask(1, kWhole, {1});
+  bench.Ask(1, kComplete, {1});
   for (int i = 0; i < 150 && bench.Sends(100) < 2; ++i) bench.Tick(5 * kMs);
   ASSERT_EQ(bench.Sends(100), 2);
   EXPECT_NE(bench.Where(100, 0), bench.Where(100, 1));
@@ -365,13 +365,13 @@
 TEST(Hang, ASilentReplicaIsKeptOutAndLetBackByATrial) {
   Bench bench;
   bench.Calm(60);
-  bench.Ask(1, kWhole, {1});
-  ReplicaId hung = bench.Where(100);
+  bench.Ask(1, kComplete, {1});
+  EndpointId hung = bench.Where(100);
   auto stuck = bench.out;
   for (int i = 0; i < 120; ++i) bench.Tick(5 * kMs);
   int to_hung = 0;
   for (int i = 0; i < 200; ++i) {
-    bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Ask(bench.next_id++, kComplete, {1});
     to_hung += bench.sent.back().first.replica == hung;
     bench.now += 10 * kMs;
     auto keys = bench.out;
@@ -388,13 +388,13 @@
   bench.Calm(40);
   int to_bad = 0;
   for (int i = 0; i < 60; ++i) {
-    bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Ask(bench.next_id++, kComplete, {1});
     bench.now += kMs;
     auto keys = bench.out;
     for (const auto& [key, value] : keys) {
       bool bad = value.first.address == 2;
       to_bad += bad;
-      bench.End(key.first, key.second, bad ? OutcomeCode::kError : OutcomeCode::kOk);
+      bench.End(key.first, key.second, bad ? AttemptOutcome::kError : AttemptOutcome::kOk);
     }
   }
   EXPECT_LE(to_bad, 6);
@@ -406,17 +406,17 @@
   bench.Calm(40);
   for (int errors = 0; errors < 2;) {
     Id id = bench.next_id++;
-    bench.Ask(id, kWhole, {1});
+    bench.Ask(id, kComplete, {1});
     bool bad = bench.Where(id * 100).address == 2;
-    bench.End(id * 100, 0, bad ? OutcomeCode::kError : OutcomeCode::kOk);
+    bench.End(id * 100, 0, bad ? AttemptOutcome::kError : AttemptOutcome::kOk);
     errors += bad;
     bench.EndAll();
   }
   for (Availability how : {Availability::kGone, Availability::kReady})
-    bench.Do(ListNews{ListKind::kDelta, 2, {Bench::Member(2, how)}});
-  std::set<ReplicaId> used;
+    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(2, how)}});
+  std::set<EndpointId> used;
   for (int i = 0; i < 4; ++i) {
-    bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Ask(bench.next_id++, kComplete, {1});
     used.insert(bench.Where((bench.next_id - 1) * 100));
   }
   EXPECT_TRUE(used.contains(Bench::Member(2).id));
@@ -427,13 +427,13 @@
   bench.Calm(40);
   int to_bad = 0;
   for (int i = 0; i < 200; ++i) {
-    bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Ask(bench.next_id++, kComplete, {1});
     bench.now += 50 * kMs;
     auto keys = bench.out;
     for (const auto& [key, value] : keys) {
       bool bad = value.first.address == 2;
       to_bad += bad;
-      bench.End(key.first, key.second, bad && to_bad % 4 != 0 ? OutcomeCode::kError : OutcomeCode::kOk);
+      bench.End(key.first, key.second, bad && to_bad % 4 != 0 ? AttemptOutcome::kError : AttemptOutcome::kOk);
     }
   }
   EXPECT_LE(to_bad, 14);
@@ -442,9 +442,9 @@
 // Incident i42fb10: a part that kills the replica that takes it was resent to every holder in turn.
 TEST(QueryOfDeath, APartThatWasOutAtALostReplicaIsNotResent) {
   Bench bench;
-  bench.Ask(1, kWhole, {1});
+  bench.Ask(1, kComplete, {1});
   bench.now += 20 * kMs;
-  bench.End(100, 0, OutcomeCode::kReset);
+  bench.End(100, 0, AttemptOutcome::kReset);
   for (int i = 0; i < 100; ++i) bench.Tick(5 * kMs);
   EXPECT_EQ(bench.Sends(100), 1);
 }
@@ -452,20 +452,20 @@
 // Incident ic23f93: hurried clients were taken for late repeats and refused.
 TEST(Hurry, AShortPatienceIsServed) {
   Settings s = BaseSettings();
-  s.classes[0].late_share = 0;
+  s.classes[0].late_value_fraction = 0;
   Bench bench(s);
-  bench.Ask(1, kWhole, {1}, 2 * kAim);
-  bench.Ask(2, kWhole, {1}, 300 * kMs);
+  bench.Ask(1, kComplete, {1}, 2 * kLatencyObjective);
+  bench.Ask(2, kComplete, {1}, 300 * kMs);
   EXPECT_EQ(bench.Sends(200), 1);
   EXPECT_TRUE(bench.Last<Refuse>().empty());
 }
 
 TEST(Hurry, AMarkedRepeatPastItsAimIsRefusedWhereLateIsWorthNothing) {
   Settings s = BaseSettings();
-  s.classes[0].late_share = 0;
+  s.classes[0].late_value_fraction = 0;
   Bench bench(s);
-  bench.Ask(1, kWhole, {1}, 2 * kAim);
-  bench.Ask(2, kWhole, {1}, 500 * kMs, 0, true);
+  bench.Ask(1, kComplete, {1}, 2 * kLatencyObjective);
+  bench.Ask(2, kComplete, {1}, 500 * kMs, 0, true);
   EXPECT_EQ(bench.Sends(200), 0);
   EXPECT_EQ(bench.Last<Refuse>().size(), 1u);
 }
@@ -475,12 +475,12 @@
   Bench bench;
   bench.Calm(40);
   bench.Load(60);
-  bench.Ask(1, kWhole, {0.5, 0.5});
+  bench.Ask(1, kComplete, {0.5, 0.5});
   ASSERT_EQ(bench.Last<Refuse>().size(), 1u);
   EXPECT_GT(bench.Last<Refuse>()[0].retry_after_us, 0);
   bench.now += 50 * kMs;
   bench.EndAll();
-  bench.Ask(2, kWhole, {0.5, 0.5});
+  bench.Ask(2, kComplete, {0.5, 0.5});
   EXPECT_EQ(bench.Sends(200), 1);
 }
 
@@ -490,7 +490,7 @@
   s.reach = 1;
   Bench bench(s);
   bench.Calm(40);
-  for (int i = 0; i < 30; ++i) bench.Ask(bench.next_id++, kWhole, {1}, 3 * kAim);  // shard 0 only
+  for (int i = 0; i < 30; ++i) bench.Ask(bench.next_id++, kComplete, {1}, 3 * kLatencyObjective);  // shard 0 only
   std::size_t sent = bench.sent.size();
   EXPECT_LT(sent, 30u);
   bench.Ask(1, kPartial, {0.1, 0.5, 0.4});
@@ -503,11 +503,11 @@
 TEST(LostParts, AnOvertakenPartIsCopied) {
   Bench bench;
   bench.Calm(60, 250 * kMs);  // busy enough that only parts on suspect replicas are copied
-  bench.Ask(1, kWhole, {1}, 3 * kAim);
-  ReplicaId lossy = bench.Where(100);
+  bench.Ask(1, kComplete, {1}, 3 * kLatencyObjective);
+  EndpointId lossy = bench.Where(100);
   // Later parts on the same replica are answered; the first is not.
   for (int i = 0; i < 9 && bench.Sends(100) < 2; ++i) {
-    for (int k = 0; k < 2; ++k) bench.Ask(bench.next_id++, kWhole, {0.25, 0.25, 0.25, 0.25});
+    for (int k = 0; k < 2; ++k) bench.Ask(bench.next_id++, kComplete, {0.25, 0.25, 0.25, 0.25});
     bench.now += 250 * kMs;
     auto keys = bench.out;
     for (const auto& [key, value] : keys) {
@@ -524,13 +524,13 @@
 // estrie-later rules-3: one part from each of a large group in a window pushed a cold replica over.
 TEST(Cold, ALargeGroupTogetherHoldsTheBudget) {
   Settings s = BaseSettings();
-  s.group_size = 30;
+  s.fleet_size = 30;
   int to_cold = 0;
-  for (int instance = 0; instance < s.group_size; ++instance) {
+  for (int instance = 0; instance < s.fleet_size; ++instance) {
     Bench bench(s, static_cast<std::uint64_t>(instance + 1));
     bench.Calm(20);
-    bench.Do(ListNews{ListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
-    for (int i = 0; i < 4; ++i) bench.Ask(bench.next_id++, kWhole, {1});
+    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
+    for (int i = 0; i < 4; ++i) bench.Ask(bench.next_id++, kComplete, {1});
     for (const auto& [send, attempt] : bench.sent) to_cold += send.replica.address == 0;
   }
   EXPECT_GE(to_cold, 1);
@@ -548,16 +548,16 @@
 
 TEST(Trial, IsSpacedByWhatOthersGet) {
   Settings s = BaseSettings();
-  s.may_cancel = false;
+  s.cancellation_allowed = false;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     Bench bench(s, seed);
     bench.Calm(60);
-    bench.Ask(1, kWhole, {1}, 3 * kAim);
-    ReplicaId hung = bench.Where(100);
+    bench.Ask(1, kComplete, {1}, 3 * kLatencyObjective);
+    EndpointId hung = bench.Where(100);
     for (int i = 0; i < 150; ++i) bench.Tick(5 * kMs);
     for (Id id = 2; id <= 3; ++id) {
       bench.now += 600 * kMs;  // long enough by the clock
-      bench.Ask(id, kWhole, {1});
+      bench.Ask(id, kComplete, {1});
       EXPECT_NE(bench.Where(id * 100), hung);
     }
   }
@@ -567,11 +567,11 @@
 TEST(QueryOfDeath, AfterLossesAQueryGoesByOnePartFirst) {
   Bench bench;
   bench.Calm(40);
-  bench.Do(ListNews{ListKind::kDelta,
+  bench.Do(EndpointListUpdate{EndpointListKind::kDelta,
                     2,
                     {Bench::Member(0, Availability::kReady, bench.now - 9000 * kMs),
                      Bench::Member(1, Availability::kReady, bench.now - 9000 * kMs)}});
-  bench.Ask(1, kWhole, {0.2, 0.3, 0.5});
+  bench.Ask(1, kComplete, {0.2, 0.3, 0.5});
   ASSERT_EQ(bench.sent.size(), 1u);
   EXPECT_EQ(bench.Sends(102), 1);  // the heaviest
   bench.now += 50 * kMs;
@@ -579,7 +579,7 @@
   EXPECT_EQ(bench.sent.size(), 3u);
   bench.Ask(2, kPartial, {0.4, 0.3, 0.3});
   bench.now += 50 * kMs;
-  bench.End(200, 0, OutcomeCode::kReset);
+  bench.End(200, 0, AttemptOutcome::kReset);
   EXPECT_EQ(bench.Last<Refuse>().size(), 1u);
   EXPECT_EQ(bench.Sends(201) + bench.Sends(202), 0);
 }
@@ -588,20 +588,20 @@
   Bench bench;
   bench.Calm(40);
   for (int cell : {0, 1})
-    bench.Do(ListNews{ListKind::kDelta, 2, {Bench::Member(cell, Availability::kDraining)}});
+    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(cell, Availability::kDraining)}});
   for (int cell : {0, 1}) {
-    bench.Do(ListNews{ListKind::kDelta, 3, {Bench::Member(cell, Availability::kReady, bench.now)}});
+    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 3, {Bench::Member(cell, Availability::kReady, bench.now)}});
   }
-  bench.Ask(1, kWhole, {0.2, 0.3, 0.5});
+  bench.Ask(1, kComplete, {0.2, 0.3, 0.5});
   EXPECT_EQ(bench.sent.size(), 3u);
 }
 
 TEST(QueryOfDeath, ALostPartIsResentOnceItsQueryIsVouchedFor) {
   Bench bench;
-  bench.Ask(1, kWhole, {0.5, 0.5});
+  bench.Ask(1, kComplete, {0.5, 0.5});
   bench.now += 20 * kMs;
   bench.End(101, 0);
-  bench.End(100, 0, OutcomeCode::kReset);
+  bench.End(100, 0, AttemptOutcome::kReset);
   bench.Tick(5 * kMs);
   EXPECT_EQ(bench.Sends(100), 2);
 }
@@ -636,7 +636,7 @@
   Bench bench;
   bench.Calm(60);
   bench.now += 2000 * kMs;
-  bench.Ask(1, kWhole, {1}, 3 * kAim);
+  bench.Ask(1, kComplete, {1}, 3 * kLatencyObjective);
   EXPECT_TRUE(bench.Last<Close>().empty());
   bool cancelled = false;
   for (int i = 0; i < 300 && !cancelled; ++i) {
@@ -644,10 +644,10 @@
     for (const Cancel& cancel : bench.Last<Cancel>()) cancelled = cancelled || cancel.attempt == 0;
   }
   EXPECT_TRUE(cancelled);
-  bench.End(100, 0, OutcomeCode::kCancelled);
+  bench.End(100, 0, AttemptOutcome::kCancelled);
   bench.EndAll();
   bench.now += 1500 * kMs;
-  bench.Ask(2, kWhole, {1});
+  bench.Ask(2, kComplete, {1});
   EXPECT_EQ(bench.Last<Close>().size(), 1u);
 }
 
@@ -657,39 +657,39 @@
   Bench bench;
   bench.Calm(60);
   bench.now += 2000 * kMs;
-  bench.Ask(1, kWhole, {0.25, 0.25, 0.25, 0.25}, 3 * kAim);
+  bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   bench.now += 100 * kMs;
   for (Id part : {100, 102, 103}) bench.End(part, 0);  // unused for 2 s and well; the fourth replica pauses
   for (int i = 0; i < 300; ++i) {
     bench.Tick(5 * kMs);
-    for (const Cancel& cancel : bench.Last<Cancel>()) EXPECT_NE(cancel.why, CancelWhy::kDeadConnection);
+    for (const Cancel& cancel : bench.Last<Cancel>()) EXPECT_NE(cancel.reason, CancelReason::kDeadConnection);
   }
   EXPECT_GT(bench.Sends(101), 1);  // copied, as any part that is late
   bench.EndAll();
   bench.now += 1500 * kMs;
-  bench.Ask(2, kWhole, {0.25, 0.25, 0.25, 0.25});
+  bench.Ask(2, kComplete, {0.25, 0.25, 0.25, 0.25});
   EXPECT_TRUE(bench.Last<Close>().empty());
 }
 
 // Fleet: partial answers meant for the aim were decided 3 ms before it and reached their clients after it.
 TEST(Answer, InPartIsGivenWithTimeLeftForItsWayToTheClient) {
   Settings s = BaseSettings();
-  s.resolution_us = 1 * kMs;  // a margin of a few rounds alone would be 3 ms
+  s.decision_interval_us = 1 * kMs;  // a margin of a few rounds alone would be 3 ms
   Bench bench(s);
   bench.Calm(60);
   Micros asked = bench.now;
-  bench.Ask(1, kPartial, {0.5, 0.5}, 2 * kAim);
+  bench.Ask(1, kPartial, {0.5, 0.5}, 2 * kLatencyObjective);
   bench.now += 100 * kMs;
   bench.End(100, 0);
-  while (bench.Last<Answer>().empty() && bench.now < asked + kAim) bench.Tick(1 * kMs);
+  while (bench.Last<Answer>().empty() && bench.now < asked + kLatencyObjective) bench.Tick(1 * kMs);
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
-  EXPECT_LE(bench.now, asked + kAim * 98 / 100);
-  EXPECT_GE(bench.now, asked + kAim * 95 / 100);  // and a part that comes before that still counts
+  EXPECT_LE(bench.now, asked + kLatencyObjective * 98 / 100);
+  EXPECT_GE(bench.now, asked + kLatencyObjective * 95 / 100);  // and a part that comes before that still counts
 }
 
 // quebec-later big-2: whole-only queries waited for one part of 28.
 TEST(Straggler, OfAWholeOnlyQueryIsCopiedLongBeforeTheCopyQuantile) {
-  for (int cls : {kWhole, kPartial}) {
+  for (int cls : {kComplete, kPartial}) {
     Bench bench;
     for (int i = 0; i < 12; ++i) {
       bench.Calm(4);
@@ -699,7 +699,7 @@
     bench.now += 100 * kMs;
     for (Id part = 101; part <= 104; ++part) bench.End(part, 0);
     for (int i = 0; i < 50; ++i) bench.Tick(5 * kMs);
-    EXPECT_EQ(bench.Sends(100), cls == kWhole ? 2 : 1);
+    EXPECT_EQ(bench.Sends(100), cls == kComplete ? 2 : 1);
   }
 }
 
@@ -707,22 +707,22 @@
 TEST(Hang, ATimeOutIsNoSignOfLife) {
   Settings s = BaseSettings();
   s.cells = s.reach = s.shards = 2;
-  s.may_copy = s.may_cancel = false;
+  s.hedging_allowed = s.cancellation_allowed = false;
   Bench bench(s);
   bench.Calm(60);
-  for (Id id = 1; id <= 6; ++id) bench.Ask(id, kWhole, {1}, 3 * kAim);
+  for (Id id = 1; id <= 6; ++id) bench.Ask(id, kComplete, {1}, 3 * kLatencyObjective);
   bench.now += 100 * kMs;
   auto keys = bench.out;
   bool timed_out = false;
   for (const auto& [key, value] : keys) {
     bool hung = value.first.address == 0;
     if (hung && timed_out) continue;
-    bench.End(key.first, key.second, hung ? OutcomeCode::kTimeout : OutcomeCode::kOk);
+    bench.End(key.first, key.second, hung ? AttemptOutcome::kTimeout : AttemptOutcome::kOk);
     timed_out = timed_out || hung;
   }
   for (int i = 0; i < 140; ++i) bench.Tick(5 * kMs);
   bench.sent.clear();
-  for (Id id = 10; id <= 12; ++id) bench.Ask(id, kWhole, {1}, 3 * kAim);
+  for (Id id = 10; id <= 12; ++id) bench.Ask(id, kComplete, {1}, 3 * kLatencyObjective);
   int to_hung = 0;
   for (const auto& [send, attempt] : bench.sent) to_hung += send.replica.address == 0;
   EXPECT_LE(to_hung, 1);
@@ -730,7 +730,7 @@
 
 TEST(Restart, AFreshInstanceDoesNotCopyOrCondemnAtOnce) {
   Bench bench;
-  bench.Ask(1, kWhole, {0.25, 0.25, 0.25, 0.25});
+  bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25});
   for (int i = 0; i < 50; ++i) bench.Tick(5 * kMs);
   EXPECT_EQ(bench.sent.size(), 4u);
 }
@@ -738,18 +738,18 @@
 // hanoi and catania: each instance called a full list service again in the same round, 100 times a second.
 TEST(ListService, AFailedCallIsRepeatedLaterEachTimeLaterAndNeverTooLate) {
   Settings s = BaseSettings();
-  s.must_subscribe = true;
-  s.ask_within_us = 10 * kAim;
+  s.subscription_required = true;
+  s.poll_deadline_us = 10 * kLatencyObjective;
   Bench bench(s);
   EXPECT_EQ(bench.Last<Subscribe>().size(), 1u);
   Micros last_span = 0;
   for (int failure = 0; failure < 6; ++failure) {
-    bench.Do(ListNews{ListKind::kFailed, 0, {}});
+    bench.Do(EndpointListUpdate{EndpointListKind::kFailed, 0, {}});
     EXPECT_TRUE(bench.Last<Subscribe>().empty());
     auto timers = bench.Last<SetTimer>();
     ASSERT_EQ(timers.size(), 1u);
     EXPECT_GT(timers[0].span_us, failure == 2 ? last_span : 0);
-    EXPECT_LT(timers[0].span_us, s.ask_within_us);
+    EXPECT_LT(timers[0].span_us, s.poll_deadline_us);
     if (failure == 0) last_span = timers[0].span_us;
     bench.now += timers[0].span_us;
     bench.Do(TimerFired{timers[0].label});
@@ -761,10 +761,10 @@
 TEST(Pressure, IsRememberedUntilThisInstancesNextQuery) {
   Bench bench;
   for (Id id = 1; id <= 8; ++id) {
-    bench.Ask(id, kPartial, std::vector<double>(8, 0.125), 3 * kAim);
+    bench.Ask(id, kPartial, std::vector<double>(8, 0.125), 3 * kLatencyObjective);
     for (int i = 0; i < 280; ++i) bench.Tick(5 * kMs);
     bench.EndAll();
-    bench.now += 2 * kAim;
+    bench.now += 2 * kLatencyObjective;
     bench.Tick(5 * kMs);
   }
   int unsent = 0;
@@ -777,28 +777,28 @@
 // catania iaf07db: full replicas turn parts away in a millisecond, so the fleet looked quick while it
 // drowned.
 TEST(Pressure, PartsTurnedAwayByFullReplicasRaiseIt) {
-  for (OutcomeCode code : {OutcomeCode::kFull, OutcomeCode::kOk}) {
+  for (AttemptOutcome code : {AttemptOutcome::kFull, AttemptOutcome::kOk}) {
     Bench bench;
     bench.Calm(10);
     for (Id id = 1; id <= 8; ++id) {
-      bench.Ask(id, kWhole, {1});
+      bench.Ask(id, kComplete, {1});
       for (int attempt = 0; attempt < bench.Sends(id * 100); ++attempt) bench.End(id * 100, attempt, code);
     }
     bench.Ask(10, kPartial, {0.1, 0.5, 0.15, 0.25});
-    EXPECT_EQ(bench.Sends(1000), code == OutcomeCode::kOk ? 1 : 0);
+    EXPECT_EQ(bench.Sends(1000), code == AttemptOutcome::kOk ? 1 : 0);
   }
 }
 
 Settings TwoZones() {
   Settings s = BaseSettings();
   s.cells = s.reach = s.shards = 8;
-  s.may_copy = false;
+  s.hedging_allowed = false;
   return s;
 }
 
 // Replicas of even cells are in zone 0, the others in zone 1.
 void PutInTwoZones(Bench& bench) {
-  ListNews news{ListKind::kFull, 2, {}};
+  EndpointListUpdate news{EndpointListKind::kFull, 2, {}};
   for (int cell = 0; cell < 8; ++cell) {
     news.replicas.push_back(Bench::Member(cell));
     news.replicas.back().zone = cell % 2;
@@ -817,7 +817,7 @@
   Bench bench(TwoZones());
   PutInTwoZones(bench);
   bench.Calm(40);
-  for (Id id = 1; id <= 40; ++id) bench.Ask(id, kWhole, {1}, 3 * kAim);
+  for (Id id = 1; id <= 40; ++id) bench.Ask(id, kComplete, {1}, 3 * kLatencyObjective);
   bench.now += 100 * kMs;
   auto keys = bench.out;
   for (const auto& [key, value] : keys) {
@@ -826,7 +826,7 @@
   // Parts at each far replica are overdue; none has been silent long enough to be sick for itself.
   for (int i = 0; i < 40; ++i) bench.Tick(5 * kMs);
   bench.sent.clear();
-  for (Id id = 120; id < 160; ++id) bench.Ask(id, kPartial, {1}, 3 * kAim);
+  for (Id id = 120; id < 160; ++id) bench.Ask(id, kPartial, {1}, 3 * kLatencyObjective);
   EXPECT_GT(bench.sent.size(), 24u);
   EXPECT_EQ(SentToOdd(bench), 0);
   // It is tried again.
@@ -835,9 +835,9 @@
   for (const auto& [key, value] : keys) {
     if (value.first.address % 2 == 0) bench.End(key.first, key.second);
   }
-  bench.now += kAim;
+  bench.now += kLatencyObjective;
   bench.sent.clear();
-  for (Id id = 240; id < 244; ++id) bench.Ask(id, kPartial, {1}, 3 * kAim);
+  for (Id id = 240; id < 244; ++id) bench.Ask(id, kPartial, {1}, 3 * kLatencyObjective);
   int trials = 0;
   for (const auto& [send, attempt] : bench.sent) trials += attempt == 0 && send.replica.address % 2;
   EXPECT_GE(trials, 1);
@@ -847,21 +847,21 @@
   Bench bench(TwoZones());
   PutInTwoZones(bench);
   bench.Calm(40);
-  for (Id id = 1; id <= 12; ++id) bench.Ask(id, kPartial, {1}, 3 * kAim);
+  for (Id id = 1; id <= 12; ++id) bench.Ask(id, kPartial, {1}, 3 * kLatencyObjective);
   for (int i = 0; i < 60; ++i) bench.Tick(5 * kMs);
   bench.sent.clear();
-  for (Id id = 20; id < 28; ++id) bench.Ask(id, kPartial, {1}, 3 * kAim);
+  for (Id id = 20; id < 28; ++id) bench.Ask(id, kPartial, {1}, 3 * kLatencyObjective);
   EXPECT_GT(SentToOdd(bench), 0);
 }
 
 // hanoi allows no second copy: a part at a hung replica waited for the client's time.
 TEST(NoSecondCopy, APartAtASuspectReplicaIsCalledOffFirstAndThenSentElsewhere) {
   Settings s = BaseSettings();
-  s.may_copy = false;
+  s.hedging_allowed = false;
   Bench bench(s);
   bench.Calm(60);
-  bench.Ask(1, kWhole, {1}, 3 * kAim);
-  ReplicaId hung = bench.Where(100);
+  bench.Ask(1, kComplete, {1}, 3 * kLatencyObjective);
+  EndpointId hung = bench.Where(100);
   std::vector<Cancel> cancels;
   for (int i = 0; i < 400 && cancels.empty(); ++i) {
     bench.Tick(5 * kMs);
@@ -873,7 +873,7 @@
   bench.Tick(5 * kMs);
   EXPECT_TRUE(bench.Last<Cancel>().empty());
   EXPECT_EQ(bench.Sends(100), 1);
-  bench.End(100, 0, OutcomeCode::kCancelled);
+  bench.End(100, 0, AttemptOutcome::kCancelled);
   ASSERT_EQ(bench.Sends(100), 2);
   EXPECT_NE(bench.Where(100, 1), hung);
 }
@@ -889,7 +889,7 @@
     int copies = 0;
     for (int round = 0; round < 30; ++round) {
       Id slow = bench.next_id * 100;
-      for (int i = 0; i < 10; ++i) bench.Ask(bench.next_id++, kWhole, {0.25, 0.25, 0.25, 0.25});
+      for (int i = 0; i < 10; ++i) bench.Ask(bench.next_id++, kComplete, {0.25, 0.25, 0.25, 0.25});
       bench.now += 100 * kMs;
       auto out = bench.out;
       for (const auto& [key, value] : out) {
@@ -899,7 +899,7 @@
       bool copy = bench.Sends(slow) > 1;
       copies += copy ? 1 : 0;
       bench.End(slow, copy && wins ? 1 : 0);
-      if (copy) bench.End(slow, wins ? 0 : 1, OutcomeCode::kCancelled);
+      if (copy) bench.End(slow, wins ? 0 : 1, AttemptOutcome::kCancelled);
     }
     return copies;
   };
@@ -908,21 +908,21 @@
 }
 
 // catania, recife: what goes to one replica in one round is one call.
-TEST(Replica, LoadIsCountedByCall) {
+TEST(Endpoint, LoadIsCountedByCall) {
   Settings s = BaseSettings();
-  s.parts_per_call = 4;
+  s.max_requests_per_call = 4;
   s.cells = s.shards = s.reach = 1;
   int widest = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Bench bench(s, seed);
-    ListNews news{ListKind::kFull, 2, {Bench::Member(0), Bench::Member(0)}};
+    EndpointListUpdate news{EndpointListKind::kFull, 2, {Bench::Member(0), Bench::Member(0)}};
     news.replicas[1].id.address = 9;
     bench.Do(news);
     // One goes to each holder, one call each; the others join these calls, either of the two.
-    std::vector<Event> events{QueryArrived{1, 1, 5, kWhole, 0, false, 0, 3 * kAim, 0}};
-    for (Id part = 100; part < 105; ++part) events.push_back(PartArrived{part, 1, 0, 0.2, 0, 0});
+    std::vector<Event> events{QueryReceived{1, 1, 5, kComplete, 0, false, 0, 3 * kLatencyObjective, 0}};
+    for (Id part = 100; part < 105; ++part) events.push_back(ShardRequestReceived{part, 1, 0, 0.2, 0, 0});
     bench.Do(events);
-    std::map<ReplicaId, int> parts;
+    std::map<EndpointId, int> parts;
     for (const auto& [send, attempt] : bench.sent) ++parts[send.replica];
     ASSERT_EQ(parts.size(), 2u);
     widest = std::max(widest, std::abs(parts.begin()->second - parts.rbegin()->second));
@@ -931,16 +931,16 @@
 }
 
 // recife: a replica that met a part's key of late does a third less work for it.
-TEST(Replica, WarmKeysBreakTiesAlikeAtEveryInstance) {
+TEST(Endpoint, WarmKeysBreakTiesAlikeAtEveryInstance) {
   for (bool warm : {true, false}) {
     Settings s = BaseSettings();
-    s.warm_keys = warm;
-    std::set<ReplicaId> by_key, of_one_key;
+    s.key_affinity = warm;
+    std::set<EndpointId> by_key, of_one_key;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       for (std::uint64_t key : {seed, std::uint64_t{77}}) {
         Bench bench(s, seed);
         bench.Do(
-            {QueryArrived{1, 1, 1, kWhole, 0, false, key, 3 * kAim, 0}, PartArrived{100, 1, 0, 1, key, 0}});
+            {QueryReceived{1, 1, 1, kComplete, 0, false, key, 3 * kLatencyObjective, 0}, ShardRequestReceived{100, 1, 0, 1, key, 0}});
         (key == 77 ? of_one_key : by_key).insert(bench.Where(100));
       }
     }
@@ -955,7 +955,7 @@
   EXPECT_TRUE(CheckSettings(s).has_value());
   EXPECT_FALSE(CheckSettings(BaseSettings()).has_value());
   Bench bench(s);
-  bench.Ask(1, kWhole, {1});
+  bench.Ask(1, kComplete, {1});
   EXPECT_EQ(bench.Last<Fail>().size(), 1u);
 }
 
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -115,7 +115,7 @@
  public:
   explicit Player(std::string program) : program_(std::move(program)), config_(Configuration()) {
     char name[] = "/tmp/scenario-XXXXXX";
-    folder_ = ::mkdtemp(name);
+    directory_ = ::mkdtemp(name);
     discovery_.listener = net::Listen("127.0.0.1:0");
     config_["discovery"] = net::LocalAddress(discovery_.listener);
     config_["listen"] = "127.0.0.1:0";
@@ -126,7 +126,7 @@
       ::kill(child_, SIGKILL);
       ::waitpid(child_, nullptr, 0);
     }
-    std::filesystem::remove_all(folder_);
+    std::filesystem::remove_all(directory_);
   }
 
   void Do(const std::string& text) {
@@ -165,10 +165,10 @@
       Until([&] { return !peer.lines.empty() && peer.lines.back().ended; }, "the connection stays open");
       if (!peer.lines.back().tls->ended()) throw std::runtime_error("it was cut, without a last word");
     } else if (verb == "send") {
-      bool holder = holders_.contains(Name(who));
-      Write(holder ? Asked(holders_.at(Name(who)), rest) : Client(who), holder ? Framed(Plain(rest)) : Plain(rest));
+      bool endpoint = endpoints_.contains(Name(who));
+      Write(endpoint ? Asked(endpoints_.at(Name(who)), rest) : Client(who), endpoint ? Framed(Plain(rest)) : Plain(rest));
     } else if (verb == "bytes") {
-      Write(*holders_.at(Name(who)).last, Plain(rest));
+      Write(*endpoints_.at(Name(who)).last, Plain(rest));
     } else if (verb == "post") {
       std::string id;
       words >> id;
@@ -186,7 +186,7 @@
       net::HttpResponse response;
       response.status = status;
       response.body = rest;
-      Write(*holders_.at(Name(who)).last, net::Format(response, false));
+      Write(*endpoints_.at(Name(who)).last, net::Format(response, false));
     } else if (verb == "zone") {
       WriteZone();
     } else if (verb == "update") {
@@ -241,12 +241,12 @@
     return found == aliases_.end() ? who : found->second;
   }
   Peer& Find(const std::string& who) {
-    auto holder = holders_.find(Name(who));
-    return holder == holders_.end() ? clients_[who] : holder->second;
+    auto endpoint = endpoints_.find(Name(who));
+    return endpoint == endpoints_.end() ? clients_[who] : endpoint->second;
   }
 
   void Holder(const std::string& name, std::istringstream& words) {
-    Peer& peer = holders_[name];
+    Peer& peer = endpoints_[name];
     std::string state;
     words >> peer.cell >> state;
     peer.listener = net::Listen("127.0.0.1:0");
@@ -257,7 +257,7 @@
   }
 
   Json Entry(const std::string& name, const std::string& state) {
-    const Peer& peer = holders_.at(name);
+    const Peer& peer = endpoints_.at(name);
     return {{"id", name}, {"addr", peer.addr}, {"zone", "dc1"}, {"kind", "k"}, {"cell", peer.cell},
             {"state", state}, {"weight", 1.0}, {"started_ms", 0}};
   }
@@ -265,10 +265,10 @@
   static std::string Port(const Peer& peer) { return peer.addr.substr(peer.addr.find(':') + 1); }
 
   void WriteZone() {
-    std::string path = folder_ + "/holders.zone";
+    std::string path = directory_ + "/holders.zone";
     std::ofstream out(path);
     out << "$ORIGIN z.\n$TTL 30\n@ IN SOA ns root ( 1 2 3 ; serial\n 4 5 )\n";
-    for (const auto& [name, peer] : holders_) {
+    for (const auto& [name, peer] : endpoints_) {
       out << "_search._tcp SRV 0 1 " << Port(peer) << " " << name << "\n"
           << name << " A 127.0.0.1\n TXT \"cell=" << peer.cell << "\"\n";
     }
@@ -280,15 +280,15 @@
   void Update(const std::string& who, const std::string& what) {
     bool add = what.starts_with("add ");
     std::string name = Name(what.substr(what.find(' ') + 1));
-    const Peer& holder = holders_.at(name);
+    const Peer& endpoint = endpoints_.at(name);
     auto two = [](int value) { return std::string{static_cast<char>(value >> 8), static_cast<char>(value & 0xff)}; };
     auto record = [&](const std::string& owner, int type, const std::string& data) {
       return *dns::WireName(owner) + two(type) + two(add ? dns::kClassIn : dns::kClassNone) + two(0) + two(0) +
              two(static_cast<int>(data.size())) + data;
     };
-    std::string srv = two(0) + two(1) + two(std::stoi(Port(holder))) + *dns::WireName(name + ".z.");
+    std::string srv = two(0) + two(1) + two(std::stoi(Port(endpoint))) + *dns::WireName(name + ".z.");
     std::string all = record("_search._tcp.z.", dns::kTypeSrv, srv);
-    std::string text = "cell=" + std::to_string(holder.cell);
+    std::string text = "cell=" + std::to_string(endpoint.cell);
     text.insert(0, 1, static_cast<char>(text.size()));
     if (add) all += record(name + ".z.", dns::kTypeA, std::string("\x7f\0\0\1", 4)) + record(name + ".z.", dns::kTypeTxt, text);
     std::string message = two(77) + two(5 << 11) + two(1) + two(0) + two(add ? 3 : 1) + two(0) + *dns::WireName("z.") +
@@ -323,7 +323,7 @@
     int others = 0;
     words >> state >> others;
     Json all = Json::array();
-    for (const auto& [name, peer] : holders_) all.push_back(Entry(name, name == Name(who) ? state : "ready"));
+    for (const auto& [name, peer] : endpoints_) all.push_back(Entry(name, name == Name(who) ? state : "ready"));
     for (int i = 0; i < others; ++i) {
       Json entry = all.front();
       entry["id"] = "other-" + std::string(40, 'x') + std::to_string(i);
@@ -334,7 +334,7 @@
     Say("\n\n" + Json{{"version", ++version_}, {"full", true}, {"servers", all}}.dump(2) + "\n");
   }
 
-  void WriteConfig(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
+  void WriteConfig(const std::string& text) { std::ofstream(directory_ + "/config.json") << text; }
 
   void Reload(bool bad) {
     std::list<Line> old;
@@ -351,7 +351,7 @@
 
   void Start(const std::string& mode) {
     search_ = mode == "search";
-    std::string path = folder_ + "/config.json";
+    std::string path = directory_ + "/config.json";
     WriteConfig(config_.dump());
     int ends[2];
     if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) throw std::runtime_error("no socket pair");
@@ -448,14 +448,14 @@
     std::string name = who;
     if (who == "any" || who == "other") {
       Until([&] {
-        for (auto& [holder, one] : holders_) {
-          bool fits = who == "any" || holder != Name("it");
-          if (fits && !one.came.empty()) name = holder;
+        for (auto& [endpoint, one] : endpoints_) {
+          bool fits = who == "any" || endpoint != Name("it");
+          if (fits && !one.came.empty()) name = endpoint;
         }
         return name != who;
       }, "nothing came at a holder");
       aliases_[who == "any" ? "it" : "other"] = name;
-      peer = &holders_.at(name);
+      peer = &endpoints_.at(name);
     } else {
       peer = &Find(who);
       Until([&] { return !peer->came.empty(); }, "nothing came");
@@ -485,8 +485,8 @@
       keys.push_back(signers_.try_emplace(kid, signers_.size() % 2 == 1).first->second.Jwk(kid));
       if (kid != word) keys.back()["state"] = word.substr(kid.size() + 1);
     } while (words >> word);
-    std::ofstream(folder_ + "/keys.new") << Json{{"keys", keys}};
-    std::filesystem::rename(folder_ + "/keys.new", folder_ + "/keys.json");
+    std::ofstream(directory_ + "/keys.new") << Json{{"keys", keys}};
+    std::filesystem::rename(directory_ + "/keys.new", directory_ + "/keys.json");
   }
 
   // What the configuration of TLS names, put in place by renaming; `words`: whose certificates are taken back.
@@ -498,8 +498,8 @@
                                      {"key", server.KeyPem()},
                                      {"clients", client_issuer_.Pem()},
                                      {"revoked", client_issuer_.Revoked(revoked)}}) {
-      std::ofstream(folder_ + "/" + file + ".new") << text;
-      std::filesystem::rename(folder_ + "/" + file + ".new", folder_ + "/" + file + ".pem");
+      std::ofstream(directory_ + "/" + file + ".new") << text;
+      std::filesystem::rename(directory_ + "/" + file + ".new", directory_ + "/" + file + ".pem");
     }
   }
 
@@ -576,7 +576,7 @@
       }
     };
     add_peer(discovery_, true, false);
-    for (auto& [name, peer] : holders_) add_peer(peer, false, !search_);
+    for (auto& [name, peer] : endpoints_) add_peer(peer, false, !search_);
     for (auto& [name, peer] : clients_) add_peer(peer, false, false);
     add(log_fd_, [this] {
       if (net::ReadSome(log_fd_, log_, 0) == net::Io::kEnd) log_fd_ = Fd();
@@ -642,7 +642,7 @@
     }
   }
 
-  std::string program_, folder_, address_, log_, last_;
+  std::string program_, directory_, address_, log_, last_;
   std::deque<std::pair<std::string, bool>> denials_;  // what is written, and whether the connection stays
   std::vector<Fd> stalled_;
   Json config_;
@@ -651,7 +651,7 @@
   pid_t child_ = 0;
   Fd log_fd_;
   Peer discovery_;
-  std::map<std::string, Peer> holders_, clients_;
+  std::map<std::string, Peer> endpoints_, clients_;
   std::map<std::string, std::string> aliases_, kept_;
   std::map<std::string, Signer> signers_;        // by kid
   Issuer server_issuer_{"servers"}, client_issuer_{"clients"};
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -84,7 +84,7 @@
 }
 
 TEST(Decode, PartOfAQuery) {
-  auto part = Only<PartArrived>(
+  auto part = Only<ShardRequestReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 3e000000 0000 0000 00000000 01 91f03b7c55d20a64 0003a980");
   EXPECT_EQ(part.id, 0x5d3a91c4u);
   EXPECT_EQ(part.number, 214);
@@ -95,33 +95,33 @@
 }
 
 TEST(Decode, QueryHasNegativeShardAndRepeatFlag) {
-  auto query = Only<QueryArrived>(
+  auto query = Only<QueryReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 40800000 0002 0001 bf800000 02 0000000000000000 0003a980");
   EXPECT_EQ(query.parts, 4);
   EXPECT_EQ(query.class_index, 2);
   EXPECT_EQ(query.tenant, 1);
-  EXPECT_TRUE(query.repeated);
-  EXPECT_EQ(query.patience_us, 240000);
+  EXPECT_TRUE(query.is_retry);
+  EXPECT_EQ(query.timeout_remaining_us, 240000);
 }
 
 TEST(Decode, Reply) {
-  auto ended = Only<AttemptEnded>(
+  auto ended = Only<AttemptFinished>(
       "6e 0000001f 5d3a91c4 00 0a124a07 138b 00c8 00004844 01 03 4040000040e00000430c0000");
   EXPECT_EQ(ended.part, 0x5d3a91c4u);
   EXPECT_EQ(ended.attempt, 0);
-  EXPECT_EQ(ended.replica, (ReplicaId{0x0a124a07, 0x138b}));
-  EXPECT_EQ(ended.code, OutcomeCode::kOk);
+  EXPECT_EQ(ended.replica, (EndpointId{0x0a124a07, 0x138b}));
+  EXPECT_EQ(ended.code, AttemptOutcome::kOk);
   EXPECT_EQ(ended.spent_us, 18500);
   EXPECT_TRUE(ended.part_done);
   EXPECT_EQ(ended.load, (std::vector<double>{3, 7, 140}));
 }
 
 TEST(Decode, HealthResultHangupDueAndHeard) {
-  auto probe = Only<ProbeEnded>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
+  auto probe = Only<HealthCheckFinished>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
   EXPECT_EQ(probe.spent_us, 1400);
-  EXPECT_EQ(Only<ClientGone>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
+  EXPECT_EQ(Only<ClientDisconnected>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
   EXPECT_EQ(Only<TimerFired>("46 00000008 000000000000004d").label, 0x4du);
-  EXPECT_EQ(Only<PeerMessage>("0a 0000000a 00000002 0004 68692037").text, "hi 7");
+  EXPECT_EQ(Only<GossipMessage>("0a 0000000a 00000002 0004 68692037").text, "hi 7");
 }
 
 TEST(Decode, ListIsResolvedInOrderOfTheBatch) {
@@ -132,16 +132,16 @@
                   "0a9011f2 13b4 0000 00 0000 01 3fc00000 00000000005d1420"
                   "28 0000000b 0000000000000029 02 0000"));
   ASSERT_EQ(batch.events.size(), 1u);
-  auto news = std::get<ListNews>(std::get<Event>(batch.events[0].what));
-  EXPECT_EQ(news.kind, ListKind::kCached);
+  auto news = std::get<EndpointListUpdate>(std::get<Event>(batch.events[0].what));
+  EXPECT_EQ(news.kind, EndpointListKind::kCached);
   EXPECT_EQ(news.version, 0x29u);
   ASSERT_EQ(news.replicas.size(), 2u);
-  EXPECT_EQ(news.replicas[1].launched_us, 0x5d1420);
+  EXPECT_EQ(news.replicas[1].started_us, 0x5d1420);
   EXPECT_DOUBLE_EQ(news.replicas[1].weight, 1.5);
   EXPECT_EQ(news.replicas[0].availability, Availability::kReady);
   // The numbered list outlives its batch.
   Batch later = decoder.Decode(Body(2, std::string(kAbout) + "28 0000000b 000000000000002a 01 0000"));
-  EXPECT_EQ(std::get<ListNews>(std::get<Event>(later.events[0].what)).replicas.size(), 2u);
+  EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).replicas.size(), 2u);
 }
 
 TEST(Encode, ExamplesOfThePage) {
@@ -177,15 +177,15 @@
 TEST(SettingsText, IsRead) {
   Settings settings = config::ParseRoutingSettings(kConf);
   ASSERT_EQ(settings.classes.size(), 1u);
-  EXPECT_EQ(settings.classes[0].effect, Effect::kDeduplicated);
-  EXPECT_EQ(settings.classes[0].fetch_parts, 3);
+  EXPECT_EQ(settings.classes[0].effect, Effect::kIdempotencyKey);
+  EXPECT_EQ(settings.classes[0].fetch_phase_requests, 3);
   EXPECT_EQ(settings.cells, 12);
-  EXPECT_TRUE(settings.must_subscribe);
+  EXPECT_TRUE(settings.subscription_required);
   EXPECT_TRUE(settings.has_retry_budget);
-  EXPECT_EQ(settings.resend_span_us, 2000000);
+  EXPECT_EQ(settings.retry_budget_window_us, 2000000);
   EXPECT_EQ(settings.zone, 1);
-  EXPECT_EQ(settings.parts_per_call, 8);
-  EXPECT_TRUE(settings.warm_keys);
+  EXPECT_EQ(settings.max_requests_per_call, 8);
+  EXPECT_TRUE(settings.key_affinity);
 }
 
 TEST(SettingsText, MissingOrWrongKeysAreNamed) {
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -19,32 +19,32 @@
 // Links to so many listening holders; parts go out and their ends come back.
 class LinksUnderTest {
  public:
-  LinksUnderTest(int holders, const net::LinkLimits& limits) : dialect(load_names) {
-    coordinator::HolderList list{1, liftrudder::routing::ListKind::kFull, {}};
-    for (int i = 0; i < holders; ++i) {
+  LinksUnderTest(int endpoints, const net::ConnectionLimits& limits) : dialect(load_names) {
+    coordinator::EndpointList list{1, liftrudder::routing::EndpointListKind::kFull, {}};
+    for (int i = 0; i < endpoints; ++i) {
       listeners.push_back(net::Listen("127.0.0.1:0"));
       list.entries.push_back({"h" + std::to_string(i), net::LocalAddress(listeners.back()), {}});
     }
-    news = directory.Apply(list, 1);
-    links.emplace(dialect, directory, clock, limits, counters, figures, [this](coordinator::AttemptResult result) {
+    news = endpoint_registry.Apply(list, 1);
+    links.emplace(dialect, endpoint_registry, clock, limits, counters, figures, [this](coordinator::AttemptResult result) {
       std::lock_guard lock(mutex);
       results.push_back(std::move(result));
       wake.notify_one();
     });
   }
-  void Send(int holder, std::shared_ptr<const coordinator::Presence> client = nullptr) {
-    coordinator::AttemptOrder order;
+  void Send(int endpoint, std::shared_ptr<const coordinator::ClientPresence> client = nullptr) {
+    coordinator::AttemptRequest order;
     order.key = {++parts, 0};
-    order.holder = news->replicas[static_cast<std::size_t>(holder)].id;
+    order.endpoint = news->replicas[static_cast<std::size_t>(endpoint)].id;
     order.shard = static_cast<int>(parts);
-    order.wait_until_us = clock.Now() + 60'000'000;
+    order.attempt_deadline_us = clock.Now() + 60'000'000;
     order.payload = std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
     links->Start(std::move(order));
     if (ends_round) links->EndRound();
   }
   // The holder's newest connection, once a frame has come on it.
-  net::Fd Take(int holder) {
-    net::Fd fd = net::Accept(listeners[static_cast<std::size_t>(holder)], 10'000'000);
+  net::Fd Take(int endpoint) {
+    net::Fd fd = net::Accept(listeners[static_cast<std::size_t>(endpoint)], 10'000'000);
     got.clear();
     REQUIRE(net::ReadSome(fd, got, 10'000'000) == net::Io::kOk);
     return fd;
@@ -61,8 +61,8 @@
 
   std::string got;  // by the last Take
   std::vector<net::Fd> listeners;
-  coordinator::Directory directory;
-  std::optional<liftrudder::routing::ListNews> news;
+  coordinator::EndpointRegistry endpoint_registry;
+  std::optional<liftrudder::routing::EndpointListUpdate> news;
   net::SteadyClock clock;
   metrics::Counters counters;
   metrics::Figures figures{{"search"}};
@@ -73,7 +73,7 @@
   std::vector<coordinator::AttemptResult> results;
   coordinator::Id parts = 0;
   bool ends_round = true;  // each part goes in a round of its own
-  std::optional<net::HolderLinks> links;
+  std::optional<net::EndpointConnectionPool> links;
 };
 
 inline std::string Served(coordinator::Id part) {
--- a/tests/support/explain_reading.h
+++ b/tests/support/explain_reading.h
@@ -10,17 +10,17 @@
 namespace liftrudder::tests {
 
 struct Kept : decision_log::Found {
-  std::vector<decision_log::Story> stories;
+  std::vector<decision_log::QueryTrace> traces;
 };
 
-inline Kept ReadAll(const decision_log::Arena& arena, const decision_log::Filter& filter) {
+inline Kept ReadAll(const decision_log::RecordFile& record_file, const decision_log::Filter& filter) {
   Kept out;
-  std::vector<decision_log::Story> stories;
-  static_cast<decision_log::Found&>(out) = decision_log::Reader(arena).Find(filter, [&stories](const decision_log::Story& story) {
-    stories.push_back(story);
+  std::vector<decision_log::QueryTrace> traces;
+  static_cast<decision_log::Found&>(out) = decision_log::Reader(record_file).Find(filter, [&traces](const decision_log::QueryTrace& trace) {
+    traces.push_back(trace);
     return true;
   });
-  out.stories = std::move(stories);
+  out.traces = std::move(traces);
   return out;
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -17,110 +17,110 @@
 using tests::LinksUnderTest;
 using tests::Served;
 using coordinator::Cause;
-using coordinator::OutcomeCode;
+using coordinator::AttemptOutcome;
 using coordinator::Progress;
 using net::HttpParser;
 
 TEST_CASE("whether an attempt may have run follows from how far it had come") {
-  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) == OutcomeCode::kConnectFailed);
-  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kConnectionLost) == OutcomeCode::kConnectFailed);
-  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kConnectionLost) == OutcomeCode::kReset);
-  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kSpoilt) == OutcomeCode::kError);
-  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kWithdrawn) == OutcomeCode::kMoot);
-  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kWithdrawn) == OutcomeCode::kCancelled);
-  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kExpired) == OutcomeCode::kMoot);
-  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kExpired) == OutcomeCode::kTimeout);
+  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) == AttemptOutcome::kConnectFailed);
+  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kConnectionLost) == AttemptOutcome::kConnectFailed);
+  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kConnectionLost) == AttemptOutcome::kReset);
+  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kSpoilt) == AttemptOutcome::kError);
+  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kWithdrawn) == AttemptOutcome::kNotSent);
+  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kWithdrawn) == AttemptOutcome::kCancelled);
+  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kExpired) == AttemptOutcome::kNotSent);
+  CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kExpired) == AttemptOutcome::kTimeout);
 }
 
 TEST_CASE("an attempt ends once") {
-  coordinator::Book book;
+  coordinator::InFlightTable permission_table;
   coordinator::QueryRequest request;
   request.parts = {{0, 1, 0, 0}};
-  book.Open(5, request, nullptr);
-  CHECK(book.Begin(6, *book.Part(6), {{1, 1}, 10, 100, true}) == 0);
-  CHECK(book.NextExpiry() == 100);
-  auto ended = book.End({{6, 0}, Progress::kAnswering, Cause::kServed, {}, "v"}, 30);
+  permission_table.Open(5, request, nullptr);
+  CHECK(permission_table.Begin(6, *permission_table.Part(6), {{1, 1}, 10, 100, true}) == 0);
+  CHECK(permission_table.NextExpiry() == 100);
+  auto ended = permission_table.End({{6, 0}, Progress::kAnswering, Cause::kServed, {}, "v"}, 30);
   REQUIRE(ended);
   CHECK(ended->spent_us == 20);
   CHECK(ended->part_done);
-  CHECK_FALSE(book.End({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
-  CHECK(book.Expired(1000).empty());
-  CHECK(book.Close(5).at(0).value == "v");
-  CHECK(book.Part(6) == nullptr);
+  CHECK_FALSE(permission_table.End({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
+  CHECK(permission_table.Expired(1000).empty());
+  CHECK(permission_table.Close(5).at(0).value == "v");
+  CHECK(permission_table.Part(6) == nullptr);
 }
 
 TEST_CASE("the holder list takes versions in order and remembers when a drain was told") {
-  coordinator::Directory directory;
-  coordinator::HolderEntry a{"a", "127.0.0.1:1", {}}, b{"b", "127.0.0.1:2", {}};
-  auto known = directory.Apply({4, liftrudder::routing::ListKind::kCached, {a, b}}, 10);
+  coordinator::EndpointRegistry endpoint_registry;
+  coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, b{"b", "127.0.0.1:2", {}};
+  auto known = endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kCached, {a, b}}, 10);
   REQUIRE(known);
   auto id = known->replicas[0].id;
   a.told.availability = liftrudder::routing::Availability::kDraining;
-  CHECK_FALSE(directory.Apply({4, liftrudder::routing::ListKind::kDelta, {a}}, 20));
-  REQUIRE(directory.Apply({5, liftrudder::routing::ListKind::kDelta, {a}}, 30));
+  CHECK_FALSE(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 20));
+  REQUIRE(endpoint_registry.Apply({5, liftrudder::routing::EndpointListKind::kDelta, {a}}, 30));
   // At once: how long before it was told is not known.
-  auto stop = directory.Find(id).stop_sending_us;
+  auto stop = endpoint_registry.Find(id).drain_deadline_us;
   CHECK(stop == 30);
   a.told.availability = liftrudder::routing::Availability::kGone;
-  REQUIRE(directory.Apply({6, liftrudder::routing::ListKind::kDelta, {a}}, 500'000));
-  CHECK(directory.Find(id).stop_sending_us == stop);  // the first telling counts
+  REQUIRE(endpoint_registry.Apply({6, liftrudder::routing::EndpointListKind::kDelta, {a}}, 500'000));
+  CHECK(endpoint_registry.Find(id).drain_deadline_us == stop);  // the first telling counts
   a.addr = "127.0.0.1:9";
   a.told.availability = liftrudder::routing::Availability::kReady;
-  CHECK(directory.Apply({7, liftrudder::routing::ListKind::kFull, {a}}, 600'000)->replicas[0].id == id);
-  CHECK(directory.Find(id).addr == "127.0.0.1:9");
-  CHECK(directory.Find(known->replicas[1].id).stop_sending_us > 0);  // left out of a whole list: gone
+  CHECK(endpoint_registry.Apply({7, liftrudder::routing::EndpointListKind::kFull, {a}}, 600'000)->replicas[0].id == id);
+  CHECK(endpoint_registry.Find(id).addr == "127.0.0.1:9");
+  CHECK(endpoint_registry.Find(known->replicas[1].id).drain_deadline_us > 0);  // left out of a whole list: gone
 }
 
 TEST_CASE("only a list that came since the start ends the wait for one") {
-  coordinator::Directory directory;
-  coordinator::HolderEntry a{"a", "127.0.0.1:1", {}};
-  directory.Apply({4, liftrudder::routing::ListKind::kCached, {a}}, 10);
-  CHECK_FALSE(directory.WaitHeard(0));
-  directory.Apply({5, liftrudder::routing::ListKind::kDelta, {a}}, 20);
-  CHECK(directory.WaitHeard(20'000'000));
-  coordinator::Directory up_to_date;
+  coordinator::EndpointRegistry endpoint_registry;
+  coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}};
+  endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kCached, {a}}, 10);
+  CHECK_FALSE(endpoint_registry.WaitHeard(0));
+  endpoint_registry.Apply({5, liftrudder::routing::EndpointListKind::kDelta, {a}}, 20);
+  CHECK(endpoint_registry.WaitHeard(20'000'000));
+  coordinator::EndpointRegistry up_to_date;
   up_to_date.NothingNewer();
   CHECK(up_to_date.WaitHeard(20'000'000));
 }
 
 TEST_CASE("a holder that is gone for long is forgotten, and is another one when it comes back") {
-  coordinator::Directory directory;
-  coordinator::HolderEntry a{"a", "127.0.0.1:1", {}}, gone = a;
+  coordinator::EndpointRegistry endpoint_registry;
+  coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, gone = a;
   gone.told.availability = liftrudder::routing::Availability::kGone;
-  auto id = directory.Apply({1, liftrudder::routing::ListKind::kFull, {a}}, 10)->replicas[0].id;
-  directory.Apply({2, liftrudder::routing::ListKind::kDelta, {gone}}, 20);
-  CHECK(directory.Find(id).id == "a");
-  directory.Apply({3, liftrudder::routing::ListKind::kDelta, {}}, 60'000'000);
-  CHECK(directory.Find(id).id.empty());
-  CHECK_FALSE(directory.Apply({2, liftrudder::routing::ListKind::kDelta, {a}}, 60'000'001));
-  CHECK(directory.Apply({4, liftrudder::routing::ListKind::kDelta, {a}}, 60'000'002)->replicas[0].id != id);
+  auto id = endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->replicas[0].id;
+  endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {gone}}, 20);
+  CHECK(endpoint_registry.Find(id).id == "a");
+  endpoint_registry.Apply({3, liftrudder::routing::EndpointListKind::kDelta, {}}, 60'000'000);
+  CHECK(endpoint_registry.Find(id).id.empty());
+  CHECK_FALSE(endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'001));
+  CHECK(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'002)->replicas[0].id != id);
 }
 
 // A hundred gatherers with a thread for each holder and one for each connection ran into the system's limit
 // on threads, and no attempt started after that ended.
 TEST_CASE("links to many holders take one thread in all, and each attempt ends once") {
-  constexpr int kHolders = 60;
+  constexpr int kMaxEndpoints = 60;
   auto threads = [] { return std::distance(std::filesystem::directory_iterator("/proc/self/task"), {}); };
   net::Thread([] {}).Join();  // a sanitizer starts one of its own beside the first
   auto before = threads();
-  LinksUnderTest all(kHolders, {});
-  for (int i = 0; i < kHolders; ++i) all.Send(i);
+  LinksUnderTest all(kMaxEndpoints, {});
+  for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   std::vector<net::Fd> connections;
-  for (int i = 0; i < kHolders; ++i) connections.push_back(all.Take(i));
+  for (int i = 0; i < kMaxEndpoints; ++i) connections.push_back(all.Take(i));
   CHECK(threads() - before <= 1);
   connections.pop_back();  // the last holder's connection ends after its frame came
   coordinator::AttemptResult first = all.Ended(0);
-  CHECK(coordinator::OutcomeOf(first.progress, first.cause) == OutcomeCode::kReset);
+  CHECK(coordinator::OutcomeOf(first.progress, first.cause) == AttemptOutcome::kReset);
   all.links.reset();
-  CHECK(all.Results() == kHolders);
+  CHECK(all.Results() == kMaxEndpoints);
 }
 
 TEST_CASE("what finds all connections busy waits for one, and is not told as its holder's failure") {
-  constexpr int kHolders = 6, kMost = 4;
-  net::LinkLimits limits;
+  constexpr int kMaxEndpoints = 6, kMost = 4;
+  net::ConnectionLimits limits;
   limits.max_connections = kMost;
-  LinksUnderTest all(kHolders, limits);
-  for (int i = 0; i < kHolders; ++i) all.Send(i);
+  LinksUnderTest all(kMaxEndpoints, limits);
+  for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   std::vector<net::Fd> connections;
   for (int i = 0; i < kMost; ++i) connections.push_back(all.Take(i));
   CHECK(all.Results() == 0);
@@ -135,40 +135,40 @@
 }
 
 TEST_CASE("second connections to some holders leave room for a first one to each") {
-  constexpr int kHolders = 8, kMost = 10;
-  net::LinkLimits limits;
+  constexpr int kMaxEndpoints = 8, kMost = 10;
+  net::ConnectionLimits limits;
   limits.max_connections = kMost;
-  LinksUnderTest all(kHolders, limits);
+  LinksUnderTest all(kMaxEndpoints, limits);
   std::vector<net::Fd> connections;
-  for (int i = 0; i < kHolders; ++i) all.Send(i);
-  for (int i = 0; i < kHolders; ++i) connections.push_back(all.Take(i));
+  for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
+  for (int i = 0; i < kMaxEndpoints; ++i) connections.push_back(all.Take(i));
   net::WriteAll(connections[7], Served(8), 1'000'000);
   all.Ended(0);
   // A second part for each of the others shares its connection.
-  for (int i = 0; i < kHolders - 1; ++i) all.Send(i);
-  all.Send(kHolders - 1);
+  for (int i = 0; i < kMaxEndpoints - 1; ++i) all.Send(i);
+  all.Send(kMaxEndpoints - 1);
   std::string got;
   REQUIRE(net::ReadSome(connections[7], got, 10'000'000) == net::Io::kOk);
-  CHECK(all.counters.connects.Value() == kHolders);
+  CHECK(all.counters.connects.Value() == kMaxEndpoints);
   CHECK(all.Results() == 1);
 }
 
 TEST_CASE("the limits hold a connection for each of two hundred holders, and clients keep theirs") {
   // Of few holders a quarter is kept; clients' threads are bounded by the memory, connections to holders not.
-  CHECK(config::ShareOut(1024, 192, 16).holder_connections == 244);
+  CHECK(config::ShareOut(1024, 192, 16).endpoint_connections == 244);
   CHECK(config::ShareOut(1024, 192, 16).client_connections == 732);
-  CHECK(config::ShareOut(256, 32, 16).holder_connections == 52);
-  for (auto [sockets, memory_mb, holders] : {std::tuple(608, 47, 172), {544, 62, 163}, {640, 62, 200}}) {
-    config::Budget budget = config::ShareOut(sockets, memory_mb, holders);
-    INFO(sockets << " descriptors, " << memory_mb << " MB, " << holders << " holders");
-    CHECK(budget.holder_connections >= holders * 5 / 4);
+  CHECK(config::ShareOut(256, 32, 16).endpoint_connections == 52);
+  for (auto [sockets, memory_mb, endpoints] : {std::tuple(608, 47, 172), {544, 62, 163}, {640, 62, 200}}) {
+    config::Budget budget = config::ShareOut(sockets, memory_mb, endpoints);
+    INFO(sockets << " descriptors, " << memory_mb << " MB, " << endpoints << " holders");
+    CHECK(budget.endpoint_connections >= endpoints * 5 / 4);
     CHECK(budget.client_connections >= sockets / 4);
     CHECK(budget.client_requests >= sockets / 4);
-    CHECK(budget.holder_connections + budget.client_connections <= sockets - 48);
+    CHECK(budget.endpoint_connections + budget.client_connections <= sockets - 48);
   }
   // Too few for all: holders get what clients can spare, not what a quarter would be.
   config::Budget few = config::ShareOut(256, 32, 200);
-  CHECK(few.holder_connections == 130);
+  CHECK(few.endpoint_connections == 130);
   CHECK(few.client_connections == 78);
 }
 
@@ -177,7 +177,7 @@
   auto load = [&dialect](const std::string& report) {
     std::string rest = "ax.1 served 7 " + report + "\nv", in{static_cast<char>(rest.size()), 0, 0, 0};
     in += rest;
-    std::vector<net::HolderAnswer> out;
+    std::vector<net::EndpointAnswer> out;
     CHECK(dialect.Reader()->Take(in, "", out));
     return out.at(0).load;
   };
@@ -242,7 +242,7 @@
   coordinator::FinalAnswer answer;
   answer.pieces = {piece(1, R"({"n":"b","sort":[9007199254740993]},{"n":"d","sort":[null]})"),
                    piece(0, R"({"n":"a","sort":[9007199254740993]},{"n":"c","sort":[9007199254740992]})")};
-  std::vector<coordinator::PartRequest> asked(2);
+  std::vector<coordinator::ShardRequest> asked(2);
   auto merged = opensearch::MergeHits(search, answer, {0, false, &asked});
   REQUIRE(merged);
   std::string order;
@@ -258,11 +258,11 @@
   dns::Zone zone = dns::ParseZone(
       "$ORIGIN Z.\n@ 60 IN SOA ns root 1 2 3 4 5\n_s SRV 0 1 9200 a ; first\n_s SRV 0 1 9201 b\n"
       "a A 127.0.0.1\n  TXT \"cell=3\" \"started_ms=7\"\nb A 127.0.0.2\n");
-  auto holders = dns::Holders(zone, "_s.z.");
-  REQUIRE(holders.size() == 1);  // b has no cell
-  CHECK(holders["a.z."].addr == "127.0.0.1:9200");
-  CHECK(holders["a.z."].told.cell == 3);
-  CHECK(holders["a.z."].told.launched_us == 7000);
+  auto endpoints = dns::Holders(zone, "_s.z.");
+  REQUIRE(endpoints.size() == 1);  // b has no cell
+  CHECK(endpoints["a.z."].addr == "127.0.0.1:9200");
+  CHECK(endpoints["a.z."].told.cell == 3);
+  CHECK(endpoints["a.z."].told.started_us == 7000);
   CHECK_THROWS(dns::ParseZone("a A 127.0.0.1\n"));
   CHECK_THROWS(dns::ParseZone("$ORIGIN z.\n@ SOA ns root ( 1 2 3 4 5\n"));
   std::string head("\0\1\x28\0\0\1\0\0\0\2\0\0\1z\0\0\6\0\1", 19);
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-Gatherer::Gatherer(const std::string& program, const std::string& folder, const std::string& config,
+CoordinatorProcess::CoordinatorProcess(const std::string& program, const std::string& directory, const std::string& config,
                    const std::vector<std::string>& arguments, int passed)
-    : log_(folder + "/log") {
-  std::string path = folder + "/config.json";
+    : log_(directory + "/log") {
+  std::string path = directory + "/config.json";
   std::ofstream(path) << config;
   std::vector<std::string> words = arguments;
   for (std::string& word : words) {
@@ -54,36 +54,36 @@
   }
 }
 
-std::string Gatherer::Logged(const std::string& mark) const {
+std::string CoordinatorProcess::Logged(const std::string& mark) const {
   std::string text = Log();
   auto at = text.find(mark);
   auto end = at == std::string::npos ? at : text.find('\n', at);
   return end == std::string::npos ? "" : text.substr(at + mark.size(), end - at - mark.size());
 }
 
-std::string Gatherer::Log() const {
+std::string CoordinatorProcess::Log() const {
   std::ostringstream out;
   out << std::ifstream(log_).rdbuf();
   return out.str();
 }
 
-void Gatherer::Signal(int signal) const { ::kill(child_, signal); }
+void CoordinatorProcess::Signal(int signal) const { ::kill(child_, signal); }
 
-void Gatherer::Kill() {
+void CoordinatorProcess::Kill() {
   if (child_ <= 0) return;
   ::kill(child_, SIGKILL);
   ::waitpid(child_, nullptr, 0);
   child_ = -1;
 }
 
-double Gatherer::CpuMs() const {
+double CoordinatorProcess::CpuMs() const {
   clockid_t clock{};
   timespec used{};
   if (::clock_getcpuclockid(child_, &clock) != 0 || ::clock_gettime(clock, &used) != 0) return -1;
   return static_cast<double>(used.tv_sec) * 1e3 + static_cast<double>(used.tv_nsec) / 1e6;
 }
 
-double Gatherer::Stop() {
+double CoordinatorProcess::Stop() {
   if (child_ <= 0) return -1;
   ::kill(child_, SIGTERM);
   int status = 0;
--- a/tools/test_support/coordinator_process.h
+++ b/tools/test_support/coordinator_process.h
@@ -16,15 +16,15 @@
 
 constexpr net::Micros kPatience = 20'000'000;  // ends what hangs, decides nothing else
 
-class Gatherer {
+class CoordinatorProcess {
  public:
   // Writes the configuration into the folder and starts the program there; `arguments` with $CONFIG for the
   // file's path. `passed`: a listener that it inherits as descriptor 3. Ready once addr() is not empty; else
   // Log() says why not.
-  Gatherer(const std::string& program, const std::string& folder, const std::string& config,
+  CoordinatorProcess(const std::string& program, const std::string& directory, const std::string& config,
            const std::vector<std::string>& arguments = {}, int passed = -1);
-  ~Gatherer() { Kill(); }
-  Gatherer(const Gatherer&) = delete;
+  ~CoordinatorProcess() { Kill(); }
+  CoordinatorProcess(const CoordinatorProcess&) = delete;
 
   const std::string& addr() const { return addr_; }
   // The word after this in the log; empty: it has not said so.
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-Discovery::Discovery() : listener_(net::Listen("127.0.0.1:0")), addr_(net::LocalAddress(listener_)) {
+FakeDiscovery::FakeDiscovery() : listener_(net::Listen("127.0.0.1:0")), addr_(net::LocalAddress(listener_)) {
   loop_ = net::Thread([this] { Loop(); });
 }
 
-Discovery::~Discovery() {
+FakeDiscovery::~FakeDiscovery() {
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -30,20 +30,20 @@
   loop_.Join();
 }
 
-void Discovery::Tell(const std::string& id, const std::string& holder_addr, int cell,
+void FakeDiscovery::Tell(const std::string& id, const std::string& endpoint_addr, int cell,
                      const std::string& state) {
-  Tell({{id, holder_addr, cell, state}});
+  Tell({{id, endpoint_addr, cell, state}});
 }
 
-void Discovery::Tell(const std::vector<Entry>& entries) {
+void FakeDiscovery::Tell(const std::vector<Entry>& entries) {
   std::lock_guard lock(mutex_);
   std::string all;
   for (const Entry& one : entries) {
     std::string entry = fmt::format(
         R"({{"id":"{}","addr":"{}","zone":"dc1","kind":"k","cell":{},"state":"{}","weight":1.0,"started_ms":0}})",
         one.id, one.addr, one.cell, one.state);
-    holders_[one.id] = entry;
-    if (one.state == "gone") holders_.erase(one.id);
+    endpoints_[one.id] = entry;
+    if (one.state == "gone") endpoints_.erase(one.id);
     all += (all.empty() ? "" : ",") + entry;
   }
   ++version_;
@@ -51,25 +51,25 @@
   for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, chunks, kWait);
 }
 
-std::string Discovery::Chunks(const std::string& list) const {
+std::string FakeDiscovery::Chunks(const std::string& list) const {
   if (!indented_) return Chunk(list + "\n");
   std::string text = "\n" + nlohmann::json::parse(list).dump(4) + "\n\n", out;
   for (std::size_t at = 0; at < text.size(); at += kPiece) out += Chunk(text.substr(at, kPiece));
   return out;
 }
 
-std::string Discovery::Lines(const std::string& servers, bool full) const {
+std::string FakeDiscovery::Lines(const std::string& servers, bool full) const {
   return fmt::format(R"({{"version":{},"full":{},"servers":[{}]}})", version_, full, servers);
 }
 
-std::string Discovery::List() const {
+std::string FakeDiscovery::List() const {
   std::lock_guard lock(mutex_);
   std::string all;
-  for (const auto& [id, entry] : holders_) all += (all.empty() ? "" : ",") + entry;
+  for (const auto& [id, entry] : endpoints_) all += (all.empty() ? "" : ",") + entry;
   return Lines(all, true);
 }
 
-void Discovery::Loop() {
+void FakeDiscovery::Loop() {
   net::SteadyClock clock;
   net::Micros beat_us = clock.Now();
   while (true) {
