--- a/tools/test_support/fake_discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -13,10 +13,10 @@
 
 namespace liftrudder::test_support {
 
-class Discovery {
+class FakeDiscovery {
  public:
-  Discovery();
-  ~Discovery();
+  FakeDiscovery();
+  ~FakeDiscovery();
 
   // From now on lists come indented, cut into chunks in the middle of anything.
   void Indent() { indented_ = true; }
@@ -30,7 +30,7 @@
 
   const std::string& addr() const { return addr_; }
   // state: ready, draining or gone. Watchers are told at once.
-  void Tell(const std::string& id, const std::string& holder_addr, int cell, const std::string& state);
+  void Tell(const std::string& id, const std::string& endpoint_addr, int cell, const std::string& state);
   // The whole list, in the form that a configuration's `known` has too.
   std::string List() const;
 
@@ -45,7 +45,7 @@
   bool stopping_ = false;
   std::atomic<bool> indented_{false};
   int version_ = 1;
-  std::map<std::string, std::string> holders_;  // id to its JSON
+  std::map<std::string, std::string> endpoints_;  // id to its JSON
   std::list<net::Fd> watchers_;
   net::Thread loop_;
 };
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-FrameHolder::FrameHolder(Script script)
+FakeEndpoint::FakeEndpoint(Script script)
     : script_(std::move(script)), listener_(net::Listen("127.0.0.1:0")), addr_(net::LocalAddress(listener_)) {
   acceptor_ = net::Thread([this] { AcceptLoop(); });
   answerer_ = net::Thread([this] { AnswerLoop(); });
 }
 
-FrameHolder::~FrameHolder() {
+FakeEndpoint::~FakeEndpoint() {
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -44,12 +44,12 @@
   for (const auto& connection : connections_) connection->reader.Join();
 }
 
-std::vector<LoggedPart> FrameHolder::Log() const {
+std::vector<LoggedPart> FakeEndpoint::Log() const {
   std::lock_guard lock(mutex_);
   return log_;
 }
 
-void FrameHolder::AcceptLoop() {
+void FakeEndpoint::AcceptLoop() {
   while (true) {
     net::Fd fd = net::Accept(listener_, kSlice);
     std::lock_guard lock(mutex_);
@@ -62,7 +62,7 @@
   }
 }
 
-void FrameHolder::ReadLoop(const std::shared_ptr<Connection>& connection) {
+void FakeEndpoint::ReadLoop(const std::shared_ptr<Connection>& connection) {
   std::string in;
   while (!connection->over) {
     net::Io got = net::ReadSome(connection->fd, in, kSlice);
@@ -80,7 +80,7 @@
   }
 }
 
-void FrameHolder::Take(const std::shared_ptr<Connection>& connection, std::string_view frame) {
+void FakeEndpoint::Take(const std::shared_ptr<Connection>& connection, std::string_view frame) {
   std::lock_guard lock(mutex_);
   if (frame.empty()) return;
   if (frame[0] == 'c') {
@@ -106,7 +106,7 @@
   }
 }
 
-void FrameHolder::AnswerLoop() {
+void FakeEndpoint::AnswerLoop() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     if (replies_.empty()) {
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -31,13 +31,13 @@
   bool given_up = false;  // a frame `c` came for it
 };
 
-class FrameHolder {
+class FakeEndpoint {
  public:
   // Asked for each part, on the connection's thread; `nth`: how many parts came before it.
   using Script = std::function<Behaviour(const std::string& part, std::size_t nth)>;
 
-  explicit FrameHolder(Script script);
-  ~FrameHolder();
+  explicit FakeEndpoint(Script script);
+  ~FakeEndpoint();
 
   const std::string& addr() const { return addr_; }
   std::vector<LoggedPart> Log() const;
--- a/tools/test_support/temporary_directory.h
+++ b/tools/test_support/temporary_directory.h
@@ -8,20 +8,20 @@
 
 namespace liftrudder::test_support {
 
-class Folder {
+class TemporaryDirectory {
  public:
-  Folder() {
+  TemporaryDirectory() {
     std::random_device random;
     do {
       path_ = (std::filesystem::temp_directory_path() / ("liftrudder-" + std::to_string(random()))).string();
     } while (!std::filesystem::create_directory(path_));
   }
-  ~Folder() {
+  ~TemporaryDirectory() {
     std::error_code ignored;
     std::filesystem::remove_all(path_, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 
   const std::string& path() const { return path_; }
 
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-Field::Field(int holders, net::Micros delay_us)
+TestFleet::TestFleet(int endpoints, net::Micros delay_us)
     : delay_us_(delay_us),
-      parts_(static_cast<std::size_t>(holders)),
-      newest_us_(static_cast<std::size_t>(holders)),
+      parts_(static_cast<std::size_t>(endpoints)),
+      newest_us_(static_cast<std::size_t>(endpoints)),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  for (int i = 0; i < holders; ++i) {
+  for (int i = 0; i < endpoints; ++i) {
     listeners_.push_back(net::Listen("127.0.0.1:0"));
     addrs_.push_back(net::LocalAddress(listeners_.back()));
     epoll_event event{EPOLLIN, {}};
@@ -30,22 +30,22 @@
   thread_ = net::Thread([this] { Loop(); });
 }
 
-Field::~Field() {
+TestFleet::~TestFleet() {
   stopping_ = true;
   thread_.Join();
 }
 
-int Field::parts(int holder) const {
+int TestFleet::parts(int endpoint) const {
   std::lock_guard lock(mutex_);
-  return parts_[static_cast<std::size_t>(holder)];
+  return parts_[static_cast<std::size_t>(endpoint)];
 }
 
-net::Micros Field::newest_us(int holder) const {
+net::Micros TestFleet::newest_us(int endpoint) const {
   std::lock_guard lock(mutex_);
-  return newest_us_[static_cast<std::size_t>(holder)];
+  return newest_us_[static_cast<std::size_t>(endpoint)];
 }
 
-void Field::Loop() {
+void TestFleet::Loop() {
   std::vector<epoll_event> events(kAtOnce);
   while (!stopping_) {
     int got = ::epoll_wait(epoll_.Get(), events.data(), kAtOnce, kSliceMs);
@@ -56,15 +56,15 @@
         if (line != lines_.end() && !Read(line->second)) lines_.erase(line);
         continue;
       }
-      auto holder = static_cast<int>(events[static_cast<std::size_t>(i)].data.u64 >> 32);
-      net::Fd taken = net::Accept(listeners_[static_cast<std::size_t>(holder)], 0);
+      auto endpoint = static_cast<int>(events[static_cast<std::size_t>(i)].data.u64 >> 32);
+      net::Fd taken = net::Accept(listeners_[static_cast<std::size_t>(endpoint)], 0);
       if (!taken.Valid()) continue;
       ++taken_;
       int number = taken.Get();
       epoll_event event{EPOLLIN, {}};
       event.data.u64 = static_cast<std::uint64_t>(number);
       ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, number, &event);
-      lines_[number] = {std::move(taken), holder, ""};
+      lines_[number] = {std::move(taken), endpoint, ""};
     }
     net::Micros now = clock_.Now();
     for (; !replies_.empty() && replies_.front().at_us <= now; replies_.pop_front()) {
@@ -74,7 +74,7 @@
   }
 }
 
-bool Field::Read(Line& line) {
+bool TestFleet::Read(Line& line) {
   net::Io got = net::ReadNow(line.fd, line.in);
   if (got == net::Io::kEnd || got == net::Io::kError) {
     // Its number may be given again: what was to go out on it goes nowhere.
@@ -95,8 +95,8 @@
     std::string text{static_cast<char>(answer.size()), static_cast<char>(answer.size() >> 8), 0, 0};
     replies_.push_back({now + delay_us_, line.fd.Get(), text + answer});
     std::lock_guard lock(mutex_);
-    ++parts_[static_cast<std::size_t>(line.holder)];
-    newest_us_[static_cast<std::size_t>(line.holder)] = now;
+    ++parts_[static_cast<std::size_t>(line.endpoint)];
+    newest_us_[static_cast<std::size_t>(line.endpoint)] = now;
   }
   return true;
 }
--- a/tools/test_support/test_fleet.h
+++ b/tools/test_support/test_fleet.h
@@ -15,22 +15,22 @@
 
 namespace liftrudder::test_support {
 
-class Field {
+class TestFleet {
  public:
-  Field(int holders, net::Micros delay_us);
-  ~Field();
+  TestFleet(int endpoints, net::Micros delay_us);
+  ~TestFleet();
 
-  const std::string& addr(int holder) const { return addrs_[static_cast<std::size_t>(holder)]; }
-  int parts(int holder) const;
+  const std::string& addr(int endpoint) const { return addrs_[static_cast<std::size_t>(endpoint)]; }
+  int parts(int endpoint) const;
   // When the newest part came there, by the steady clock; 0: none has.
-  net::Micros newest_us(int holder) const;
+  net::Micros newest_us(int endpoint) const;
   // Connections taken in so far, and open now.
   int taken() const { return taken_; }
 
  private:
   struct Line {
     net::Fd fd;
-    int holder = 0;
+    int endpoint = 0;
     std::string in;
   };
   struct Reply {
