--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -14,12 +14,12 @@
 
 #include "coordinator/coordinator.h"
 #include "coordinator/endpoint_registry.h"
+#include "decision_log/explain_service.h"
 #include "test_support/allocation_counter.h"
-#include "test_support/fake_discovery.h"
-#include "test_support/temporary_directory.h"
 #include "test_support/coordinator_process.h"
+#include "test_support/fake_discovery.h"
 #include "test_support/fake_endpoint.h"
-#include "decision_log/explain_service.h"
+#include "test_support/temporary_directory.h"
 
 namespace {
 
@@ -36,8 +36,8 @@
 
 liftrudder::routing::Settings CoreSettings() {
   liftrudder::routing::Settings s;
-  liftrudder::routing::QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5,   liftrudder::routing::Effect::kIdempotent, 0, 0,
-                                0,         0.4,       1,   0.95};
+  liftrudder::routing::QueryClassSettings search{
+      2'000'000, 4'000'000, 0.3, 5, liftrudder::routing::Effect::kIdempotent, 0, 0, 0, 0.4, 1, 0.95};
   s.classes = {search};
   s.cells = s.shards = kMaxEndpoints;
   s.reach = 3;
@@ -52,9 +52,11 @@
  public:
   explicit Echo(coordinator::Coordinator& coordinator) : coordinator_(coordinator) {}
   void Start(coordinator::AttemptRequest order) override {
-    coordinator_.Post(coordinator::AttemptResult{order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
+    coordinator_.Post(coordinator::AttemptResult{
+        order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
+  }
+  void Withdraw(const coordinator::AttemptKey&, const coordinator::EndpointId&, coordinator::Cause) override {
   }
-  void Withdraw(const coordinator::AttemptKey&, const coordinator::EndpointId&, coordinator::Cause) override {}
   void CallOff(const coordinator::AttemptKey&) override {}
   void CloseIdle(const coordinator::EndpointId&) override {}
   void ForgetGone() override {}
@@ -150,15 +152,16 @@
     std::int64_t now_us = 1'000'000'000 + std::int64_t{i} * 5'000;
     recorder.Now(now_us);
     std::string id = fmt::format("bench-{:08}", i);
-    recorder.Open({query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""}, parts);
+    recorder.Open({query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""},
+                  parts);
     for (int part = 0; part < kParts; ++part) {
       liftrudder::routing::Send send{0, {1, 1}, 1'000'000, {}};
       send.reason.choice.count = 3;
       for (std::uint32_t j = 0; j < 3; ++j)
         send.reason.choice.replicas[j] = {{j + 1, 1}, 0, liftrudder::routing::Eligibility::kEligible, true};
       recorder.Sent(query, part, 0, send);
-      recorder.Ended(query, part, 0, 1, liftrudder::routing::AttemptOutcome::kOk, decision_log::Progress::kAnswering,
-                     decision_log::Cause::kServed);
+      recorder.Ended(query, part, 0, 1, liftrudder::routing::AttemptOutcome::kOk,
+                     decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
     recorder.Final(query, decision_log::Verdict::kComplete, {}, decision_log::IntakeResult::kNone, 0, kParts);
     recorder.Flush();
@@ -195,7 +198,8 @@
     }));
     discovery.Tell(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
   }
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, bytes));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
+                                                       Config(discovery, bytes));
   if (coordinator_process.addr().empty()) {
     std::fprintf(stderr, "%s\n", coordinator_process.Log().c_str());
     std::exit(1);
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "test_support/fake_discovery.h"
-#include "test_support/temporary_directory.h"
 #include "test_support/coordinator_process.h"
+#include "test_support/fake_discovery.h"
 #include "test_support/fake_endpoint.h"
+#include "test_support/temporary_directory.h"
 
 namespace {
 
@@ -53,7 +53,8 @@
                 test_support::kPatience);
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   auto state = net::HttpParser::State::kHead;
-  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk)
+  while (state != net::HttpParser::State::kDone &&
+         net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk)
     state = parser.Feed(in);
   return parser.message().status == 200 && parser.message().body.starts_with("{\"full\":true");
 }
@@ -64,11 +65,13 @@
   for (int cell = 0; cell < endpoints; ++cell) {
     all.push_back(std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
       auto spread = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
-      return test_support::Behaviour{test_support::Act::kServe, 10'000 + static_cast<net::Micros>(spread) * 1'000};
+      return test_support::Behaviour{test_support::Act::kServe,
+                                     10'000 + static_cast<net::Micros>(spread) * 1'000};
     }));
     discovery.Tell(fmt::format("s-{}", cell), all.back()->addr(), cell, "ready");
   }
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, endpoints));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
+                                                       Config(discovery, endpoints));
   if (coordinator_process.addr().empty()) {
     std::fprintf(stderr, "%s\n", coordinator_process.Log().c_str());
     std::exit(1);
--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "identity/token_verifier.h"
-#include "support/token_issuer.h"
 #include "net/socket.h"
 #include "net/tls.h"
+#include "support/token_issuer.h"
 #include "support/token_signer.h"
 
 namespace {
--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -1,7 +1,7 @@
 // Drives the decision module with a random but repeatable world and prints a digest of all its actions, so
-// that two versions of the decision module can be compared: same seeds, same digests, or the decisions differ. The
-// world reacts to the actions (holders queue, fail, fall silent, drain, restart, are replaced), so a single
-// different action shows in all that follows. Only fields that every version has are looked at.
+// that two versions of the decision module can be compared: same seeds, same digests, or the decisions
+// differ. The world reacts to the actions (holders queue, fail, fall silent, drain, restart, are replaced),
+// so a single different action shows in all that follows. Only fields that every version has are looked at.
 //
 //   replay_digest SEEDS [SECONDS]      one line a seed: seed, events, actions, digest
 #include <cstdint>
@@ -24,9 +24,11 @@
 
   static Settings Make(std::uint64_t seed) {
     Settings s;
-    QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5, Effect::kIdempotent, 5'000'000, 0, 0, 0.4, 1, 0.95};
+    QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5,   Effect::kIdempotent, 5'000'000, 0,
+                              0,         0.4,       1,   0.95};
     QueryClassSettings report{3'000'000, 10'000'000, 0.1, 3, Effect::kIdempotent, 5'000'000, 0, 0, 1, 1, 0.9};
-    QueryClassSettings permission_table{2'000'000, 5'000'000, 0, 1, Effect::kIdempotencyKey, 5'000'000, 0, 0, 1, 1, 0.9};
+    QueryClassSettings permission_table{2'000'000, 5'000'000, 0, 1,  Effect::kIdempotencyKey, 5'000'000, 0,
+                                        0,         1,         1, 0.9};
     if (seed % 4 == 1) permission_table.effect = Effect::kNonIdempotent;
     s.classes = {search, report, permission_table};
     s.fleet_size = 2;
--- a/simulator/codec.cpp
+++ b/simulator/codec.cpp
@@ -1,11 +1,11 @@
 #include "simulator/codec.h"
 
-#include "config/routing_settings.h"
-
 #include <bit>
 #include <concepts>
 #include <optional>
 
+#include "config/routing_settings.h"
+
 namespace liftrudder::simulator {
 
 using namespace routing;
@@ -126,9 +126,15 @@
   std::uint64_t key = in.U64("object");
   Micros timeout_remaining_us = in.U32("patienceLeftUs");
   if (shard >= 0) return ShardRequestReceived{id, number, shard, share_or_count, key, work_us};
-  return QueryReceived{id,          number,      static_cast<int>(share_or_count),
-                      class_index, tenant,      (flags & kFlagRepeated) != 0,
-                      key,         timeout_remaining_us, work_us};
+  return QueryReceived{id,
+                       number,
+                       static_cast<int>(share_or_count),
+                       class_index,
+                       tenant,
+                       (flags & kFlagRepeated) != 0,
+                       key,
+                       timeout_remaining_us,
+                       work_us};
 }
 
 Event Attempt(Reader& in) {
--- a/simulator/codec.h
+++ b/simulator/codec.h
@@ -15,9 +15,9 @@
 namespace liftrudder::simulator {
 
 using routing::Action;
+using routing::Endpoint;
 using routing::Event;
 using routing::Micros;
-using routing::Endpoint;
 using routing::Settings;
 
 // What is wrong with a frame, and where.
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -1,4 +1,5 @@
-// simulator_adapter: hosts instances of the module on the simulator's wire. It translates and decides nothing.
+// simulator_adapter: hosts instances of the module on the simulator's wire. It translates and decides
+// nothing.
 #include <cstdio>
 #include <exception>
 #include <string>
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -8,9 +8,9 @@
 #include <memory>
 #include <stdexcept>
 
+#include "decision_log/explain_service.h"
 #include "net/http.h"
 #include "net/socket.h"
-#include "decision_log/explain_service.h"
 
 namespace liftrudder::app {
 namespace {
@@ -70,7 +70,8 @@
                             .count();
   auto question = decision_log::ReadQuestion(options.Parameters(), now_us);
   if (const auto* wrong = std::get_if<std::string>(&question)) return Print(400, *wrong);
-  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::RecordFile::Open(options.file), std::get<decision_log::Question>(question));
+  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::RecordFile::Open(options.file),
+                                                       std::get<decision_log::Question>(question));
   return Print(reply.status, reply.body);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
@@ -118,18 +119,19 @@
   reason->add_option("--file", options->file, "A record's file in place of a running gatherer")->excludes(at);
   reason->add_option("--class", options->class_name, "Only queries of this class");
   reason->add_option("--verdict", options->verdict,
-                  "open, whole, partial, refused, failed, late, gone or turned_away");
+                     "open, whole, partial, refused, failed, late, gone or turned_away");
   reason->add_option("--holder", options->endpoint,
-                  "Only queries of which a part went to this holder (id or address)");
-  reason->add_option("--reason", options->reason, "Only queries that ended for this reason, such as pressure");
+                     "Only queries of which a part went to this holder (id or address)");
+  reason->add_option("--reason", options->reason,
+                     "Only queries that ended for this reason, such as pressure");
   reason->add_option("--since", options->since,
-                  "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
+                     "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
   reason->add_option("--until", options->until, "Came no later");
   reason->add_option("--limit", options->limit, "At most so many, newest first")
       ->check(CLI::Range(1, 500))
       ->capture_default_str();
   reason->add_flag("--summary", options->summary,
-                "Counts of the last minute and since the start, by reason and holder");
+                   "Counts of the last minute and since the start, by reason and holder");
   reason->add_flag("--json", options->json, "JSON in place of text");
   reason->footer(
       "Ends with 0; 1: nothing is kept of that id; 2: a filter or file that cannot be used; 3: no answer.");
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 using routing::CheckSettings;
-using routing::QueryClassSettings;
 using routing::Effect;
 using routing::Micros;
+using routing::QueryClassSettings;
 using routing::Settings;
 using Json = nlohmann::json;
 
--- a/src/coordinator/action_dispatch.cpp
+++ b/src/coordinator/action_dispatch.cpp
@@ -29,7 +29,8 @@
     recorder_->Cancelled(part->query, static_cast<int>(cancel.part - part->query - 1), cancel);
   // Guards against a second copy where none is allowed: what the module sends elsewhere when this has ended
   // must wait until its holder is known to be done with it. A query that is over sends nothing more.
-  bool moves = cancel.reason == routing::CancelReason::kEndpointOutlier || cancel.reason == routing::CancelReason::kDeadConnection;
+  bool moves = cancel.reason == routing::CancelReason::kEndpointOutlier ||
+               cancel.reason == routing::CancelReason::kDeadConnection;
   coordinator::AttemptKey key{cancel.part, cancel.attempt};
   if (moves && !settings_.hedging_allowed) return transport_->CallOff(key);
   transport_->Withdraw(key, part->attempts[index].endpoint, Cause::kWithdrawn);
--- a/src/coordinator/admission.cpp
+++ b/src/coordinator/admission.cpp
@@ -16,7 +16,7 @@
     counters_.turned_away.Add();
     // Under the name that its client knows.
     NoteIntake(decision_log::IntakeResult::kTooManyOpen, request.front, request.class_index, 503,
-             request.label.empty() ? request.payload->call_id : request.label, open_.load() + size, most);
+               request.label.empty() ? request.payload->call_id : request.label, open_.load() + size, most);
     return std::nullopt;
   }
   open_queries_.fetch_add(1);
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 Coordinator::Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
-           const EndpointResolver& endpoint_registry, metrics::Counters& counters)
+                         const EndpointResolver& endpoint_registry, metrics::Counters& counters)
     : settings_(settings),
       aggregator_(settings, seed),
       clock_(clock),
@@ -113,7 +113,8 @@
     events_.push_back(routing::TimerFired{timers_.begin()->second});
     timers_.erase(timers_.begin());
   }
-  for (const auto& [key, endpoint] : in_flight_.Expired(now_)) transport_->Withdraw(key, endpoint, Cause::kExpired);
+  for (const auto& [key, endpoint] : in_flight_.Expired(now_))
+    transport_->Withdraw(key, endpoint, Cause::kExpired);
 }
 
 void Coordinator::Act(const routing::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -12,10 +12,10 @@
 #include <variant>
 
 #include "coordinator/in_flight_table.h"
-#include "coordinator/round_pacer.h"
 #include "coordinator/interfaces.h"
-#include "metrics/metrics.h"
+#include "coordinator/round_pacer.h"
 #include "decision_log/recorder.h"
+#include "metrics/metrics.h"
 
 namespace liftrudder::coordinator {
 
@@ -33,7 +33,7 @@
 class Coordinator {
  public:
   Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
-       const EndpointResolver& endpoint_registry, metrics::Counters& counters);
+              const EndpointResolver& endpoint_registry, metrics::Counters& counters);
 
   void Attach(EndpointTransport& transport) { transport_ = &transport; }
   // Before Run: called on the core's thread after each list, which may be longer than those before.
@@ -47,8 +47,8 @@
   void Post(Input input);
 
   // From a front's thread: what the record is to know of a client. Waits for nobody.
-  void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index, int status, std::string_view call_id,
-                double figure = 0, double bound = 0);
+  void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
+                  int status, std::string_view call_id, double figure = 0, double bound = 0);
   void NoteGiven(const std::vector<Served>& served, int status, std::size_t bytes, bool whole);
   // Has the record made readable up to now; waits a fifth of a second at most, on the caller's thread.
   void Freshen();
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -7,8 +7,9 @@
   if (recorder_->Tell(note)) wake_.notify_one();
 }
 
-void Coordinator::NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index, int status,
-                    std::string_view call_id, double figure, double bound) {
+void Coordinator::NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
+                             int class_index, int status, std::string_view call_id, double figure,
+                             double bound) {
   if (recorder_ == nullptr) return;
   decision_log::Note note;
   note.intake = intake;
@@ -61,7 +62,8 @@
   }
 }
 
-void Coordinator::RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason, int pieces) {
+void Coordinator::RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason,
+                            int pieces) {
   if (recorder_ == nullptr) return;
   decision_log::Verdict verdict = decision_log::Verdict::kFailed;
   if (answer.verdict == Verdict::kAnswered)
--- a/src/coordinator/endpoint_registry.h
+++ b/src/coordinator/endpoint_registry.h
@@ -27,7 +27,6 @@
 
 class EndpointRegistry : public EndpointResolver {
  public:
-
   // What the module is to be told; nothing when the list is older than what is known.
   std::optional<routing::EndpointListUpdate> Apply(const EndpointList& list, Micros told_us);
   EndpointAddress Find(const EndpointId& endpoint) const override;
@@ -36,8 +35,8 @@
   int Listed() const;
   // Who would tell of a newer list has been asked and had none.
   void NothingNewer();
-  // Until a list has come since the start, beside the one that was known before it, or was not needed; waits at most
-  // so long.
+  // Until a list has come since the start, beside the one that was known before it, or was not needed; waits
+  // at most so long.
   bool WaitHeard(Micros wait_us) const;
 
  private:
@@ -51,7 +50,7 @@
   std::map<std::string, EndpointId> ids_;
   std::map<EndpointId, EndpointAddress> endpoints_;
   std::map<EndpointId, Micros> gone_;  // since when; they are forgotten in time
-  std::uint32_t given_ = 0;           // ids so far: none is given twice
+  std::uint32_t given_ = 0;            // ids so far: none is given twice
 };
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -17,7 +17,7 @@
   for (std::size_t i = 0; i < request.parts.size(); ++i) {
     const ShardRequest& part = request.parts[i];
     events_.push_back(routing::ShardRequestReceived{arrival.id + 1 + static_cast<Id>(i), number_, part.shard,
-                                           part.weight, part.key, part.work_us});
+                                                    part.weight, part.key, part.work_us});
   }
   RecordOpen(arrival);
   in_flight_.Open(arrival.id, request, std::move(arrival.reply));
@@ -28,7 +28,8 @@
   if (query == nullptr) return;
   counters_.gone.Add();
   if (recorder_ != nullptr) {
-    auto verdict = hangup.intake == decision_log::IntakeResult::kLate ? decision_log::Verdict::kLate : decision_log::Verdict::kGone;
+    auto verdict = hangup.intake == decision_log::IntakeResult::kLate ? decision_log::Verdict::kLate
+                                                                      : decision_log::Verdict::kGone;
     recorder_->Final(hangup.id, verdict, {}, hangup.intake, 0, 0);
   }
   CloseQuery(hangup.id, query->parts);
--- a/src/coordinator/in_flight_table.cpp
+++ b/src/coordinator/in_flight_table.cpp
@@ -113,7 +113,8 @@
 }
 
 void InFlightTable::DropIfDone(std::map<Id, InFlightShardRequest>::iterator part) {
-  if (part->second.over && std::ranges::none_of(part->second.attempts, &InFlightAttempt::out)) parts_.erase(part);
+  if (part->second.over && std::ranges::none_of(part->second.attempts, &InFlightAttempt::out))
+    parts_.erase(part);
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -7,15 +7,15 @@
 #include <string>
 #include <vector>
 
-#include "routing/router.h"
 #include "decision_log/counts.h"
+#include "routing/router.h"
 
 namespace liftrudder::coordinator {
 
-using routing::Id;
-using routing::Micros;
 using routing::AttemptOutcome;
 using routing::EndpointId;
+using routing::Id;
+using routing::Micros;
 
 struct ShardRequest {
   int shard = 0;
@@ -40,7 +40,7 @@
   std::string call_id;
   std::string idempotency_key;  // only in a deduplicated class
   std::string statement;
-  std::string target;                      // which index it is about, where a front has such a thing
+  std::string target;                            // which index it is about, where a front has such a thing
   std::shared_ptr<const ClientPresence> client;  // null: nobody looks
 };
 
@@ -113,8 +113,8 @@
   virtual void Deliver(FinalAnswer answer) = 0;
 };
 
-// Takes attempts to holders. No call blocks on a socket; each Start ends in exactly one result. What is started
-// in one round goes out with its end, so that parts for one holder can share a call.
+// Takes attempts to holders. No call blocks on a socket; each Start ends in exactly one result. What is
+// started in one round goes out with its end, so that parts for one holder can share a call.
 class EndpointTransport {
  public:
   virtual ~EndpointTransport() = default;
--- a/src/coordinator/round_pacer.h
+++ b/src/coordinator/round_pacer.h
@@ -20,9 +20,11 @@
   static constexpr double kRounds = 0.1;
   static constexpr double kMostApart = 0.01;
 
-  explicit RoundPacer(const routing::Settings& settings) : decision_interval_us_(settings.decision_interval_us) {
+  explicit RoundPacer(const routing::Settings& settings)
+      : decision_interval_us_(settings.decision_interval_us) {
     Micros least = settings.classes.empty() ? 0 : settings.classes[0].latency_objective_us;
-    for (const routing::QueryClassSettings& one : settings.classes) least = std::min(least, one.latency_objective_us);
+    for (const routing::QueryClassSettings& one : settings.classes)
+      least = std::min(least, one.latency_objective_us);
     most_us_ = std::max(decision_interval_us_, static_cast<Micros>(kMostApart * static_cast<double>(least)));
     apart_us_ = decision_interval_us_;
   }
--- a/src/decision_log/counts.cpp
+++ b/src/decision_log/counts.cpp
@@ -74,6 +74,8 @@
 std::optional<routing::CompletionCause> EndCauseOf(std::string_view name) {
   return Place<routing::CompletionCause>(kEndNames, name);
 }
-std::optional<IntakeResult> IntakeResultOf(std::string_view name) { return Place<IntakeResult>(kIntakeResultNames, name); }
+std::optional<IntakeResult> IntakeResultOf(std::string_view name) {
+  return Place<IntakeResult>(kIntakeResultNames, name);
+}
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/counts.h
+++ b/src/decision_log/counts.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string_view>
 
-#include "routing/router.h"
 #include "decision_log/attempt_result.h"
+#include "routing/router.h"
 
 namespace liftrudder::decision_log {
 
@@ -33,8 +33,8 @@
 // Where a count lies in the record's tables: one row a second, and the totals.
 constexpr std::size_t kTallyVerdict = 0;                      // + Verdict
 constexpr std::size_t kTallyEnd = kTallyVerdict + kVerdicts;  // + routing::CompletionCause
-constexpr std::size_t kTallyIntake = kTallyEnd + 16;            // + Door
-constexpr std::size_t kTallySend = kTallyIntake + 12;           // + routing::DispatchKind
+constexpr std::size_t kTallyIntake = kTallyEnd + 16;          // + Door
+constexpr std::size_t kTallySend = kTallyIntake + 12;         // + routing::DispatchKind
 constexpr std::size_t kTallyAfter = kTallySend + 8;           // + routing::AttemptOutcome, of resends
 constexpr std::size_t kTallyHeld = kTallyAfter + 8;           // + routing::PendingReason
 constexpr std::size_t kTallyDropped = kTallyHeld + 12;        // + Group: let go of to make room
@@ -47,9 +47,9 @@
 constexpr std::size_t kGroups = 7;
 
 enum class Lost : std::uint8_t {
-  kNoRoom,      // a query, as nothing could be let go of
-  kCutoff,         // an event, as its query's share was full
-  kQueueFull,    // a note of a front, as the core had not emptied its mailbox
+  kNoRoom,        // a query, as nothing could be let go of
+  kCutoff,        // an event, as its query's share was full
+  kQueueFull,     // a note of a front, as the core had not emptied its mailbox
   kIntakeRate,    // a refusal at the door beyond what is kept of these a second
   kEndpointName,  // of a holder number whose slot a newer one has
 };
--- a/src/decision_log/explain.cpp
+++ b/src/decision_log/explain.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 using Json = nlohmann::ordered_json;
+using routing::AttemptOutcome;
 using routing::CloseReason;
 using routing::CompletionCause;
-using routing::PendingReason;
-using routing::AttemptOutcome;
 using routing::DispatchKind;
+using routing::PendingReason;
 
 std::string ReasonOf(const QueryOccurrence& seen) {
   return std::string(seen.verdict == Verdict::kRejected ? Name(static_cast<IntakeResult>(seen.cause))
-                                                          : Name(static_cast<CompletionCause>(seen.cause)));
+                                                        : Name(static_cast<CompletionCause>(seen.cause)));
 }
 
 std::string ClassOf(int index, const About& about) {
--- a/src/decision_log/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -79,9 +79,9 @@
     for (const AttemptTrace& attempt : part.attempts) one["attempts"].push_back(JsonOf(attempt));
     for (const PendingTrace& held : part.held) {
       Json reason = {{"at_ms", Milliseconds(held.at_us)},
-                  {"why", Name(held.reason)},
-                  {"figure", Number(held.figure)},
-                  {"bound", Number(held.bound)}};
+                     {"why", Name(held.reason)},
+                     {"figure", Number(held.figure)},
+                     {"bound", Number(held.bound)}};
       if (!held.considered.empty()) reason["considered"] = JsonOf(held.considered);
       one["held"].push_back(std::move(reason));
     }
--- a/src/decision_log/explain_service.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -108,7 +108,8 @@
     return out;
   }
   TraceRenderer renderer(question.filter, reader.about(), question.json);
-  Found found = reader.Find(question.filter, [&renderer](const QueryTrace& trace) { return renderer.Add(trace); });
+  Found found =
+      reader.Find(question.filter, [&renderer](const QueryTrace& trace) { return renderer.Add(trace); });
   if (question.filter.id && found.told == 0) out.status = 404;
   out.body = std::move(renderer).Finish(found);
   return out;
@@ -116,7 +117,9 @@
 
 }  // namespace
 
-Reply AnswerFrom(const RecordFile& record_file, const Question& question) { return AnswerWith(Reader(record_file), question); }
+Reply AnswerFrom(const RecordFile& record_file, const Question& question) {
+  return AnswerWith(Reader(record_file), question);
+}
 
 Reply ExplainService::Ask(const Parameters& parameters) {
   Reply out;
--- a/src/decision_log/explain_service.h
+++ b/src/decision_log/explain_service.h
@@ -41,7 +41,8 @@
  public:
   // `freshen` has the writer make all readable that it knows; called before each reading, bounded in time by
   // whoever gives it. `now` is the program's clock.
-  ExplainService(const RecordFile& record_file, std::function<void()> freshen, std::function<std::int64_t()> now)
+  ExplainService(const RecordFile& record_file, std::function<void()> freshen,
+                 std::function<std::int64_t()> now)
       : record_file_(record_file), freshen_(std::move(freshen)), now_(std::move(now)) {}
 
   Reply Ask(const Parameters& parameters);
--- a/src/decision_log/explain_text.cpp
+++ b/src/decision_log/explain_text.cpp
@@ -9,11 +9,11 @@
 namespace liftrudder::decision_log {
 namespace {
 
-using routing::CompletionCause;
-using routing::PendingReason;
 using routing::AttemptOutcome;
+using routing::CompletionCause;
 using routing::DispatchKind;
 using routing::Eligibility;
+using routing::PendingReason;
 
 std::string Seconds(std::int64_t us) { return fmt::format("{:.3f} s", static_cast<double>(us) / 1e6); }
 
@@ -317,7 +317,8 @@
 }
 
 bool MayHaveRun(AttemptOutcome code) {
-  return code != AttemptOutcome::kFull && code != AttemptOutcome::kConnectFailed && code != AttemptOutcome::kNotSent;
+  return code != AttemptOutcome::kFull && code != AttemptOutcome::kConnectFailed &&
+         code != AttemptOutcome::kNotSent;
 }
 
 std::string TextOf(const QueryTrace& trace) {
@@ -346,11 +347,11 @@
       out += fmt::format("    {} it {} {}, {}.\n", Seconds(one.at_us), WhySent(one), Escaped(one.endpoint.id),
                          WhyThere(one));
       if (one.cancelled_us && (!one.ended_us || one.cause != Cause::kServed)) {
-        const char* reason = one.cancel_why == routing::CancelReason::kAnswered
-                              ? "another attempt had been answered"
-                          : one.cancel_why == routing::CancelReason::kQueryOver ? "the query was over"
-                          : one.cancel_why == routing::CancelReason::kEndpointOutlier ? "its holder looked sick"
-                                                                             : "its connection seemed dead";
+        const char* reason =
+            one.cancel_why == routing::CancelReason::kAnswered          ? "another attempt had been answered"
+            : one.cancel_why == routing::CancelReason::kQueryOver       ? "the query was over"
+            : one.cancel_why == routing::CancelReason::kEndpointOutlier ? "its holder looked sick"
+                                                                        : "its connection seemed dead";
         out += fmt::format("    {} that attempt was called off: {}.\n", Seconds(*one.cancelled_us), reason);
       }
       if (one.ended_us) {
--- a/src/decision_log/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -92,7 +92,8 @@
                                       : RecordFile::Cell::kTorn;
     bool good = cell == RecordFile::Cell::kGood;
     // Nobody's any more: it was let go of while it was read, which is no damage.
-    bool freed = block < layout.blocks && Low(record_file_.Load(layout.block_at + block * kBlockWords + 1)) == 0;
+    bool freed =
+        block < layout.blocks && Low(record_file_.Load(layout.block_at + block * kBlockWords + 1)) == 0;
     found.busy += cell == RecordFile::Cell::kBusy ? 1 : 0;
     found.torn += cell == RecordFile::Cell::kTorn && !freed ? 1 : 0;
     // Let go of while it was read: the block is another's now. Of the head, the whole query is gone then.
@@ -207,8 +208,8 @@
         }
         break;
       case EventKind::kHeld:
-        part()->held.push_back({time, static_cast<routing::PendingReason>(Byte(event[2], 0)), Real(Low(event[1])),
-                                Real(High(event[1])),
+        part()->held.push_back({time, static_cast<routing::PendingReason>(Byte(event[2], 0)),
+                                Real(Low(event[1])), Real(High(event[1])),
                                 Choice(event + 3, std::min<std::size_t>(Byte(event[2], 4), size - 3))});
         break;
       case EventKind::kFinal:
@@ -325,7 +326,8 @@
     out.blocks_used += Low(record_file_.Load(layout.block_at + block * kBlockWords + 1)) != 0 ? 1 : 0;
   out.totals.resize(kTallies);
   out.last_minute.resize(kTallies);
-  for (std::size_t kind = 0; kind < kTallies; ++kind) out.totals[kind] = record_file_.Load(layout.total_at + kind);
+  for (std::size_t kind = 0; kind < kTallies; ++kind)
+    out.totals[kind] = record_file_.Load(layout.total_at + kind);
   for (std::size_t i = 0; i < kSeconds * kTallies; ++i)
     out.now_s = std::max<std::int64_t>(out.now_s, High(record_file_.Load(layout.tally_at + i)));
   std::map<std::int64_t, std::uint64_t> dropped;
@@ -346,7 +348,8 @@
       continue;
     Summary::Holder endpoint;
     endpoint.name = Holder(Low(words[1]));
-    std::uint64_t* counts[] = {&endpoint.sent, &endpoint.resent_after, &endpoint.refused_for, &endpoint.missing};
+    std::uint64_t* counts[] = {&endpoint.sent, &endpoint.resent_after, &endpoint.refused_for,
+                               &endpoint.missing};
     for (std::size_t i = 0; i < kEndpointCounts; ++i) {
       std::uint64_t word = record_file_.Load(layout.endpoint_count_at + slot * kEndpointCounts + i);
       // The bucket's number is kept short: it comes round again after six days.
--- a/src/decision_log/reader.h
+++ b/src/decision_log/reader.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "decision_log/record_file.h"
 #include "decision_log/counts.h"
+#include "decision_log/record_file.h"
 
 namespace liftrudder::decision_log {
 
@@ -125,7 +125,7 @@
     EndpointName name;
     std::uint64_t sent = 0, resent_after = 0, refused_for = 0, missing = 0;
   };
-  std::vector<Holder> endpoints;                                  // with anything counted in the last minute
+  std::vector<Holder> endpoints;                                // with anything counted in the last minute
   std::vector<std::pair<std::int64_t, std::uint64_t>> dropped;  // let go of or lost, by second
   std::size_t blocks = 0, blocks_used = 0, bytes = 0;
 };
--- a/src/decision_log/record_file.h
+++ b/src/decision_log/record_file.h
@@ -19,8 +19,8 @@
 constexpr std::size_t kHeaderBytes = 4096;
 constexpr std::size_t kBlockWords = 32;     // 256 bytes
 constexpr std::size_t kBlockHeadWords = 3;  // of them: sequence and checksum; entry and use; next and verdict
-constexpr std::size_t kEndpointWords = 16;    // a holder's name and address
-constexpr std::size_t kMaxEndpoints = 1024;      // of whom names and tallies are kept at a time
+constexpr std::size_t kEndpointWords = 16;  // a holder's name and address
+constexpr std::size_t kMaxEndpoints = 1024;  // of whom names and tallies are kept at a time
 // A word for each of eight buckets of kBucketSeconds: the bucket's number, and 12 bits for each of four
 // kinds.
 constexpr std::size_t kEndpointCounts = 8;
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kBlocksShare = 16;  // one query may hold this part of all blocks at most,
 constexpr std::uint32_t kMostBlocks = 256;  // and no more than these, as a reader holds a whole query
                                             // unpacked one query may hold this part of all blocks at most
-constexpr double kIntakeRate = 20;            // refusals at the door kept a second, in the long run
+constexpr double kIntakeRate = 20;          // refusals at the door kept a second, in the long run
 constexpr double kIntakeBurst = 40;
 constexpr std::size_t kMostEvent = kBlockWords - kBlockHeadWords;
 constexpr std::size_t kIndexSlot = 8;  // bytes
@@ -72,7 +72,7 @@
 
 Recorder::Recorder(std::size_t bytes, const std::string& path, const About& about, std::uint64_t seed)
     : record_file_(path.empty() ? RecordFile::InMemory(ArenaBytes(bytes, sizeof(Entry)), about)
-                          : RecordFile::InFile(path, ArenaBytes(bytes, sizeof(Entry)), about)),
+                                : RecordFile::InFile(path, ArenaBytes(bytes, sizeof(Entry)), about)),
       retention_(record_file_.layout().blocks, seed),
       event_queue_(kQueueSize),
       entries_(record_file_.layout().blocks),
@@ -193,7 +193,7 @@
       if (entry.serial != serial) return;
       Touch(entry.head);
       record_file_.Store(WordOf(entry.head) + 2,
-                   record_file_.Load(WordOf(entry.head) + 2) | std::uint64_t{kFlagCut} << 48);
+                         record_file_.Load(WordOf(entry.head) + 2) | std::uint64_t{kFlagCut} << 48);
       return;
     }
     use = record_file_.Load(WordOf(entry.tail) + 1);
@@ -201,7 +201,8 @@
   }
   Touch(entry.tail);
   std::size_t at = WordOf(entry.tail);
-  for (std::size_t i = 0; i < words.size(); ++i) record_file_.Store(at + kBlockHeadWords + used + i, words[i]);
+  for (std::size_t i = 0; i < words.size(); ++i)
+    record_file_.Store(at + kBlockHeadWords + used + i, words[i]);
   record_file_.Store(at + 1, (use & 0xffffffffffffULL) | std::uint64_t{used + words.size()} << 48);
 }
 
@@ -211,8 +212,8 @@
   std::uint64_t word = record_file_.Load(WordOf(entry.head) + 2);
   std::uint64_t kept_flags = word >> 48 & 0xff;
   record_file_.Store(WordOf(entry.head) + 2, (word & 0xffffffff) |
-                                           std::uint64_t{static_cast<std::uint8_t>(verdict)} << 32 |
-                                           std::uint64_t{cause} << 40 | (kept_flags | flags) << 48);
+                                                 std::uint64_t{static_cast<std::uint8_t>(verdict)} << 32 |
+                                                 std::uint64_t{cause} << 40 | (kept_flags | flags) << 48);
 }
 
 // ---- The index of queries by number ----
@@ -351,10 +352,10 @@
   }
   std::array<std::uint64_t, kMostEvent> words;
   const routing::Choice& choice = send.reason.choice;
-  words[1] =
-      Pair(endpoint, static_cast<std::uint32_t>(attempt & 0xff) |
-                       std::uint32_t{static_cast<std::uint8_t>(send.reason.kind)} << 8 |
-                       static_cast<std::uint32_t>(send.reason.after) << 16 | std::uint32_t{choice.count} << 24);
+  words[1] = Pair(endpoint, static_cast<std::uint32_t>(attempt & 0xff) |
+                                std::uint32_t{static_cast<std::uint8_t>(send.reason.kind)} << 8 |
+                                static_cast<std::uint32_t>(send.reason.after) << 16 |
+                                std::uint32_t{choice.count} << 24);
   words[2] = Pair(static_cast<std::uint32_t>(std::clamp<std::int64_t>(send.timeout_us, 0, 0xffffffff)),
                   choice.unlisted);
   std::size_t count = 3;
@@ -382,7 +383,8 @@
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   using routing::CancelReason;
-  entry->eventful |= cancel.reason == CancelReason::kEndpointOutlier || cancel.reason == CancelReason::kDeadConnection;
+  entry->eventful |=
+      cancel.reason == CancelReason::kEndpointOutlier || cancel.reason == CancelReason::kDeadConnection;
   std::uint64_t words[2] = {First(EventKind::kCancel, 2, static_cast<std::uint32_t>(part), Since(*entry)),
                             static_cast<std::uint64_t>(cancel.attempt & 0xff) |
                                 std::uint64_t{static_cast<std::uint8_t>(cancel.reason)} << 8};
@@ -397,7 +399,8 @@
   Count(kTallyHeld + static_cast<std::size_t>(held.reason));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
-  entry->eventful |= held.reason != routing::PendingReason::kCutoff && held.reason != routing::PendingReason::kCanary;
+  entry->eventful |=
+      held.reason != routing::PendingReason::kCutoff && held.reason != routing::PendingReason::kCanary;
   std::array<std::uint64_t, kMostEvent> words;
   words[1] = Pair(held.figure, held.bound);
   words[2] = Pair(static_cast<std::uint8_t>(held.reason),
@@ -408,8 +411,8 @@
   Append(*entry, {words.data(), count});
 }
 
-void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason, IntakeResult intake,
-                     std::int64_t retry_after_us, int pieces) {
+void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason,
+                     IntakeResult intake, std::int64_t retry_after_us, int pieces) {
   Count(kTallyVerdict + static_cast<std::size_t>(verdict));
   Count(kTallyEnd + static_cast<std::size_t>(reason.cause));
   if (intake != IntakeResult::kNone) Count(kTallyIntake + static_cast<std::size_t>(intake));
@@ -420,7 +423,8 @@
   std::uint32_t whose = reason.replica.address != 0 ? reason.replica.address : entry->blamed;
   if (given_up && whose != 0 && reason.cause != routing::CompletionCause::kLoad)
     CountEndpoint(whose, EndpointCount::kRefusedFor);
-  if (verdict == Verdict::kPartial && entry->blamed != 0) CountEndpoint(entry->blamed, EndpointCount::kMissing);
+  if (verdict == Verdict::kPartial && entry->blamed != 0)
+    CountEndpoint(entry->blamed, EndpointCount::kMissing);
   auto cause = static_cast<std::uint8_t>(reason.cause);
   std::uint64_t words[4] = {
       First(EventKind::kFinal, 4, static_cast<std::uint32_t>(verdict) | std::uint32_t{cause} << 8,
@@ -439,8 +443,8 @@
                 : entry->eventful                                          ? Group::kEventful
                                                                            : Group::kOrdinary;
   SetHead(*entry, verdict, cause, 0);
-  record_file_.Store(WordOf(entry->head) + 2,
-               record_file_.Load(WordOf(entry->head) + 2) | std::uint64_t{static_cast<std::uint8_t>(group)} << 58);
+  record_file_.Store(WordOf(entry->head) + 2, record_file_.Load(WordOf(entry->head) + 2) |
+                                                  std::uint64_t{static_cast<std::uint8_t>(group)} << 58);
   entry->kept = true;
   retention_.Keep(static_cast<std::uint32_t>(entry - entries_.data()),
                   RetentionPolicy::Stratum(group, entry->class_index), now_us_, entry->blocks);
@@ -504,8 +508,8 @@
   Append(*entry, {words.data(), count});
   SetHead(*entry, Verdict::kRejected, cause, note.id_cut ? kFlagIdCut : 0);
   record_file_.Store(WordOf(entry->head) + 2,
-               record_file_.Load(WordOf(entry->head) + 2) |
-                   std::uint64_t{static_cast<std::uint8_t>(Group::kRejected)} << 58);
+                     record_file_.Load(WordOf(entry->head) + 2) |
+                         std::uint64_t{static_cast<std::uint8_t>(Group::kRejected)} << 58);
   retention_.Keep(static_cast<std::uint32_t>(entry - entries_.data()),
                   RetentionPolicy::Stratum(Group::kRejected, note.class_index), now_us_, entry->blocks);
 }
@@ -545,8 +549,8 @@
   record_file_.Store(at + 1, 0);
   record_file_.Store(at, id_hash);
   record_file_.Store(at + 1, Pair(second, std::uint32_t{static_cast<std::uint8_t>(verdict)} |
-                                        std::uint32_t{class_index} << 8 | std::uint32_t{cause} << 16 |
-                                        static_cast<std::uint32_t>(id_hash & 0xff) << 24));
+                                              std::uint32_t{class_index} << 8 | std::uint32_t{cause} << 16 |
+                                              static_cast<std::uint32_t>(id_hash & 0xff) << 24));
 }
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/recorder.h
+++ b/src/decision_log/recorder.h
@@ -12,11 +12,11 @@
 #include <string_view>
 #include <vector>
 
-#include "routing/router.h"
-#include "decision_log/record_file.h"
 #include "decision_log/counts.h"
 #include "decision_log/event_queue.h"
+#include "decision_log/record_file.h"
 #include "decision_log/retention_policy.h"
+#include "routing/router.h"
 
 namespace liftrudder::decision_log {
 
@@ -80,8 +80,8 @@
   void Closed(const routing::Close& close);
   void Held(std::uint32_t query, int part, const routing::PendingShardRequest& held);
   // The module's last word, or the front's (`door`) where that came first.
-  void Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason, IntakeResult intake,
-             std::int64_t retry_after_us, int pieces);
+  void Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason,
+             IntakeResult intake, std::int64_t retry_after_us, int pieces);
   // Takes the fronts' notes in and makes all that was written since the last call readable.
   void Flush();
   // How often Flush has run; a reader that wants the newest waits for the next but one.
@@ -110,7 +110,9 @@
   void Append(Entry& entry, std::span<const std::uint64_t> words);
   void SetHead(const Entry& entry, Verdict verdict, std::uint8_t cause, std::uint8_t flags);
   void Touch(std::uint32_t block);
-  std::size_t WordOf(std::uint32_t block) const { return record_file_.layout().block_at + block * kBlockWords; }
+  std::size_t WordOf(std::uint32_t block) const {
+    return record_file_.layout().block_at + block * kBlockWords;
+  }
   std::uint32_t Since(const Entry& entry) const;
   std::uint64_t First(EventKind kind, std::size_t words, std::uint32_t operand, std::uint32_t time) const;
   void AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const;
--- a/src/decision_log/retention_policy.cpp
+++ b/src/decision_log/retention_policy.cpp
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-RetentionPolicy::RetentionPolicy(std::size_t entries, std::uint64_t seed) : places_(entries), random_(seed | 1) {}
+RetentionPolicy::RetentionPolicy(std::size_t entries, std::uint64_t seed)
+    : places_(entries), random_(seed | 1) {}
 
 std::size_t RetentionPolicy::Stratum(Group group, std::size_t class_index) {
   return static_cast<std::size_t>(group) * kClassStrata + std::min(class_index, kClassStrata - 1);
@@ -25,7 +26,7 @@
 }
 
 void RetentionPolicy::Keep(std::uint32_t entry, std::size_t stratum_index, std::int64_t now_us,
-                     std::uint32_t blocks) {
+                           std::uint32_t blocks) {
   StratumState& stratum = strata_[stratum_index];
   Slice& slice = SliceFor(stratum, now_us);
   Place& place = places_[entry];
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -101,7 +101,9 @@
   return record.type != kTypeTxt || (at == record.data.size() && at > 0);
 }
 
-bool Same(const Record& a, const Record& b) { return a.name == b.name && a.type == b.type && a.data == b.data; }
+bool Same(const Record& a, const Record& b) {
+  return a.name == b.name && a.type == b.type && a.data == b.data;
+}
 
 // RFC 2136, section 3.2.
 Rcode Check(const std::vector<Resource>& prerequisites, const Zone& zone) {
@@ -124,9 +126,12 @@
   }
   // A set that must be there with these values: no more and no fewer.
   for (const Record& need : wanted) {
-    auto of_set = [&need](const Record& record) { return record.name == need.name && record.type == need.type; };
+    auto of_set = [&need](const Record& record) {
+      return record.name == need.name && record.type == need.type;
+    };
     auto asked = std::ranges::count_if(wanted, of_set), has = std::ranges::count_if(zone.records, of_set);
-    bool there = std::ranges::any_of(zone.records, [&need](const Record& record) { return Same(record, need); });
+    bool there =
+        std::ranges::any_of(zone.records, [&need](const Record& record) { return Same(record, need); });
     if (asked != has || !there) return Rcode::kNxRrset;
   }
   return Rcode::kNoError;
@@ -138,7 +143,8 @@
     if (!zone.Holds(one.record.name)) return Rcode::kNotZone;
     bool any = one.record.type == kTypeAny;
     if (one.cls == kClassIn) {
-      if (any || !Known(one.record.type) || !Sound(one.record)) return any ? Rcode::kFormErr : Rcode::kRefused;
+      if (any || !Known(one.record.type) || !Sound(one.record))
+        return any ? Rcode::kFormErr : Rcode::kRefused;
     } else if (one.cls == kClassAny) {
       if (one.record.ttl != 0 || !one.record.data.empty()) return Rcode::kFormErr;
     } else if (one.cls != kClassNone || one.record.ttl != 0 || any) {
@@ -160,7 +166,8 @@
     zone.records.push_back(record);
   } else if (one.cls == kClassAny) {
     std::erase_if(zone.records, [&](const Record& other) {
-      return other.name == record.name && (record.type == kTypeAny || other.type == record.type) && !kept(other);
+      return other.name == record.name && (record.type == kTypeAny || other.type == record.type) &&
+             !kept(other);
     });
   } else {
     std::erase_if(zone.records, [&](const Record& other) { return Same(other, record) && !kept(other); });
@@ -214,7 +221,8 @@
   return out;
 }
 
-ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::EndpointRegistry& endpoint_registry,
+ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener,
+                       coordinator::EndpointRegistry& endpoint_registry,
                        coordinator::Coordinator& coordinator, const coordinator::Clock& clock)
     : zone_(std::move(zone)),
       service_(std::move(service)),
--- a/src/dns/update.h
+++ b/src/dns/update.h
@@ -14,8 +14,17 @@
 namespace liftrudder::dns {
 
 enum class Rcode {
-  kNoError = 0, kFormErr = 1, kServFail = 2, kNotImp = 4, kRefused = 5, kYxDomain = 6, kYxRrset = 7,
-  kNxRrset = 8, kNotAuth = 9, kNotZone = 10, kNxDomain = 3
+  kNoError = 0,
+  kFormErr = 1,
+  kServFail = 2,
+  kNotImp = 4,
+  kRefused = 5,
+  kYxDomain = 6,
+  kYxRrset = 7,
+  kNxRrset = 8,
+  kNotAuth = 9,
+  kNotZone = 10,
+  kNxDomain = 3
 };
 
 // Applies one message to the zone; the response to it. A message too short for a header has none.
@@ -25,7 +34,8 @@
 // removed is a drain. Listens on a loopback address only, one connection at a time.
 class ZoneSource {
  public:
-  ZoneSource(Zone zone, std::string service, net::Fd listener, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
+  ZoneSource(Zone zone, std::string service, net::Fd listener,
+             coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
              const coordinator::Clock& clock);
   ~ZoneSource();
 
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -16,7 +16,8 @@
 
 std::string Lower(std::string_view text) {
   std::string out(text);
-  std::ranges::transform(out, out.begin(), [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; });
+  std::ranges::transform(out, out.begin(),
+                         [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; });
   return out;
 }
 
@@ -30,10 +31,11 @@
 }
 
 void Put(std::string& out, std::uint32_t value, int bytes) {
-  for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xff));
+  for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8)
+    out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
-struct Entry {  // one record's words
+struct Entry {         // one record's words
   bool owner = false;  // the first word is its name
   std::size_t line = 0;
   std::vector<std::string> words;
@@ -69,7 +71,8 @@
       std::string word;
       if (c == '"') {
         auto end = text.find('"', i + 1);
-        if (end == std::string_view::npos) throw std::runtime_error(fmt::format("zone, line {}: open quote", line));
+        if (end == std::string_view::npos)
+          throw std::runtime_error(fmt::format("zone, line {}: open quote", line));
         word = text.substr(i + 1, end - i - 1);
         i = end;
       } else {
@@ -179,7 +182,8 @@
       if (!text.starts_with(key) || text.substr(key.size(), 1) != "=") continue;
       text.remove_prefix(key.size() + 1);
       std::int64_t value = 0;
-      if (std::from_chars(text.data(), text.data() + text.size(), value).ptr == text.data() + text.size()) return value;
+      if (std::from_chars(text.data(), text.data() + text.size(), value).ptr == text.data() + text.size())
+        return value;
     }
   }
   return std::nullopt;
--- a/src/identity/authenticator.cpp
+++ b/src/identity/authenticator.cpp
@@ -24,7 +24,8 @@
 }  // namespace
 
 Authenticator::Authenticator(PermissionTable permission_table)
-    : token_verifier_(Rules{permission_table.issuer, permission_table.audience, permission_table.skew_us}, permission_table.most_cached),
+    : token_verifier_(Rules{permission_table.issuer, permission_table.audience, permission_table.skew_us},
+                      permission_table.most_cached),
       permission_table_(std::make_shared<const PermissionTable>(std::move(permission_table))) {}
 
 std::shared_ptr<const PermissionTable> Authenticator::permission_table() const {
@@ -42,11 +43,13 @@
   return std::nullopt;
 }
 
-std::optional<std::string> Authenticator::TakePermissions(PermissionTable permission_table, std::vector<std::string>& changes) {
+std::optional<std::string> Authenticator::TakePermissions(PermissionTable permission_table,
+                                                          std::vector<std::string>& changes) {
   std::shared_ptr<const PermissionTable> before = this->permission_table();
   // Cached tokens were held against these; a program that changed them in service would need both at once.
-  if (permission_table.issuer != before->issuer || permission_table.audience != before->audience || permission_table.skew_us != before->skew_us ||
-      permission_table.work_per_s != before->work_per_s || permission_table.most_open != before->most_open)
+  if (permission_table.issuer != before->issuer || permission_table.audience != before->audience ||
+      permission_table.skew_us != before->skew_us || permission_table.work_per_s != before->work_per_s ||
+      permission_table.most_open != before->most_open)
     return "issuer, audience, skewS, workPerS and mostOpen change with a restart only";
   for (const auto& [name, permissions] : before->tenants)
     if (!permission_table.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' is gone", name));
@@ -54,7 +57,8 @@
     auto old = before->tenants.find(name);
     if (old == before->tenants.end()) changes.push_back(fmt::format("tenant '{}' is new", name));
     // Rights that are the same stay the same object: what was begun under them goes on.
-    if (old != before->tenants.end() && *old->second == *permissions) permission_table.tenants[name] = old->second;
+    if (old != before->tenants.end() && *old->second == *permissions)
+      permission_table.tenants[name] = old->second;
     if (old != before->tenants.end() && !(*old->second == *permissions))
       changes.push_back(fmt::format("tenant '{}' has other rights", name));
   }
--- a/src/identity/authenticator.h
+++ b/src/identity/authenticator.h
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
-#include "identity/token_verifier.h"
 #include "identity/permissions.h"
+#include "identity/token_verifier.h"
 
 namespace liftrudder::identity {
 
@@ -46,7 +46,8 @@
   // The newer keys or rights hold for every request after; or nothing changes and it says why. What changed
   // is a line each in `changes`.
   std::optional<std::string> TakeKeys(std::string_view text, std::vector<std::string>& changes);
-  std::optional<std::string> TakePermissions(PermissionTable permission_table, std::vector<std::string>& changes);
+  std::optional<std::string> TakePermissions(PermissionTable permission_table,
+                                             std::vector<std::string>& changes);
 
   // A token says who asks; where there is none, the certificate. Where both name a tenant it must be the
   // same, so that a token that was taken is no use on another tenant's connection.
--- a/src/identity/token.cpp
+++ b/src/identity/token.cpp
@@ -120,7 +120,7 @@
 }
 
 std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
-                                    Micros now_us) {
+                                           Micros now_us) {
   if (token.size() > kMostToken) return Denial::kTooLong;
   auto first = token.find('.'), last = token.rfind('.');
   if (first == std::string_view::npos || first == last || token.find('.', first + 1) != last)
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -56,7 +56,7 @@
 
 // The caller, or why not. A denied token's own words are told nobody.
 std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
-                                    Micros now_us);
+                                           Micros now_us);
 
 // Whether the key may vouch at that moment, by its state alone; kNone: it may. A key that is not in the set
 // any more is withdrawn.
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -87,8 +87,8 @@
   return std::clamp<Micros>(wait, 1, settings_.most_retry_us);
 }
 
-TenantQuotas::Verdict TenantQuotas::Ask(std::string_view tenant_name, std::string_view caller_name, double cost,
-                                Micros now_us) {
+TenantQuotas::Verdict TenantQuotas::Ask(std::string_view tenant_name, std::string_view caller_name,
+                                        double cost, Micros now_us) {
   auto found = tenants_.find(tenant_name);
   if (found == tenants_.end() || found->second.share <= 0) return {false, settings_.most_retry_us};
   Tenant& tenant = found->second;
--- a/src/limits/tenant_quotas.h
+++ b/src/limits/tenant_quotas.h
@@ -78,7 +78,7 @@
   Backoff spread_;  // for its jitter alone
   std::map<std::string, Tenant, std::less<>> tenants_;
   std::map<std::string, Caller, std::less<>> authenticator_;  // by tenant and caller
-  std::list<std::string> by_age_;                       // the longest unused first
+  std::list<std::string> by_age_;                             // the longest unused first
   double pool_ = 0;
   int open_ = 0;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,11 +9,11 @@
 #include <mutex>
 #include <stdexcept>
 
+#include "app/admin_handler.h"
+#include "app/explain_command.h"
 #include "app/identity_command.h"
 #include "app/identity_files.h"
-#include "app/admin_handler.h"
 #include "app/tls_files.h"
-#include "app/explain_command.h"
 #include "config/config.h"
 #include "coordinator/coordinator.h"
 #include "dns/update.h"
@@ -23,8 +23,8 @@
 #include "net/admin_server.h"
 #include "net/endpoint_connection_pool.h"
 #include "net/server.h"
-#include "opensearch/front.h"
 #include "opensearch/endpoint_protocol.h"
+#include "opensearch/front.h"
 #include "platform/discovery.h"
 #include "platform/frames.h"
 #include "platform/front.h"
@@ -115,7 +115,8 @@
   std::unique_ptr<lr::app::TlsFiles> tls;
   if (may_tls) tls = lr::app::TlsFiles::Open(path, lr::config::ReadFile(path), clock);
   bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
-  if (identity != nullptr && !asks_clients && !identity->authenticator().permission_table()->by_certificate.empty())
+  if (identity != nullptr && !asks_clients &&
+      !identity->authenticator().permission_table()->by_certificate.empty())
     throw std::runtime_error("identity: a tenant has [certificates], but [tls] asks no client for one");
   lr::coordinator::EndpointRegistry endpoint_registry;
   lr::coordinator::Coordinator coordinator(config.settings, config.seed, clock, endpoint_registry, counters);
@@ -123,10 +124,12 @@
   lr::opensearch::SearchDialect searches;
   const lr::net::Dialect& dialect =
       options == nullptr ? static_cast<const lr::net::Dialect&>(frames) : searches;
-  lr::net::ConnectionLimits limits{config.connect_timeout_us, config.idle_close_us,
-                             options == nullptr ? config.streams_per_connection : 1,
-                             options == nullptr ? config.settings.max_requests_per_call : 1,
-                             config.budget.endpoint_connections, config.budget.endpoints};
+  lr::net::ConnectionLimits limits{config.connect_timeout_us,
+                                   config.idle_close_us,
+                                   options == nullptr ? config.streams_per_connection : 1,
+                                   options == nullptr ? config.settings.max_requests_per_call : 1,
+                                   config.budget.endpoint_connections,
+                                   config.budget.endpoints};
   auto links = std::make_unique<lr::net::EndpointConnectionPool>(
       dialect, endpoint_registry, clock, limits, counters, figures,
       [&coordinator](lr::coordinator::AttemptResult result) { coordinator.Post(std::move(result)); });
@@ -175,8 +178,9 @@
     if (!config.mgmt.empty()) {
       lr::net::Fd explain_service = NeedListener(config.mgmt);
       lr::log::Info("calls of operators are answered at {}", lr::net::LocalAddress(explain_service));
-      calls.emplace(std::move(explain_service),
-                    [&admin_handler](const lr::net::HttpMessage& call) { return admin_handler.Answer(call); });
+      calls.emplace(std::move(explain_service), [&admin_handler](const lr::net::HttpMessage& call) {
+        return admin_handler.Answer(call);
+      });
     }
     std::optional<lr::platform::DiscoveryWatch> watch;
     std::optional<lr::dns::ZoneSource> endpoints;
@@ -185,7 +189,7 @@
       if (!zone.update_listen.empty()) updates = NeedListener(zone.update_listen);
       if (updates.Valid()) lr::log::Info("takes updates at {}", lr::net::LocalAddress(updates));
       endpoints.emplace(lr::dns::ParseZone(lr::config::ReadFile(zone.file)), zone.service, std::move(updates),
-                      endpoint_registry, coordinator, clock);
+                        endpoint_registry, coordinator, clock);
     } else if (!config.discovery.empty()) {
       watch.emplace(config, endpoint_registry, coordinator, clock);
     }
@@ -193,8 +197,9 @@
     if (options == nullptr) {
       front = std::make_unique<lr::platform::Front>(config, coordinator, clock, counters, figures, asked);
     } else {
-      front = std::make_unique<lr::opensearch::Front>(config, *options, coordinator, clock, counters, asked,
-                                                      identity == nullptr ? nullptr : &identity->authenticator());
+      front =
+          std::make_unique<lr::opensearch::Front>(config, *options, coordinator, clock, counters, asked,
+                                                  identity == nullptr ? nullptr : &identity->authenticator());
     }
     lr::net::Fd listener = passed.empty() ? NeedListener(config.listen) : lr::net::Inherit(passed);
     lr::log::Info("room for {} connections of clients, {} with requests, and {} to holders; {} of a core",
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -7,8 +7,8 @@
 namespace liftrudder::metrics {
 
 std::string Counters::Text() const {
-  static constexpr const char* kOutcomes[] = {"ok",    "error",     "full",           "timeout",
-                                              "connect_failed", "reset", "cancelled", "moot"};
+  static constexpr const char* kOutcomes[] = {"ok",    "error",     "full", "timeout", "connect_failed",
+                                              "reset", "cancelled", "moot"};
   std::string out;
   auto line = [&out](const char* name, const Counter& counter) {
     fmt::format_to(std::back_inserter(out), "{} {}\n", name, counter.Value());
--- a/src/net/endpoint_connection_pool.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -30,9 +30,11 @@
 
 }  // namespace
 
-EndpointConnectionPool::EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry,
-                         const coordinator::Clock& clock, const ConnectionLimits& limits, metrics::Counters& counters,
-                         metrics::Figures& figures, ResultSink sink)
+EndpointConnectionPool::EndpointConnectionPool(const Dialect& dialect,
+                                               const coordinator::EndpointResolver& endpoint_registry,
+                                               const coordinator::Clock& clock,
+                                               const ConnectionLimits& limits, metrics::Counters& counters,
+                                               metrics::Figures& figures, ResultSink sink)
     : dialect_(dialect),
       endpoint_registry_(endpoint_registry),
       clock_(clock),
@@ -83,7 +85,8 @@
 }
 
 // The attempt ends now, whatever its holder is at: an attempt's end waits for no socket.
-void EndpointConnectionPool::Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId&, coordinator::Cause cause) {
+void EndpointConnectionPool::Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId&,
+                                      coordinator::Cause cause) {
   std::lock_guard lock(mutex_);
   TakeOut(key, cause);
 }
@@ -115,7 +118,8 @@
 }
 
 // Nothing is known of a holder that does not read, and a word sent to it may never come: the attempt goes on
-// until it is answered, its connection ends or its time is over. Before its first byte it is as if never sent.
+// until it is answered, its connection ends or its time is over. Before its first byte it is as if never
+// sent.
 void EndpointConnectionPool::CallOff(const coordinator::AttemptKey& key) {
   std::lock_guard lock(mutex_);
   auto found = live_.find(key);
@@ -143,7 +147,8 @@
   if (link == links_.end()) return;
   for (Number number : std::vector<Number>(link->second.connections)) {
     Connection& connection = connections_.at(number);
-    if (connection.up && connection.out.empty()) Drop(number, connection, coordinator::Cause::kConnectionLost);
+    if (connection.up && connection.out.empty())
+      Drop(number, connection, coordinator::Cause::kConnectionLost);
   }
 }
 
@@ -250,7 +255,8 @@
       counters_.spoilt.Add();
       Drop(number, connection, coordinator::Cause::kSpoilt);
     } else if (connection.Writes() && now >= connection.write_until_us) {
-      Drop(number, connection, coordinator::Cause::kConnectionLost);  // a frame cut short is followed by no other
+      Drop(number, connection,
+           coordinator::Cause::kConnectionLost);  // a frame cut short is followed by no other
     } else if (connection.out.empty() && now - connection.used_us > idle_limit_us_) {
       Drop(number, connection, coordinator::Cause::kConnectionLost);
     }
@@ -334,7 +340,8 @@
 }
 
 // Not for anything new: idle too long, to an address that is not the holder's any more, or given up.
-bool EndpointConnectionPool::OutOfUse(const Connection& connection, const std::string& addr, Micros now) const {
+bool EndpointConnectionPool::OutOfUse(const Connection& connection, const std::string& addr,
+                                      Micros now) const {
   bool idle = connection.out.empty() && now - connection.used_us > idle_limit_us_;
   return idle || connection.addr != addr || connection.given_up;
 }
@@ -346,7 +353,8 @@
   double endpoints = std::max<double>(limits_.endpoints, static_cast<double>(links_.size()));
   double spare = std::max(0.0, limits_.max_connections - kReplaced * endpoints);
   auto more = static_cast<double>(connections_.size()) - static_cast<double>(links_.size());
-  auto calls = (static_cast<int>(link.queue.size()) + limits_.max_requests_per_call - 1) / limits_.max_requests_per_call;
+  auto calls = (static_cast<int>(link.queue.size()) + limits_.max_requests_per_call - 1) /
+               limits_.max_requests_per_call;
   return !link.slow_connect && more < kSpread * spare && !Full() && link.connecting < calls;
 }
 
@@ -371,7 +379,9 @@
   return link.connecting > 0 && !link.slow_connect ? 0 : best;
 }
 
-bool EndpointConnectionPool::Full() const { return static_cast<int>(connections_.size()) >= limits_.max_connections; }
+bool EndpointConnectionPool::Full() const {
+  return static_cast<int>(connections_.size()) >= limits_.max_connections;
+}
 
 EndpointConnectionPool::Begun EndpointConnectionPool::Open(Link& link) {
   if (Full() && !MakeRoom()) return Begun::kNoRoom;
@@ -466,7 +476,8 @@
 // ---- frames out ----
 
 // Looked at before the first byte only: a client that has left, a holder that drains, a time that is over.
-std::optional<coordinator::Cause> EndpointConnectionPool::Barred(const coordinator::AttemptRequest& order) const {
+std::optional<coordinator::Cause> EndpointConnectionPool::Barred(
+    const coordinator::AttemptRequest& order) const {
   if (order.payload->client != nullptr && order.payload->client->Gone()) return coordinator::Cause::kLeft;
   Micros now = clock_.Now();
   coordinator::EndpointAddress endpoint = endpoint_registry_.Find(order.endpoint);
@@ -477,7 +488,7 @@
 
 // Into the frame that is written next on it.
 void EndpointConnectionPool::Enter(Number number, Connection& connection, const coordinator::AttemptKey& key,
-                        Attempt& attempt) {
+                                   Attempt& attempt) {
   Micros now = clock_.Now();
   connection.written = 0;
   connection.writing.push_back(key);
@@ -608,7 +619,8 @@
 // False when it answers nothing that was asked on this connection.
 bool EndpointConnectionPool::TakeAnswer(Connection& connection, EndpointAnswer answer) {
   connection.used_us = clock_.Now();
-  auto found = std::ranges::find(connection.out, answer.id, &std::pair<std::string, coordinator::AttemptKey>::first);
+  auto found =
+      std::ranges::find(connection.out, answer.id, &std::pair<std::string, coordinator::AttemptKey>::first);
   if (found == connection.out.end()) return std::erase(connection.withdrawn, answer.id) > 0;
   coordinator::AttemptKey key = found->second;
   connection.out.erase(found);
@@ -618,11 +630,12 @@
   return true;
 }
 
-void EndpointConnectionPool::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointAnswer answer) {
+void EndpointConnectionPool::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause,
+                                    EndpointAnswer answer) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
   coordinator::AttemptResult result{key, found->second.progress, cause, std::move(answer.load),
-                             std::move(answer.value)};
+                                    std::move(answer.value)};
   live_.erase(found);
   sink_(std::move(result));
 }
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -48,8 +48,8 @@
   virtual ~Dialect() = default;
   virtual std::string Id(const coordinator::AttemptRequest& order) const = 0;
   // What asks for all of these at once; more than one only where ConnectionLimits::parts_per_call allows it.
-  virtual std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
-                          Micros now_us) const = 0;
+  virtual std::string Ask(std::span<const coordinator::AttemptRequest* const> orders,
+                          const std::string& endpoint, Micros now_us) const = 0;
   // What gives up an attempt; empty: only closing its connection does.
   virtual std::string GiveUp(const std::string& id) const = 0;
   virtual std::unique_ptr<AnswerReader> Reader() const = 0;
@@ -59,9 +59,9 @@
   Micros connect_timeout_us = 250'000;
   Micros idle_close_us = 30'000'000;
   int streams_per_connection = 100;
-  int max_requests_per_call = 1;     // in one frame
-  int max_connections = 128;  // of all links together
-  int endpoints = 0;            // as many are known of
+  int max_requests_per_call = 1;  // in one frame
+  int max_connections = 128;      // of all links together
+  int endpoints = 0;              // as many are known of
 };
 
 using ResultSink = std::function<void(coordinator::AttemptResult)>;
@@ -70,14 +70,15 @@
 // for.
 class EndpointConnectionPool : public coordinator::EndpointTransport {
  public:
-  EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry, const coordinator::Clock& clock,
-              const ConnectionLimits& limits, metrics::Counters& counters, metrics::Figures& figures,
-              ResultSink sink);
+  EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry,
+                         const coordinator::Clock& clock, const ConnectionLimits& limits,
+                         metrics::Counters& counters, metrics::Figures& figures, ResultSink sink);
   ~EndpointConnectionPool();
 
   void Start(coordinator::AttemptRequest order) override;
   void EndRound() override;
-  void Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint, coordinator::Cause cause) override;
+  void Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint,
+                coordinator::Cause cause) override;
   void CallOff(const coordinator::AttemptKey& key) override;
   void CloseIdle(const coordinator::EndpointId& endpoint) override;
   void ForgetGone() override;
@@ -175,10 +176,10 @@
   Micros asleep_until_us_ = 0;  // the thread's, while it waits
   Micros sweep_us_ = 0;         // when it looks for what is overdue next
   std::map<coordinator::EndpointId, Link> links_;
-  std::vector<coordinator::EndpointId> staged_;                 // links with something of the round that is on
+  std::vector<coordinator::EndpointId> staged_;         // links with something of the round that is on
   std::unordered_map<Number, Connection> connections_;  // bounded by limits_.max_connections
   Number given_ = 0;
-  std::deque<coordinator::EndpointId> starved_;       // links that found no room for a connection, in turn
+  std::deque<coordinator::EndpointId> starved_;      // links that found no room for a connection, in turn
   std::map<coordinator::AttemptKey, Attempt> live_;  // whoever takes an attempt out of here tells its end
   Fd epoll_, waker_;
   Thread thread_;
--- a/src/net/explain_page.h
+++ b/src/net/explain_page.h
@@ -2,8 +2,8 @@
 #ifndef LIFTRUDDER_NET_EXPLAIN_PAGE_H_
 #define LIFTRUDDER_NET_EXPLAIN_PAGE_H_
 
-#include "net/http.h"
 #include "decision_log/explain_service.h"
+#include "net/http.h"
 
 namespace liftrudder::net {
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -449,7 +449,8 @@
   reply_waiter_->came_.notify_one();
 }
 
-WaitingReply::End WaitingReply::Wait(ClientConnection& client, const coordinator::Clock& clock, Micros deadline_us) {
+WaitingReply::End WaitingReply::Wait(ClientConnection& client, const coordinator::Clock& clock,
+                                     Micros deadline_us) {
   std::unique_lock lock(reply_waiter_->mutex_);
   while (!answer_) {
     Micros left = deadline_us - clock.Now();
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -39,7 +39,8 @@
  private:
   friend class WaitingReply;
   const std::function<void()> look_again_;
-  const std::shared_ptr<coordinator::ClientPresence> client_ = std::make_shared<coordinator::ClientPresence>();
+  const std::shared_ptr<coordinator::ClientPresence> client_ =
+      std::make_shared<coordinator::ClientPresence>();
   std::mutex mutex_;
   std::condition_variable came_;  // an answer, or a stir
   bool stirred_ = false;
@@ -48,10 +49,10 @@
 // What a handler knows of the connection it answers on.
 struct Exchange {
   ClientConnection* line = nullptr;  // to see the client go, and who it is
-  Micros received_us = 0;      // when the request's first byte was seen
+  Micros received_us = 0;            // when the request's first byte was seen
   bool draining = false;
-  std::vector<Served>* served = nullptr;  // the handler enters which queries its response answers
-  std::shared_ptr<ReplyWaiter> reply_waiter;           // to wait at
+  std::vector<Served>* served = nullptr;      // the handler enters which queries its response answers
+  std::shared_ptr<ReplyWaiter> reply_waiter;  // to wait at
 };
 
 class Handler {
@@ -154,7 +155,7 @@
   std::deque<Place> ready_;                   // busy, and no worker's yet
   int busy_ = 0, workers_ = 0, idle_workers_ = 0;
   bool reader_ended_ = false;  // under the lock
-  Micros looked_us_ = 0;     // the door's: when it last looked for what is overdue
+  Micros looked_us_ = 0;       // the door's: when it last looked for what is overdue
   Thread reader_thread_;
 };
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -55,8 +55,8 @@
 // Why a call just failed to give a descriptor: this program or the machine has no more of them.
 bool OutOfDescriptors();
 Fd Listen(const std::string& address);
-// A listener that was opened by who started the program, as the number in `text` says; throws std::runtime_error
-// with what is wrong about it.
+// A listener that was opened by who started the program, as the number in `text` says; throws
+// std::runtime_error with what is wrong about it.
 Fd Inherit(const std::string& text);
 std::string LocalAddress(const Fd& fd);
 // The other side's address without its port, in numbers; empty when it has gone.
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -36,7 +36,8 @@
     answer.id = oldest;
     bool good = message.status >= 200 && message.status < 300;
     if (message.status == 429) {
-      answer.cause = coordinator::Cause::kSkipped;  // turned away from a full queue, by the API's word never begun
+      answer.cause =
+          coordinator::Cause::kSkipped;  // turned away from a full queue, by the API's word never begun
     } else if (good && Served(message.body, oldest.front() == kCountMark)) {
       answer.cause = coordinator::Cause::kServed;
       answer.value = std::move(message.body);
@@ -56,16 +57,16 @@
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string SearchDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
-                               coordinator::Micros now_us) const {
+std::string SearchDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders,
+                               const std::string& endpoint, coordinator::Micros now_us) const {
   const coordinator::AttemptRequest& order = *orders.front();  // one a call
   const coordinator::Payload& payload = *order.payload;
   return fmt::format(
       "POST {}{}preference=_shards:{} HTTP/1.1\r\nHost: {}\r\nX-Opaque-Id: {}\r\nX-Budget: {:.3f}\r\n"
       "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
       payload.target, payload.target.find('?') == std::string::npos ? '?' : '&', order.shard, endpoint,
-      payload.call_id, static_cast<double>(order.attempt_deadline_us - now_us) / 1e6, payload.statement.size(),
-      payload.statement);
+      payload.call_id, static_cast<double>(order.attempt_deadline_us - now_us) / 1e6,
+      payload.statement.size(), payload.statement);
 }
 
 std::unique_ptr<net::AnswerReader> SearchDialect::Reader() const { return std::make_unique<SearchReader>(); }
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -7,8 +7,8 @@
 #include <iterator>
 
 #include "log/log.h"
-#include "net/json.h"
 #include "net/explain_page.h"
+#include "net/json.h"
 #include "opensearch/access_control.h"
 #include "opensearch/endpoint_protocol.h"
 
@@ -42,8 +42,9 @@
 
 }  // namespace
 
-Front::Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
-             metrics::Counters& counters, decision_log::ExplainService* explain_service, identity::Authenticator* authenticator)
+Front::Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator,
+             const coordinator::Clock& clock, metrics::Counters& counters,
+             decision_log::ExplainService* explain_service, identity::Authenticator* authenticator)
     : config_(config),
       options_(options),
       coordinator_(coordinator),
@@ -54,7 +55,8 @@
       scrolls_(options, clock, config.seed,
                authenticator == nullptr
                    ? options.max_scrolls
-                   : std::max<std::size_t>(1, options.max_scrolls / authenticator->permission_table()->tenants.size())) {
+                   : std::max<std::size_t>(
+                         1, options.max_scrolls / authenticator->permission_table()->tenants.size())) {
   if (authenticator == nullptr || authenticator->permission_table()->work_per_s == 0) return;
   shared_by_ = authenticator->permission_table();
   limits::ShareSettings shares;
@@ -65,11 +67,13 @@
 }
 
 net::HttpResponse Front::Malformed(int status) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, status, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
+                          decision_log::kUnknownClass, status, "");
   return ErrorResponse({status, "parsing_exception", "the request cannot be read", 0});
 }
 net::HttpResponse Front::Overloaded(const net::HttpMessage*) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, 503, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
+                          decision_log::kUnknownClass, 503, "");
   ApiError error = Unanswered("too many connections");
   error.retry_after_us = kBusyRetryUs;
   return ErrorResponse(error);
@@ -103,8 +107,8 @@
     // What reached the core is in its record already.
     if (exchange.served->empty() && error->status >= 400 && error->status < 429) {
       const std::string* label = request.Header(kLabel);
-      coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch, decision_log::kUnknownClass, error->status,
-                     label == nullptr ? "" : *label);
+      coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
+                              decision_log::kUnknownClass, error->status, label == nullptr ? "" : *label);
     }
     return ErrorResponse(*error);
   }
@@ -115,7 +119,8 @@
 bool Front::TakePlace(const Principal& principal, double cost, Asked& asked) {
   if (!accounts_) return true;
   std::lock_guard lock(shares_mutex_);
-  if (std::shared_ptr<const identity::PermissionTable> permission_table = authenticator_->permission_table(); permission_table != shared_by_) {
+  if (std::shared_ptr<const identity::PermissionTable> permission_table = authenticator_->permission_table();
+      permission_table != shared_by_) {
     accounts_->Take(Weights(*permission_table));
     shared_by_ = permission_table;
   }
@@ -187,7 +192,8 @@
                                     const Principal& principal, Search& out) const {
   const identity::Permissions* permissions = principal.permissions.get();
   static const std::string kNoFilter;
-  if (auto error = ReadSearch(request, body, options_, permissions == nullptr ? kNoFilter : permissions->filter, out))
+  if (auto error =
+          ReadSearch(request, body, options_, permissions == nullptr ? kNoFilter : permissions->filter, out))
     return error;
   if (permissions == nullptr) return std::nullopt;
   if (out.keep_alive_us > 0 && !permissions->scrolls) return Forbidden("no scrolls");
@@ -204,21 +210,23 @@
   return std::nullopt;
 }
 
-Front::Asked Front::Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind,
-                        bool whole, const net::HttpMessage& request, const net::Exchange& exchange,
-                        const Principal& principal) {
+Front::Asked Front::Ask(const IndexOptions& index, std::string target, std::string body,
+                        decision_log::FrontKind kind, bool whole, const net::HttpMessage& request,
+                        const net::Exchange& exchange, const Principal& principal) {
   coordinator::QueryRequest query;
   query.class_index = whole ? index.whole_class_index : index.class_index;
   const auto& cls = config_.settings.classes[static_cast<std::size_t>(query.class_index)];
   coordinator::Micros timeout_remaining_us = cls.client_timeout_us;
   if (const std::string* budget = request.Header("X-Budget")) {
     double seconds = json::Number(*budget).value_or(0);
-    timeout_remaining_us = std::min(timeout_remaining_us, static_cast<coordinator::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
+    timeout_remaining_us = std::min(timeout_remaining_us,
+                                    static_cast<coordinator::Micros>(std::clamp(seconds, 0.0, 3600.0) * 1e6));
   }
   query.received_us = exchange.received_us;
   query.deadline_us = exchange.received_us + timeout_remaining_us;
   query.front = kind;
-  if (const std::string* label = request.Header(kLabel)) query.label = label->substr(0, decision_log::kNoteId);
+  if (const std::string* label = request.Header(kLabel))
+    query.label = label->substr(0, decision_log::kNoteId);
   bool count = kind == decision_log::FrontKind::kCount;
   query.parts = index.parts;
   coordinator::Payload payload;
@@ -279,12 +287,14 @@
 }
 
 Front::Asked Front::AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
-                              const net::Exchange& exchange, const Principal& principal, decision_log::FrontKind kind) {
+                              const net::Exchange& exchange, const Principal& principal,
+                              decision_log::FrontKind kind) {
   std::string target = "/" + index + "/_search";
   if (!search.parameters.empty()) target += "?" + search.parameters.substr(1);
   // A page of a scroll with a shard missing would lose that shard's hits for good.
   bool whole = !search.allow_partial || search.keep_alive_us > 0;
-  return Ask(options_.indices.at(index), target, ShardBody(search), kind, whole, request, exchange, principal);
+  return Ask(options_.indices.at(index), target, ShardBody(search), kind, whole, request, exchange,
+             principal);
 }
 
 Front::Result Front::FinishSearch(const std::string& index, const Search& search, const Asked& asked,
@@ -314,19 +324,20 @@
   if (auto error = Locate(index, principal)) return *error;
   Search search;
   if (auto error = Read(request, request.body, principal, search)) return *error;
-  return FinishSearch(index, search,
-                      AskSearch(index, search, request, exchange, principal, decision_log::FrontKind::kSearch), exchange,
-                      principal);
+  return FinishSearch(
+      index, search, AskSearch(index, search, request, exchange, principal, decision_log::FrontKind::kSearch),
+      exchange, principal);
 }
 
 Front::Result Front::DoCount(const std::string& index, const net::HttpMessage& request,
                              const net::Exchange& exchange, const Principal& principal) {
   if (auto error = Locate(index, principal)) return *error;
   bool query_only = true;
-  bool ok = request.body.empty() || json::JsonMembers(request.body, [&](std::string_view name, std::string_view) {
-              query_only = query_only && name == "query";
-              return true;
-            });
+  bool ok =
+      request.body.empty() || json::JsonMembers(request.body, [&](std::string_view name, std::string_view) {
+        query_only = query_only && name == "query";
+        return true;
+      });
   if (!ok) return ApiError{400, "parsing_exception", "the body is not a JSON object", 0, false};
   if (!query_only) return BadRequest("only [query] is supported in a count");
   auto mark = request.target.find('?');
@@ -347,8 +358,8 @@
     body = "{\"query\":" + query + "}";
   }
   // A count over a part of the shards is wrong rather than partial.
-  Asked asked =
-      Ask(options_.indices.at(index), target, body, decision_log::FrontKind::kCount, true, request, exchange, principal);
+  Asked asked = Ask(options_.indices.at(index), target, body, decision_log::FrontKind::kCount, true, request,
+                    exchange, principal);
   Came came = Await(asked, exchange);
   if (auto* error = std::get_if<ApiError>(&came)) return std::move(*error);
   if (std::holds_alternative<Gone>(came)) return Gone{};
@@ -376,10 +387,10 @@
     return ApiError{404, "search_context_missing_exception", "no search context found for id [" + id + "]",
                     0};
   }
-  return FinishSearch(
-      cursor->index, cursor->search,
-      AskSearch(cursor->index, cursor->search, request, exchange, principal, decision_log::FrontKind::kScroll), exchange,
-      principal, id);
+  return FinishSearch(cursor->index, cursor->search,
+                      AskSearch(cursor->index, cursor->search, request, exchange, principal,
+                                decision_log::FrontKind::kScroll),
+                      exchange, principal, id);
 }
 
 Front::Result Front::DropScroll(const net::HttpMessage& request, const Principal& principal) {
@@ -425,17 +436,18 @@
   for (std::size_t i = 0; i < lines.size(); i += 2) {
     One& one = all.emplace_back();
     one.index = index;
-    bool header =
-        lines[i].empty() || json::JsonMembers(lines[i], [&one](std::string_view name, std::string_view value) {
-          if (name != "index") return false;
-          one.index = json::String(value).value_or("");
-          return true;
-        });
+    bool header = lines[i].empty() ||
+                  json::JsonMembers(lines[i], [&one](std::string_view name, std::string_view value) {
+                    if (name != "index") return false;
+                    one.index = json::String(value).value_or("");
+                    return true;
+                  });
     if (!header) one.error = BadRequest("only [index] is supported in the header of a search");
     if (!one.error) one.error = Locate(one.index, principal);
     if (!one.error) one.error = Read(bare, lines[i + 1], principal, one.search);
     if (!one.error)
-      one.asked = AskSearch(one.index, one.search, bare, exchange, principal, decision_log::FrontKind::kMultiSearch);
+      one.asked =
+          AskSearch(one.index, one.search, bare, exchange, principal, decision_log::FrontKind::kMultiSearch);
   }
   std::string out = fmt::format("{{\"took\":{},\"responses\":[", 0);
   for (One& one : all) {
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -7,19 +7,20 @@
 #include <variant>
 
 #include "coordinator/coordinator.h"
+#include "decision_log/explain_service.h"
 #include "identity/authenticator.h"
 #include "limits/tenant_quotas.h"
 #include "net/server.h"
 #include "opensearch/merge.h"
 #include "opensearch/scroll.h"
-#include "decision_log/explain_service.h"
 
 namespace liftrudder::opensearch {
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
-        metrics::Counters& counters, decision_log::ExplainService* explain_service, identity::Authenticator* authenticator);
+  Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator,
+        const coordinator::Clock& clock, metrics::Counters& counters,
+        decision_log::ExplainService* explain_service, identity::Authenticator* authenticator);
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
@@ -33,9 +34,9 @@
     std::optional<coordinator::Id> id;  // nothing: refused at admission
     coordinator::Micros deadline_us = 0;
     const IndexOptions* index = nullptr;
-    bool whole = false;               // an answer in part will not do
+    bool whole = false;                      // an answer in part will not do
     coordinator::Micros retry_after_us = 0;  // refused at its tenant's account
-    std::shared_ptr<void> place;      // in that account, given back when this ends
+    std::shared_ptr<void> place;             // in that account, given back when this ends
   };
   struct Gone {};
   // Who asks; without rights where callers are not told apart, and all may.
@@ -43,19 +44,22 @@
   using Came = std::variant<coordinator::FinalAnswer, ApiError, Gone>;
   using Result = std::variant<std::string, ApiError, Gone>;
 
-  Asked Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind, bool whole,
-            const net::HttpMessage& request, const net::Exchange& exchange, const Principal& principal);
+  Asked Ask(const IndexOptions& index, std::string target, std::string body, decision_log::FrontKind kind,
+            bool whole, const net::HttpMessage& request, const net::Exchange& exchange,
+            const Principal& principal);
   Came Await(const Asked& asked, const net::Exchange& exchange);
-  Coming HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer, const net::Exchange& exchange) const;
+  Coming HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer,
+                   const net::Exchange& exchange) const;
   Asked AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
                   const net::Exchange& exchange, const Principal& principal, decision_log::FrontKind kind);
   Result FinishSearch(const std::string& index, const Search& search, const Asked& asked,
                       const net::Exchange& exchange, const Principal& principal,
                       const std::string& scroll_id = {});
   std::optional<ApiError> Locate(const std::string& index, const Principal& principal) const;
-  std::optional<ApiError> LetIn(const net::HttpMessage& request, const net::Exchange& exchange, Principal& out);
-  std::optional<ApiError> Read(const net::HttpMessage& request, std::string_view body, const Principal& principal,
-                               Search& out) const;
+  std::optional<ApiError> LetIn(const net::HttpMessage& request, const net::Exchange& exchange,
+                                Principal& out);
+  std::optional<ApiError> Read(const net::HttpMessage& request, std::string_view body,
+                               const Principal& principal, Search& out) const;
   // Takes a place for a query of so much work; false with the time to come back where there is none.
   bool TakePlace(const Principal& principal, double cost, Asked& asked);
   net::HttpResponse Turned(const ApiError& error) const;
@@ -75,8 +79,8 @@
   coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
-  decision_log::ExplainService* explain_service_;             // null: nothing is recorded
-  identity::Authenticator* authenticator_;  // null: callers are not told apart
+  decision_log::ExplainService* explain_service_;  // null: nothing is recorded
+  identity::Authenticator* authenticator_;         // null: callers are not told apart
   std::mutex audit_mutex_;
   identity::AuditLimiter audit_;
   std::mutex shares_mutex_;
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -75,7 +75,8 @@
     out += ",\"failures\":[";
     const char* comma = "";
     for (const coordinator::ShardRequest& part : *coming.asked) {
-      if (std::ranges::find(answer.pieces, part.shard, &coordinator::Piece::shard) != answer.pieces.end()) continue;
+      if (std::ranges::find(answer.pieces, part.shard, &coordinator::Piece::shard) != answer.pieces.end())
+        continue;
       fmt::format_to(std::back_inserter(out),
                      "{}{{\"shard\":{},\"reason\":{{\"type\":\"no_shard_available_action_exception\","
                      "\"reason\":\"no answer in time\"}}}}",
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -13,8 +13,8 @@
 namespace liftrudder::opensearch {
 
 struct Merged {
-  std::string body;          // without its closing brace, so that a scroll id may follow
-  std::string last_sort;     // of the last hit on the page; empty when there is none
+  std::string body;       // without its closing brace, so that a scroll id may follow
+  std::string last_sort;  // of the last hit on the page; empty when there is none
   std::size_t hits = 0;
 };
 
@@ -30,7 +30,8 @@
 bool Served(std::string_view body, bool count);
 
 // Nothing when a piece's hits cannot be ordered.
-std::optional<Merged> MergeHits(const Search& search, const coordinator::FinalAnswer& answer, const Coming& coming);
+std::optional<Merged> MergeHits(const Search& search, const coordinator::FinalAnswer& answer,
+                                const Coming& coming);
 std::string MergeCounts(const coordinator::FinalAnswer& answer, const Coming& coming);
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/options.cpp
+++ b/src/opensearch/options.cpp
@@ -52,16 +52,18 @@
 Options ParseOptions(std::string_view text, const config::Config& config) {
   std::string_view front = json::Get(text, "opensearch");
   Options out;
-  bool ok = json::JsonMembers(json::Get(front, "indices"), [&](std::string_view name, std::string_view value) {
-    out.indices[std::string(name)] = Index(value, config);
-    return true;
-  });
+  bool ok =
+      json::JsonMembers(json::Get(front, "indices"), [&](std::string_view name, std::string_view value) {
+        out.indices[std::string(name)] = Index(value, config);
+        return true;
+      });
   if (!ok || out.indices.empty()) throw std::runtime_error("opensearch: no indices");
   out.result_window = json::Integer(json::Get(front, "result_window")).value_or(out.result_window);
   out.max_scrolls = static_cast<std::size_t>(
       std::clamp<std::int64_t>(json::Integer(json::Get(front, "max_scrolls")).value_or(64), 1, 4096));
   out.max_keep_alive_us =
-      1'000'000 * json::Integer(json::Get(front, "max_keep_alive_s")).value_or(out.max_keep_alive_us / 1'000'000);
+      1'000'000 *
+      json::Integer(json::Get(front, "max_keep_alive_s")).value_or(out.max_keep_alive_us / 1'000'000);
   out.tiebreak = json::String(json::Get(front, "tiebreak")).value_or(out.tiebreak);
   return out;
 }
--- a/src/opensearch/scroll.h
+++ b/src/opensearch/scroll.h
@@ -30,7 +30,8 @@
   std::optional<std::string> Open(Cursor next);
   // Where the page named by this id begins. An id stays good until the page after it has been given, so a
   // client that missed an answer may ask again and neither loses nor doubles a hit.
-  std::optional<Cursor> Find(const std::string& id, const std::string& owner, coordinator::Micros keep_alive_us);
+  std::optional<Cursor> Find(const std::string& id, const std::string& owner,
+                             coordinator::Micros keep_alive_us);
   // A page was given: the id for the next.
   std::optional<std::string> Advance(const std::string& id, Cursor next);
   bool Drop(const std::string& id, const std::string& owner);
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -15,12 +15,23 @@
 namespace json = net::json;
 
 constexpr std::string_view kPassedMembers[] = {
-    "_source",   "stored_fields", "fields",              "docvalue_fields", "script_fields",
-    "highlight",    "min_score", "explain",       "version",             "post_filter",     "track_total_hits",
-    "track_scores", "timeout",   "runtime_mappings", "seq_no_primary_term"};
-constexpr std::string_view kPassedParameters[] = {
-    "q", "df", "default_operator", "analyzer", "lenient", "_source", "_source_includes", "_source_excludes",
-    "stored_fields", "docvalue_fields", "track_total_hits", "track_scores", "version", "explain"};
+    "_source",          "stored_fields", "fields",  "docvalue_fields",  "script_fields",
+    "highlight",        "min_score",     "explain", "version",          "post_filter",
+    "track_total_hits", "track_scores",  "timeout", "runtime_mappings", "seq_no_primary_term"};
+constexpr std::string_view kPassedParameters[] = {"q",
+                                                  "df",
+                                                  "default_operator",
+                                                  "analyzer",
+                                                  "lenient",
+                                                  "_source",
+                                                  "_source_includes",
+                                                  "_source_excludes",
+                                                  "stored_fields",
+                                                  "docvalue_fields",
+                                                  "track_total_hits",
+                                                  "track_scores",
+                                                  "version",
+                                                  "explain"};
 
 bool Listed(std::string_view name, std::span<const std::string_view> names) {
   return std::ranges::find(names, name) != names.end();
@@ -52,7 +63,8 @@
     if (value.starts_with('{')) {
       std::string_view missing = json::Get(value, "missing");
       key.missing_first = json::String(missing) == "_first";
-      if (!missing.empty() && json::String(missing) != "_first" && json::String(missing) != "_last") return false;
+      if (!missing.empty() && json::String(missing) != "_first" && json::String(missing) != "_last")
+        return false;
     }
     out.push_back(std::move(key));
     return true;
@@ -74,16 +86,16 @@
     text.remove_prefix(std::min(text.size(), one.size() + 1));
     auto colon = one.find(':');
     std::string field = json::Quote(one.substr(0, colon));
-    std::string element =
-        colon == std::string_view::npos
-            ? field
-            : fmt::format("{{{}:{{\"order\":{}}}}}", field, json::Quote(one.substr(colon + 1)));
+    std::string element = colon == std::string_view::npos ? field
+                                                          : fmt::format("{{{}:{{\"order\":{}}}}}", field,
+                                                                        json::Quote(one.substr(colon + 1)));
     if (!ReadSortKey(element, out)) return false;
   }
   return true;
 }
 
-std::optional<ApiError> ReadParameter(std::string_view name, std::string_view raw, Search& out, bool& sorted) {
+std::optional<ApiError> ReadParameter(std::string_view name, std::string_view raw, Search& out,
+                                      bool& sorted) {
   std::string value = Unescape(raw);
   if (name == "from" || name == "size") {
     auto count = Count(value);
@@ -97,7 +109,8 @@
     if (!span || *span <= 0) return BadRequest("[scroll] is not a time such as 1m");
     out.keep_alive_us = *span;
   } else if (name == "allow_partial_search_results") {
-    if (value != "true" && value != "false") return BadRequest("[allow_partial_search_results] is no boolean");
+    if (value != "true" && value != "false")
+      return BadRequest("[allow_partial_search_results] is no boolean");
     out.allow_partial = value == "true";
   } else if (Listed(name, kPassedParameters)) {
     fmt::format_to(std::back_inserter(out.parameters), "&{}={}", name, raw);
@@ -172,7 +185,8 @@
     std::string_view pair = rest.substr(0, rest.find('&'));
     rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
     auto equals = std::min(pair.find('='), pair.size());
-    error = ReadParameter(pair.substr(0, equals), pair.substr(std::min(pair.size(), equals + 1)), out, sorted);
+    error =
+        ReadParameter(pair.substr(0, equals), pair.substr(std::min(pair.size(), equals + 1)), out, sorted);
   }
   if (error) return error;
   if (!body.empty()) {
@@ -189,13 +203,15 @@
     if (error) return error;
   }
   if (out.from + out.size > options.result_window) {
-    return BadRequest(fmt::format("result window is too large: from + size must be at most {}; use a scroll "
-                                  "or search_after to go deeper",
-                                  options.result_window));
+    return BadRequest(
+        fmt::format("result window is too large: from + size must be at most {}; use a scroll "
+                    "or search_after to go deeper",
+                    options.result_window));
   }
   if (out.keep_alive_us > 0 && (out.from > 0 || out.size == 0 || !out.search_after.empty()))
     return BadRequest("a scroll takes a [size] above 0, and neither [from] nor [search_after]");
-  if (out.keep_alive_us > options.max_keep_alive_us) return BadRequest("[scroll] is kept for longer than allowed");
+  if (out.keep_alive_us > options.max_keep_alive_us)
+    return BadRequest("[scroll] is kept for longer than allowed");
   return Settle(options, sorted, out);
 }
 
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
-                               const coordinator::Clock& clock)
+DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry,
+                               coordinator::Coordinator& coordinator, const coordinator::Clock& clock)
     : config_(config),
       endpoint_registry_(endpoint_registry),
       coordinator_(coordinator),
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -18,8 +18,8 @@
 
 class DiscoveryWatch {
  public:
-  DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
-                 const coordinator::Clock& clock);
+  DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry,
+                 coordinator::Coordinator& coordinator, const coordinator::Clock& clock);
   ~DiscoveryWatch();
 
   // From now on it watches there; the list and its version stay, and the new watch asks for what came after.
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -112,7 +112,8 @@
                               coordinator::Micros now_us) const {
   std::string all;
   for (const coordinator::AttemptRequest* order : orders) {
-    std::string list = fmt::format("d={}", std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / 1000));
+    std::string list =
+        fmt::format("d={}", std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / 1000));
     if (!order->payload->idempotency_key.empty()) list += ",k=" + order->payload->idempotency_key;
     const std::string& text = order->payload->statement;
     all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, list, text.size(), text);
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -7,8 +7,8 @@
 #include <cmath>
 #include <set>
 
-#include "net/json.h"
 #include "net/explain_page.h"
+#include "net/json.h"
 
 namespace liftrudder::platform {
 namespace {
@@ -90,14 +90,16 @@
 }  // namespace
 
 net::HttpResponse Front::Malformed(int status) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, status, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
+                          decision_log::kUnknownClass, status, "");
   return Problem(status, "the request cannot be read");
 }
 
 net::HttpResponse Front::Overloaded(const net::HttpMessage* request) {
   const std::string* name = request == nullptr ? nullptr : request->Header("X-Call-Class");
   if (name != nullptr) metrics::Figures::Ended(figures_.Of(*name), 503);
-  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, 503, "");
+  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform,
+                          decision_log::kUnknownClass, 503, "");
   return Refusal(503, kBusyRetryUs, "too many connections");
 }
 
@@ -111,9 +113,10 @@
   const std::string* id = request.Header("X-Call-Id");
   const std::string* name = request.Header("X-Call-Class");
   auto found = name == nullptr ? config_.classes.end() : std::ranges::find(config_.classes, *name);
-  int index =
-      found == config_.classes.end() ? decision_log::kUnknownClass : static_cast<int>(found - config_.classes.begin());
-  coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform, index, response.status, id == nullptr ? "" : *id);
+  int index = found == config_.classes.end() ? decision_log::kUnknownClass
+                                             : static_cast<int>(found - config_.classes.begin());
+  coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform, index, response.status,
+                          id == nullptr ? "" : *id);
   return response;
 }
 
@@ -134,7 +137,7 @@
 }
 
 std::optional<coordinator::QueryRequest> Front::Read(const net::HttpMessage& request,
-                                              const net::Exchange& exchange) const {
+                                                     const net::Exchange& exchange) const {
   const std::string* id = Only(request, "X-Call-Id");
   const std::string* name = Only(request, "X-Call-Class");
   const std::string* budget = Only(request, "X-Budget");
@@ -184,14 +187,17 @@
 
 std::optional<net::HttpResponse> Front::Query(net::HttpMessage& request, const net::Exchange& exchange) {
   auto query = Read(request, exchange);
-  if (!query) return Rejected(request, decision_log::IntakeResult::kMalformed, Problem(400, "the request cannot be read"));
+  if (!query)
+    return Rejected(request, decision_log::IntakeResult::kMalformed,
+                    Problem(400, "the request cannot be read"));
   request.body = std::string();  // all that is needed of it has been taken out
   // Guards the ids of parts, which are made from the query's: of two open queries they must differ.
   std::string id = query->payload->call_id;
   {
     std::lock_guard lock(mutex_);
     if (!open_.insert(id).second) {
-      return Rejected(request, decision_log::IntakeResult::kDuplicateId, Problem(409, "a query with this id is open"));
+      return Rejected(request, decision_log::IntakeResult::kDuplicateId,
+                      Problem(409, "a query with this id is open"));
     }
   }
   metrics::Figures::ByClass* group = figures_.Of(query->class_index);
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -8,17 +8,22 @@
 
 #include "config/config.h"
 #include "coordinator/coordinator.h"
+#include "decision_log/explain_service.h"
 #include "metrics/figures.h"
 #include "net/server.h"
-#include "decision_log/explain_service.h"
 
 namespace liftrudder::platform {
 
 class Front : public net::Handler {
  public:
-  Front(const config::Config& config, coordinator::Coordinator& coordinator, const coordinator::Clock& clock, metrics::Counters& counters,
-        metrics::Figures& figures, decision_log::ExplainService* explain_service)
-      : config_(config), coordinator_(coordinator), clock_(clock), counters_(counters), figures_(figures), explain_service_(explain_service) {}
+  Front(const config::Config& config, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
+        metrics::Counters& counters, metrics::Figures& figures, decision_log::ExplainService* explain_service)
+      : config_(config),
+        coordinator_(coordinator),
+        clock_(clock),
+        counters_(counters),
+        figures_(figures),
+        explain_service_(explain_service) {}
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
@@ -29,8 +34,10 @@
   std::optional<net::HttpResponse> Query(net::HttpMessage& request, const net::Exchange& exchange);
   std::optional<net::HttpResponse> Ask(coordinator::QueryRequest query, const net::Exchange& exchange);
   // Nothing when the request is not one; `statement` and key stay as they came.
-  std::optional<coordinator::QueryRequest> Read(const net::HttpMessage& request, const net::Exchange& exchange) const;
-  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake, net::HttpResponse response);
+  std::optional<coordinator::QueryRequest> Read(const net::HttpMessage& request,
+                                                const net::Exchange& exchange) const;
+  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
+                             net::HttpResponse response);
 
   const config::Config& config_;
   coordinator::Coordinator& coordinator_;
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -70,8 +70,8 @@
   std::string text;
 };
 
-using Event = std::variant<EndpointListUpdate, QueryReceived, ShardRequestReceived, AttemptFinished, HealthCheckFinished, ClientDisconnected,
-                           TimerFired, GossipMessage>;
+using Event = std::variant<EndpointListUpdate, QueryReceived, ShardRequestReceived, AttemptFinished,
+                           HealthCheckFinished, ClientDisconnected, TimerFired, GossipMessage>;
 
 }  // namespace liftrudder::routing
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,6 +1,8 @@
 // Every decision of tinsail, all its constants and all its state. The types, events and actions it speaks
 // in are in include/tinsail/tinsail.h. Plain functions, in the order in which a query lives:
 // list of replicas -> arrival -> admission -> cut -> replica -> send -> outcome -> copy -> answer -> end.
+#include "routing/router.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -8,8 +10,6 @@
 #include <set>
 #include <utility>
 
-#include "routing/router.h"
-
 namespace liftrudder::routing {
 namespace {
 
@@ -64,7 +64,7 @@
 constexpr double kLossMost = 2;        // and more than this are not counted, lest the guard outlast them
 constexpr double kWide = 0.4;          // short of refusals, queries for more than this share of the replicas
 constexpr std::size_t kWideLeast = 8;  // and more parts than this go out part by part at this share of a
-constexpr double kCanary = 0.25;    // median until one is answered: the first killing query is not known
+constexpr double kCanary = 0.25;       // median until one is answered: the first killing query is not known
 constexpr double kNoHurry = 3;         // nor is a client with less time than so many medians kept waiting
 constexpr double kZoneLeast = 4;   // outcomes late or failed beyond twice those in time before a whole zone
 constexpr double kZoneRatio = 2;   // counts as far, when not all zones do
@@ -101,7 +101,7 @@
   std::uint64_t key = 0;
   bool in = false, wanted = false;
   PendingReason held = PendingReason::kNone;  // as last told
-  Micros idle_since_us = 0;       // wanted, and nothing out since then
+  Micros idle_since_us = 0;                   // wanted, and nothing out since then
   std::vector<Attempt> attempts;
   int Out() const { return static_cast<int>(std::ranges::count_if(attempts, &Attempt::out)); }
 };
@@ -130,7 +130,7 @@
   bool usable = false;                       // listed and ready
   std::map<std::pair<Id, int>, Micros> out;  // attempts out, and when each was sent
   double cold_soft = 0, cold_hard = 0;       // parts that may be sent to it while it is cold
-  Micros slow_start_us = 0;                        // when these were last filled
+  Micros slow_start_us = 0;                  // when these were last filled
   double cold_seen = 0;                      // and what warm_sent was then
   double log_sum = 0, samples = 0;           // log of latency against the fleet's median
   double errors = 0;                         // how much likelier its outcomes are from a bad one, as a log
@@ -161,7 +161,8 @@
 }
 
 bool ProvesNotRun(AttemptOutcome code) {
-  return code == AttemptOutcome::kFull || code == AttemptOutcome::kConnectFailed || code == AttemptOutcome::kNotSent;
+  return code == AttemptOutcome::kFull || code == AttemptOutcome::kConnectFailed ||
+         code == AttemptOutcome::kNotSent;
 }
 
 }  // namespace
@@ -179,7 +180,8 @@
     return "the reach must be within 1 and the number of cells";
   if (s.shards < 1 || s.fleet_size < 1 || s.max_requests_per_call < 1 || s.max_attempts < 1)
     return "shards, group, parts of a call and attempts must be 1 or more";
-  if (s.decision_interval_us < 0 || s.slow_start_us < 0 || s.collapse_window_us < 0) return "a span is below 0";
+  if (s.decision_interval_us < 0 || s.slow_start_us < 0 || s.collapse_window_us < 0)
+    return "a span is below 0";
   if (s.has_retry_budget && s.retry_budget_window_us <= 0) return "the retry budget has no span";
   return std::nullopt;
 }
@@ -190,10 +192,12 @@
     if (!valid) return;
     min_latency_objective_us = static_cast<double>(s.classes[0].latency_objective_us);
     for (const QueryClassSettings& c : s.classes)
-      min_latency_objective_us = std::min(min_latency_objective_us, static_cast<double>(c.latency_objective_us) / (c.fetch_phase_requests > 0 ? 2 : 1));
+      min_latency_objective_us =
+          std::min(min_latency_objective_us,
+                   static_cast<double>(c.latency_objective_us) / (c.fetch_phase_requests > 0 ? 2 : 1));
     copy_span_us = static_cast<Micros>(2 * min_latency_objective_us);
-    answer_margin_us =
-        static_cast<Micros>(kTicksToAnswer * static_cast<double>(std::max<Micros>(s.decision_interval_us, 1)));
+    answer_margin_us = static_cast<Micros>(kTicksToAnswer *
+                                           static_cast<double>(std::max<Micros>(s.decision_interval_us, 1)));
     for (auto [share, count] : kPrior) histogram[Bucket(share * min_latency_objective_us)] += count;
     per_part_us = kPrior[0].first * min_latency_objective_us;
     first_patience_us.assign(s.classes.size(), 0);
@@ -230,7 +234,8 @@
     proven_us *= std::exp(-dt / (kReapMemory * min_latency_objective_us));
     losses *= std::exp(-dt / (kLossMemory * min_latency_objective_us));
     for (double& count : histogram) count *= keep;
-    for (auto [share, count] : kPrior) histogram[Bucket(share * min_latency_objective_us)] += (1 - keep) * count;
+    for (auto [share, count] : kPrior)
+      histogram[Bucket(share * min_latency_objective_us)] += (1 - keep) * count;
     median_us = Quantile(0.5);
     slow_us = Quantile(0.9);
     copy_us = Quantile(kCopyQuantile);
@@ -323,7 +328,8 @@
   void AskAgain() {
     if (!s.subscription_required) return;
     double most = static_cast<double>(s.poll_deadline_us) * kAskMost;
-    double span = std::min(most, kAskFirst * static_cast<double>(s.poll_deadline_us) * std::exp2(asks_failed++));
+    double span =
+        std::min(most, kAskFirst * static_cast<double>(s.poll_deadline_us) * std::exp2(asks_failed++));
     out->push_back(SetTimer{static_cast<Micros>(span * (0.5 + Unit()) / 1.5) + 1, kAskLabel});
   }
 
@@ -387,7 +393,8 @@
     if (oldest != server.idle_sent_us || server.idle_us <= proven_us || !s.cancellation_allowed) return;
     server.trial_us = 0;
     server.trial_turn = 0;
-    reap_us = std::max({std::min(reap_us, server.idle_us) / 2, kReapLeast * min_latency_objective_us, proven_us});
+    reap_us =
+        std::max({std::min(reap_us, server.idle_us) / 2, kReapLeast * min_latency_objective_us, proven_us});
     server.idle_sent_us = 0;
     server.stale = true;
     for (const auto& [key, sent] : server.out)
@@ -483,7 +490,8 @@
     return {cause, static_cast<float>(figure), static_cast<float>(bound), {}};
   }
   // Told for people only, and once: what is not out at all, or why it is not any more.
-  bool MarkPending(Part& part, PendingReason reason, double figure = 0, double bound = 0, const Choice& choice = {}) {
+  bool MarkPending(Part& part, PendingReason reason, double figure = 0, double bound = 0,
+                   const Choice& choice = {}) {
     if (held != nullptr && part.held != reason && part.Out() == 0)
       held->push_back({part.id, reason, static_cast<float>(figure), static_cast<float>(bound), choice});
     part.held = reason;
@@ -494,7 +502,8 @@
 
   void operator()(const QueryReceived& event) {
     auto c = static_cast<std::size_t>(event.class_index);
-    if (c >= s.classes.size()) return out->push_back(Fail{event.id, Because(CompletionCause::kUnknownClass, 0, 0)});
+    if (c >= s.classes.size())
+      return out->push_back(Fail{event.id, Because(CompletionCause::kUnknownClass, 0, 0)});
     taken.push_back(now);
     auto gap = static_cast<double>(std::min(now - query_us, s.classes[0].client_timeout_us * 2));
     if (query_us > 0) query_gap_us += kNewestGain * (gap - query_gap_us);
@@ -566,7 +575,7 @@
     if (query.worth_factor <= 0) return false;
     double hot = std::clamp((hottest - kHotFrom) / (kHotFull - kHotFrom), 0.0, 1.0);
     reason = hot > refusal ? Because(CompletionCause::kEndpointLoad, hottest, kHotFrom)
-                        : Because(CompletionCause::kLoad, pressure, kRefuseFrom);
+                           : Because(CompletionCause::kLoad, pressure, kRefuseFrom);
     double chance = std::max(refusal, hot) * least / (Density(query.class_index) * query.worth_factor);
     return Unit() >= chance;
   }
@@ -581,8 +590,8 @@
       auto count = static_cast<double>(query.parts.size());
       class_parts[c] = class_parts[c] == 0 ? count : class_parts[c] + kNewestGain * (count - class_parts[c]);
     }
-    double aim =
-        static_cast<double>(query.objective_at_us - now) / (query.step == 1 && cls.fetch_phase_requests > 0 ? 2 : 1);
+    double aim = static_cast<double>(query.objective_at_us - now) /
+                 (query.step == 1 && cls.fetch_phase_requests > 0 ? 2 : 1);
     std::vector<std::pair<Part*, double>> order;  // with the expected latency against the aim
     for (Id id : query.parts) {
       Part& part = parts.at(id);
@@ -616,7 +625,8 @@
     CompletionReason reason;
     if (query.step == 1 && !Admit(query, hottest, reason)) {
       EndpointId whose[2];
-      if (reason.cause == CompletionCause::kEndpointLoad && slowest != nullptr) ExpectedLatency(*slowest, whose);
+      if (reason.cause == CompletionCause::kEndpointLoad && slowest != nullptr)
+        ExpectedLatency(*slowest, whose);
       reason.replica = whose[0];
       return GiveUp(query, reason);
     }
@@ -641,7 +651,8 @@
     std::vector<Server*> healthy, cold, again, sick, dead;
     Server* trial = nullptr;
     auto note = [&](const Server& server, Eligibility standing) {
-      if (reason == nullptr || reason->count == kMaxCandidates) return reason ? void(++reason->unlisted) : void();
+      if (reason == nullptr || reason->count == kMaxCandidates)
+        return reason ? void(++reason->unlisted) : void();
       auto now_out = static_cast<std::uint16_t>(std::min<std::size_t>(server.out.size(), 0xffff));
       reason->replicas[reason->count++] = {server.told.id, now_out, standing, false};
     };
@@ -657,7 +668,9 @@
       if (!ColdAllows(server, true)) return note(server, Eligibility::kSlowStartLimit);
       bool was_tried = tried.contains(server.told.id);
       if (Avoided(server)) {
-        note(server, !server.sick ? Eligibility::kZoneEjected : server.dead ? Eligibility::kUnresponsive : Eligibility::kOutlier);
+        note(server, !server.sick  ? Eligibility::kZoneEjected
+                     : server.dead ? Eligibility::kUnresponsive
+                                   : Eligibility::kOutlier);
         // Let back by few trial parts: one at a time, watched closely (kSickCopy); one for a whole far zone.
         const Zone& zone = zones[server.zone];
         bool due = now >= (zone.far ? zone.trial_us : server.trial_us);
@@ -694,7 +707,8 @@
     std::map<Micros, int> rounds{{now, 1}};
     for (const auto& [key, sent] : server.out) ++rounds[sent];
     int calls = 0;
-    for (auto [sent, count] : rounds) calls += (count + s.max_requests_per_call - 1) / s.max_requests_per_call;
+    for (auto [sent, count] : rounds)
+      calls += (count + s.max_requests_per_call - 1) / s.max_requests_per_call;
     return calls;
   }
 
@@ -726,7 +740,8 @@
   bool FurtherAllowed(bool copy) {
     if (s.has_retry_budget) {
       Trim(further, s.retry_budget_window_us + s.decision_interval_us);
-      auto from = std::lower_bound(taken.begin(), taken.end(), now - s.retry_budget_window_us + s.decision_interval_us);
+      auto from = std::lower_bound(taken.begin(), taken.end(),
+                                   now - s.retry_budget_window_us + s.decision_interval_us);
       double most = s.retry_budget_floor + s.retry_budget_ratio * static_cast<double>(taken.end() - from);
       if (static_cast<double>(further.size()) + 1 > most) return false;
     }
@@ -768,8 +783,7 @@
     bool hurried = static_cast<double>(query.objective_at_us - now) < kNoHurry * median_us;
     if (!guard && (!wide || hurried || pressure > kRefuseFrom)) return false;
     if (first) return query.newest_us == 0 && query.parts.size() > 1;
-    return query.newest_us > 0 &&
-           (guard || static_cast<double>(now - query.newest_us) < kCanary * median_us);
+    return query.newest_us > 0 && (guard || static_cast<double>(now - query.newest_us) < kCanary * median_us);
   }
 
   bool TrySend(Query& query, Part& part, bool suspect = false) {
@@ -779,7 +793,7 @@
     Micros left = query.deadline_us - now;
     if (left <= answer_margin_us)
       return MarkPending(part, PendingReason::kDeadline, static_cast<double>(left) / 1e6,
-                  static_cast<double>(answer_margin_us) / 1e6);
+                         static_cast<double>(answer_margin_us) / 1e6);
     if (PendingReason barred = Barred(cls, part); barred != PendingReason::kNone)
       return MarkPending(part, barred, static_cast<double>(part.attempts.size()), s.max_attempts);
     if (!more && Held(query, false)) return MarkPending(part, PendingReason::kCanary);
@@ -888,26 +902,30 @@
     int borne = losses > kLossGuard ? 0 : 1;
     if (!query.vouched && query.losses > borne)
       return GiveUp(query, Because(CompletionCause::kEndpointsLost, query.losses, borne));
-    CompletionReason late = Because(CompletionCause::kExpired, static_cast<double>(query.deadline_us - now) / 1e6,
-                          static_cast<double>(answer_margin_us) / 1e6);
+    CompletionReason late =
+        Because(CompletionCause::kExpired, static_cast<double>(query.deadline_us - now) / 1e6,
+                static_cast<double>(answer_margin_us) / 1e6);
     if (query.parts.empty() && query.step == 2) return expired ? GiveUp(query, late) : void();
     bool whole = query.in_weight >= cls.complete_coverage - kWeightSlack && (query.step == 1 || all_in);
     if (whole)
       return Conclude(query, query.step == 1 || query.first_full,
                       Because(CompletionCause::kComplete, query.in_weight, cls.complete_coverage));
-    bool floor_in =
-        query.in_weight >= cls.floor - kWeightSlack && query.in_weight > 0 && cls.floor < cls.complete_coverage;
+    bool floor_in = query.in_weight >= cls.floor - kWeightSlack && query.in_weight > 0 &&
+                    cls.floor < cls.complete_coverage;
     bool nothing_more = possible <= query.in_weight + 1e-12;
-    Micros answer_at = query.objective_at_us - answer_margin_us - static_cast<Micros>(kAnswerLead * min_latency_objective_us);
+    Micros answer_at = query.objective_at_us - answer_margin_us -
+                       static_cast<Micros>(kAnswerLead * min_latency_objective_us);
     if (query.step == 1 && cls.fetch_phase_requests > 0) answer_at -= static_cast<Micros>(slow_us);
     answer_at = std::min(answer_at, query.deadline_us - answer_margin_us);
     if (floor_in && (now >= answer_at || nothing_more)) {
-      CompletionCause cause = nothing_more ? CompletionCause::kNoPendingRequests : CompletionCause::kLatencyObjective;
+      CompletionCause cause =
+          nothing_more ? CompletionCause::kNoPendingRequests : CompletionCause::kLatencyObjective;
       return Conclude(query, false, Because(cause, query.in_weight, cls.floor));
     }
     double least = std::min(cls.floor, cls.complete_coverage);
     bool worthless = now >= query.objective_at_us - answer_margin_us && cls.late_value_fraction <= 0;
-    if (possible < least - kWeightSlack) return GiveUp(query, Because(CompletionCause::kCoverageUnreachable, possible, least));
+    if (possible < least - kWeightSlack)
+      return GiveUp(query, Because(CompletionCause::kCoverageUnreachable, possible, least));
     double over = static_cast<double>(now - query.objective_at_us) / 1e6;
     if (expired || worthless) GiveUp(query, expired ? late : Because(CompletionCause::kNoLateValue, over, 0));
   }
@@ -928,8 +946,9 @@
     const QueryClassSettings& cls = s.classes[query.class_index];
     double most_took = static_cast<double>(query.most_in_us - attempt.sent_us);
     // A whole-only query waits for its last part, be the fleet calm or not.
-    bool behind = query.most_in_us > 0 && cls.floor >= cls.complete_coverage && age > kStraggler * most_took &&
-                  age > median_us && static_cast<double>(query.objective_at_us - now) < kStragglerLead * slow_us;
+    bool behind = query.most_in_us > 0 && cls.floor >= cls.complete_coverage &&
+                  age > kStraggler * most_took && age > median_us &&
+                  static_cast<double>(query.objective_at_us - now) < kStragglerLead * slow_us;
     return (pressure < kCopyPressure && age > copy_us) || (pressure < kStragglerPressure && behind);
   }
 
@@ -958,7 +977,8 @@
     bool harmless = !once || (query.step == 1 && std::ranges::all_of(query.parts, unrun));
     if (harmless && now < query.deadline_us) {
       auto wait = static_cast<Micros>(min_latency_objective_us * (kRetryAfter + refusal));
-      out->push_back(Refuse{query.id, s.retry_after_allowed ? std::min(s.max_retry_after_us, wait) : 0, reason});
+      out->push_back(
+          Refuse{query.id, s.retry_after_allowed ? std::min(s.max_retry_after_us, wait) : 0, reason});
     } else {
       out->push_back(Fail{query.id, reason});
     }
@@ -1004,7 +1024,8 @@
     for (const Event& event : events) {
       const auto* query = std::get_if<QueryReceived>(&event);
       if (valid) std::visit(*this, event);
-      if (!valid && query) actions.push_back(Fail{query->id, Because(CompletionCause::kInvalidSettings, 0, 0)});
+      if (!valid && query)
+        actions.push_back(Fail{query->id, Because(CompletionCause::kInvalidSettings, 0, 0)});
     }
     if (!valid) return;
     UpdateView();
@@ -1031,7 +1052,7 @@
   Micros answer_margin_us = 0, copy_span_us = 0;
   std::map<EndpointId, Server> servers;
   std::vector<std::vector<Server*>> endpoints;  // by cell, those usable or not
-  double warm_weight = 0, warm_sent = 0;      // of all warm replicas; sent to one of weight 1 since the start
+  double warm_weight = 0, warm_sent = 0;  // of all warm replicas; sent to one of weight 1 since the start
   std::map<Id, Query> queries;
   std::map<Id, Part> parts;
   std::map<std::int64_t, Id> numbers;
@@ -1065,7 +1086,7 @@
 
 int Router::Avoided() const { return static_cast<int>(state_->avoided); }
 void Router::Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
-                        std::vector<PendingShardRequest>* held) {
+                    std::vector<PendingShardRequest>* held) {
   state_->Handle(now, events, actions, held);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -27,7 +27,8 @@
   // gets a line for each part that is not sent, or not sent again, whenever the reason changes.
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
               std::vector<PendingShardRequest>* held = nullptr);
-  // Replicas listed that got nothing new of their own accord in the last round: they drain, look sick or are far.
+  // Replicas listed that got nothing new of their own accord in the last round: they drain, look sick or are
+  // far.
   int Avoided() const;
 
  private:
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -11,10 +11,10 @@
 #include <sstream>
 #include <thread>
 
+#include "test_support/coordinator_process.h"
 #include "test_support/fake_discovery.h"
-#include "test_support/test_fleet.h"
 #include "test_support/temporary_directory.h"
-#include "test_support/coordinator_process.h"
+#include "test_support/test_fleet.h"
 
 using namespace liftrudder;
 
@@ -53,7 +53,8 @@
 
 // Calls at a second address.
 struct ExplainService {
-  explicit ExplainService(const test_support::CoordinatorProcess& coordinator_process) : addr(coordinator_process.Logged("are answered at ")) {}
+  explicit ExplainService(const test_support::CoordinatorProcess& coordinator_process)
+      : addr(coordinator_process.Logged("are answered at ")) {}
   net::HttpMessage Call(const std::string& method, const std::string& path) const {
     return test_support::Fetch(addr, fmt::format("{} {} HTTP/1.1\r\nHost: g\r\n\r\n", method, path));
   }
@@ -113,7 +114,8 @@
 
 TEST_CASE("the second address: what may be called, and what is wrong about a call") {
   World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
+                                                       Config(world.discovery, "127.0.0.1:0"));
   INFO(coordinator_process.Log());
   REQUIRE(!coordinator_process.addr().empty());
   ExplainService explain_service(coordinator_process);
@@ -130,10 +132,12 @@
     CHECK(answer.Header("Allow") != nullptr);
   }
   CHECK(test_support::Fetch(explain_service.addr, "GET /stats\r\n\r\n").status == 400);
-  CHECK(test_support::Fetch(explain_service.addr, "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
+  CHECK(test_support::Fetch(explain_service.addr,
+                            "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
+            .status == 400);
+  CHECK(test_support::Fetch(explain_service.addr,
+                            "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n")
             .status == 400);
-  CHECK(test_support::Fetch(explain_service.addr, "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n").status ==
-        400);
   // Mute and half-finished callers, far more than are held, keep nobody out.
   std::vector<net::Fd> mute;
   for (int i = 0; i < 100; ++i) {
@@ -155,8 +159,8 @@
   CHECK(said.find("cannot listen on " + addr) != std::string::npos);
   std::ofstream(path) << Config(world.discovery, "");
   for (auto [number, reason] : {std::pair("77", "descriptor 77: Bad file descriptor"),
-                             {"0", "passed socket: descriptor 0"},
-                             {"3x", "'3x' is no descriptor's number"}}) {
+                                {"0", "passed socket: descriptor 0"},
+                                {"3x", "'3x' is no descriptor's number"}}) {
     ::setenv("BALANCER_PASSED_SOCKET", number, 1);
     std::tie(code, said) = test_support::RunProgram(LIFTRUDDER_PROGRAM, {});
     INFO(said);
@@ -169,14 +173,16 @@
 
 TEST_CASE("the figures are what clients were given and what holders saw") {
   World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
+                                                       Config(world.discovery, "127.0.0.1:0"));
   REQUIRE(!coordinator_process.addr().empty());
   ExplainService explain_service(coordinator_process);
   std::map<std::string, std::map<int, long>> given;
   Client client;
   for (int i = 0; i < 60; ++i) {
     std::string group = i % 3 == 0 ? "report" : "search";
-    ++given[group][client.Ask(coordinator_process.addr(), fmt::format("q{}", i), group, 1 + i % kMaxEndpoints)];
+    ++given[group]
+           [client.Ask(coordinator_process.addr(), fmt::format("q{}", i), group, 1 + i % kMaxEndpoints)];
   }
   CHECK(client.Ask(coordinator_process.addr(), "bad", "nosuch", 1) == 400);
   auto stats = explain_service.Stats();
@@ -206,7 +212,8 @@
 
 TEST_CASE("a drain ends kept connections behind their answers and when idle, and its end is an end") {
   World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(), Config(world.discovery, "127.0.0.1:0"));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
+                                                       Config(world.discovery, "127.0.0.1:0"));
   REQUIRE(!coordinator_process.addr().empty());
   ExplainService explain_service(coordinator_process);
   Client busy, idle;
@@ -221,7 +228,8 @@
   // Kept busy: every request is answered, and at last the connection is ended behind an answer.
   Until(
       [&] {
-        return busy.Ask(coordinator_process.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 && !busy.fd.Valid();
+        return busy.Ask(coordinator_process.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 &&
+               !busy.fd.Valid();
       },
       "the busy connection ends");
   Until([&] { return Ended(idle.fd); }, "the idle connection ends");
@@ -246,8 +254,8 @@
   std::string addr = net::LocalAddress(listener);
   test_support::TemporaryDirectory second;
   std::string config = Config(world.discovery, "127.0.0.1:0");
-  auto old = std::make_unique<test_support::CoordinatorProcess>(LIFTRUDDER_PROGRAM, world.directory.path(), config,
-                                                 std::vector<std::string>{}, listener.Get());
+  auto old = std::make_unique<test_support::CoordinatorProcess>(
+      LIFTRUDDER_PROGRAM, world.directory.path(), config, std::vector<std::string>{}, listener.Get());
   REQUIRE(old->addr() == addr);
   Until([&] { return ExplainService(*old).Call("GET", "/healthcheck").status == 200; }, "ready");
   std::atomic<bool> over{false};
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -12,22 +12,22 @@
 #include <set>
 #include <thread>
 
+#include "decision_log/reader.h"
+#include "decision_log/recorder.h"
 #include "net/http.h"
 #include "net/json.h"
-#include "test_support/fake_discovery.h"
-#include "test_support/temporary_directory.h"
+#include "support/explain_reading.h"
 #include "test_support/coordinator_process.h"
+#include "test_support/fake_discovery.h"
 #include "test_support/fake_endpoint.h"
-#include "decision_log/reader.h"
-#include "decision_log/recorder.h"
-#include "support/explain_reading.h"
+#include "test_support/temporary_directory.h"
 
 using namespace liftrudder;
-using test_support::Act;
-using liftrudder::routing::AttemptOutcome;
 using decision_log::Cause;
 using decision_log::Progress;
 using decision_log::Verdict;
+using liftrudder::routing::AttemptOutcome;
+using test_support::Act;
 
 namespace {
 
@@ -43,7 +43,7 @@
 // What the outside saw.
 struct Outside {
   std::map<std::string, std::vector<test_support::LoggedPart>> endpoints;  // by holder id
-  std::map<std::string, Given> clients;                             // by call id
+  std::map<std::string, Given> clients;                                    // by call id
 };
 
 bool Reached(const decision_log::AttemptTrace& one) {
@@ -51,7 +51,8 @@
 }
 
 // What does not fit, in words; empty: the stories and the outside agree.
-std::vector<std::string> Compare(const std::vector<decision_log::QueryTrace>& traces, const Outside& outside) {
+std::vector<std::string> Compare(const std::vector<decision_log::QueryTrace>& traces,
+                                 const Outside& outside) {
   std::vector<std::string> wrong;
   // Holder by holder and part by part, in their order.
   std::map<std::pair<std::string, std::string>, std::vector<const test_support::LoggedPart*>> logged;
@@ -97,7 +98,8 @@
         for (const decision_log::CandidateTrace& each : one.considered)
           chosen = chosen || each.endpoint.id == one.endpoint.id;
         if (!chosen) bad(id + ": sent to a holder that was not looked at");
-        if (one.number > 0 && one.kind == liftrudder::routing::DispatchKind::kFirst) bad(id + ": a second first try");
+        if (one.number > 0 && one.kind == liftrudder::routing::DispatchKind::kFirst)
+          bad(id + ": a second first try");
         if (one.kind == liftrudder::routing::DispatchKind::kRetry) {
           const decision_log::AttemptTrace& before = part.attempts[static_cast<std::size_t>(one.number) - 1];
           if (before.outcome != one.after) bad(id + ": sent again after another outcome");
@@ -169,8 +171,9 @@
   double sum = 0;
   for (int i = 0; i < parts; ++i) sum += 1.0 / (i + 1);
   for (int i = 0; i < parts; ++i) {
-    tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "",
-                           (static_cast<int>(dice / 8 % kMaxEndpoints) + i) % kMaxEndpoints, 1.0 / (i + 1) / sum);
+    tablets +=
+        fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "",
+                    (static_cast<int>(dice / 8 % kMaxEndpoints) + i) % kMaxEndpoints, 1.0 / (i + 1) / sum);
   }
   std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s-{}\"}}", tablets, id);
   return fmt::format(
@@ -220,8 +223,8 @@
   std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
   test_support::FakeDiscovery discovery;
   for (int cell = 0; cell < kMaxEndpoints; ++cell) {
-    endpoints.push_back(
-        std::make_unique<test_support::FakeEndpoint>([cell, &silence](const std::string& part, std::size_t nth) {
+    endpoints.push_back(std::make_unique<test_support::FakeEndpoint>(
+        [cell, &silence](const std::string& part, std::size_t nth) {
           std::uint64_t dice = decision_log::HashId(part + std::to_string(cell) + (nth % 2 == 0 ? "a" : "b"));
           test_support::Behaviour how;
           how.delay_us = 1'000 + static_cast<net::Micros>(dice >> 40) % 14'000;
@@ -242,14 +245,16 @@
         }));
     discovery.Tell("s-" + std::to_string(cell), endpoints.back()->addr(), cell, "ready");
   }
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory, Config(discovery, directory));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
+                                                       Config(discovery, directory));
   INFO(coordinator_process.Log());
   REQUIRE(!coordinator_process.addr().empty());
 
   std::vector<std::map<std::string, Given>> seen(kClients + kBurst);
   std::vector<std::thread> clients;
   for (int who = 0; who < kClients; ++who)
-    clients.emplace_back([&, who] { Ask(coordinator_process.addr(), who, kEach, seen[static_cast<std::size_t>(who)]); });
+    clients.emplace_back(
+        [&, who] { Ask(coordinator_process.addr(), who, kEach, seen[static_cast<std::size_t>(who)]); });
   // Events follow the clients' progress as the holders see it, not a clock.
   auto served = [&] {
     std::size_t all = 0;
@@ -267,7 +272,8 @@
   until(3000);
   silence = false;
   for (int who = kClients; who < kClients + kBurst; ++who)
-    clients.emplace_back([&, who] { Ask(coordinator_process.addr(), who, 10, seen[static_cast<std::size_t>(who)]); });
+    clients.emplace_back(
+        [&, who] { Ask(coordinator_process.addr(), who, 10, seen[static_cast<std::size_t>(who)]); });
   for (std::thread& client : clients) client.join();
 
   // Attempts that are still out end with their time at the latest; until then the record is read as it grows.
@@ -321,7 +327,9 @@
   // What the test is about has happened.
   CHECK(left > 10);
   CHECK(kinds[liftrudder::routing::DispatchKind::kRetry] > 50);
-  CHECK(kinds[liftrudder::routing::DispatchKind::kStragglerHedge] + kinds[liftrudder::routing::DispatchKind::kOutlierHedge] > 5);
+  CHECK(kinds[liftrudder::routing::DispatchKind::kStragglerHedge] +
+            kinds[liftrudder::routing::DispatchKind::kOutlierHedge] >
+        5);
   CHECK(verdicts[Verdict::kComplete] > 1000);
 
   std::vector<std::string> wrong = Compare(traces, outside);
@@ -351,9 +359,12 @@
   };
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].endpoint.id = "s-9"; }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].cause = Cause::kBroke; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].outcome = AttemptOutcome::kFull; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].progress = Progress::kNotConnected; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.push_back(s.parts[0].attempts[0]); }));
+  CHECK(
+      sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].outcome = AttemptOutcome::kFull; }));
+  CHECK(sabotaged(
+      [](decision_log::QueryTrace& s) { s.parts[0].attempts[0].progress = Progress::kNotConnected; }));
+  CHECK(
+      sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.push_back(s.parts[0].attempts[0]); }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.clear(); }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].shard += kMaxEndpoints; }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].at_us += 60'000'000; }));
@@ -371,10 +382,12 @@
   });
   for (int cell = 0; cell < kMaxEndpoints; ++cell)
     discovery.Tell("s-" + std::to_string(cell), endpoint.addr(), cell, "ready");
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, own.path(), Config(discovery, own.path()));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, own.path(),
+                                                       Config(discovery, own.path()));
   REQUIRE(!coordinator_process.addr().empty());
   int status = 0;
-  std::thread client([&] { status = test_support::Fetch(coordinator_process.addr(), Request("last", 1, 0)).status; });
+  std::thread client(
+      [&] { status = test_support::Fetch(coordinator_process.addr(), Request("last", 1, 0)).status; });
   while (endpoint.Log().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   CHECK(coordinator_process.Stop() >= 0);
   client.join();
--- a/tests/app/key_rotation_test.cpp
+++ b/tests/app/key_rotation_test.cpp
@@ -14,8 +14,8 @@
 
 #include "net/server.h"
 #include "support/token_signer.h"
-#include "test_support/temporary_directory.h"
 #include "test_support/coordinator_process.h"
+#include "test_support/temporary_directory.h"
 
 using namespace liftrudder;
 using tests::Json;
@@ -68,7 +68,7 @@
 Json Config(const std::string& endpoint) {
   Json cls = {{"name", "whole"}, {"aimUs", 2'000'000},     {"giveUpUs", 8'000'000}, {"lateShare", 0.3},
               {"value", 1.0},    {"effect", "idempotent"}, {"repeatWindowUs", 0},   {"dedupScope", "all"}};
-  Json entry = {{"id", "h"}, {"addr", endpoint},   {"zone", "dc1"}, {"kind", "k"},
+  Json entry = {{"id", "h"}, {"addr", endpoint}, {"zone", "dc1"}, {"kind", "k"},
                 {"cell", 0}, {"state", "ready"}, {"weight", 1.0}, {"started_ms", 0}};
   Json settings =
       Json::parse(R"({"az":0,"groupSize":1,"ordinal":0,"resolutionUs":1000,"dcs":["dc1"],"kinds":["k"],
@@ -119,8 +119,8 @@
     std::filesystem::rename(directory.path() + "/keys.new", directory.path() + "/keys.json");
   };
   put(0);
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(), Config(at).dump(),
-                             {"--opensearch", "$CONFIG"});
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(),
+                                                       Config(at).dump(), {"--opensearch", "$CONFIG"});
   INFO(coordinator_process.Log());
   REQUIRE(!coordinator_process.addr().empty());
 
@@ -142,9 +142,9 @@
     int before = settled;
     int status =
         test_support::Fetch(coordinator_process.addr(),
-                       fmt::format("POST /lessons/_search HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer "
-                                   "{}\r\nContent-Length: {}\r\n\r\n{}",
-                                   token, body.size(), body))
+                            fmt::format("POST /lessons/_search HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer "
+                                        "{}\r\nContent-Length: {}\r\n\r\n{}",
+                                        token, body.size(), body))
             .status;
     int after = begun, number = static_cast<int>(key);
     ++asked;
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <thread>
 
+#include "test_support/coordinator_process.h"
 #include "test_support/fake_discovery.h"
-#include "test_support/test_fleet.h"
 #include "test_support/temporary_directory.h"
-#include "test_support/coordinator_process.h"
+#include "test_support/test_fleet.h"
 
 using namespace liftrudder;
 
@@ -38,8 +38,8 @@
 net::HttpMessage AskAll(const std::string& addr, const std::string& id) {
   std::string tablets;
   for (int shard = 0; shard < kMaxEndpoints; ++shard)
-    tablets +=
-        fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard, 1.0 / kMaxEndpoints);
+    tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard,
+                           1.0 / kMaxEndpoints);
   std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", tablets);
   return test_support::Fetch(
       addr, fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: {}\r\nX-Call-Class: report\r\n"
@@ -86,7 +86,8 @@
   for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Name(i), field.addr(i), i});
   discovery.Tell(few);
   test_support::TemporaryDirectory directory;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(), Config(discovery));
+  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(),
+                                                       Config(discovery));
   INFO(coordinator_process.Log());
   REQUIRE(!coordinator_process.addr().empty());
   // It listens before its watch is taken; told earlier, both lists come as one and nothing grows.
@@ -120,7 +121,8 @@
   // What can be asked of the record covers them all.
   net::HttpMessage reason = test_support::Get(coordinator_process.addr(), "/-/why?id=left-0");
   CHECK(reason.status == 200);
-  long held_kb = Status(coordinator_process.pid(), "VmHWM"), threads = Status(coordinator_process.pid(), "Threads");
+  long held_kb = Status(coordinator_process.pid(), "VmHWM"),
+       threads = Status(coordinator_process.pid(), "Threads");
   std::printf(
       "1,024 holders: %ld KB at most, %ld descriptors, %ld threads, %d connections taken for 6 x 1,024 "
       "parts\n",
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -11,21 +11,21 @@
 #include <set>
 #include <thread>
 
-#include "test_support/allocation_counter.h"
-#include "test_support/temporary_directory.h"
-#include "decision_log/explain_service.h"
 #include "decision_log/explain.h"
+#include "decision_log/explain_service.h"
 #include "decision_log/recorder.h"
 #include "support/explain_reading.h"
+#include "test_support/allocation_counter.h"
+#include "test_support/temporary_directory.h"
 
 using namespace liftrudder;
-using tests::Kept;
-using tests::ReadAll;
-using liftrudder::routing::CompletionCause;
-using liftrudder::routing::AttemptOutcome;
 using decision_log::IntakeResult;
 using decision_log::Recorder;
 using decision_log::Verdict;
+using liftrudder::routing::AttemptOutcome;
+using liftrudder::routing::CompletionCause;
+using tests::Kept;
+using tests::ReadAll;
 
 namespace {
 
@@ -40,23 +40,27 @@
       : record(bytes, path, kAbout, 7) {
     record.Now(now);
     for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint)
-      record.Holder(endpoint, "s-" + std::to_string(endpoint), "127.0.0.1:" + std::to_string(9000 + endpoint));
+      record.Holder(endpoint, "s-" + std::to_string(endpoint),
+                    "127.0.0.1:" + std::to_string(9000 + endpoint));
   }
 
   std::uint32_t Open(const std::string& id, int class_index, int parts = 2, const std::string& label = "") {
     std::uint32_t query = next;
     next += static_cast<std::uint32_t>(parts) + 1;
     std::vector<decision_log::OpenedPart> told(static_cast<std::size_t>(parts), {3, 1.0 / parts, 0});
-    record.Open({query, now, now + 4 * kSecond, class_index, decision_log::FrontKind::kPlatform, false, id, label},
-                told);
+    record.Open(
+        {query, now, now + 4 * kSecond, class_index, decision_log::FrontKind::kPlatform, false, id, label},
+        told);
     return query;
   }
   void Send(std::uint32_t query, int part, int attempt, std::uint32_t endpoint,
-            liftrudder::routing::DispatchKind kind = liftrudder::routing::DispatchKind::kFirst, AttemptOutcome after = AttemptOutcome::kOk) {
+            liftrudder::routing::DispatchKind kind = liftrudder::routing::DispatchKind::kFirst,
+            AttemptOutcome after = AttemptOutcome::kOk) {
     liftrudder::routing::Send send{0, {endpoint, 1}, kSecond, {kind, after, {}}};
     send.reason.choice.count = 2;
     send.reason.choice.replicas[0] = {{endpoint, 1}, 1, liftrudder::routing::Eligibility::kEligible, true};
-    send.reason.choice.replicas[1] = {{endpoint % 3 + 1, 1}, 0, liftrudder::routing::Eligibility::kOutlier, false};
+    send.reason.choice.replicas[1] = {
+        {endpoint % 3 + 1, 1}, 0, liftrudder::routing::Eligibility::kOutlier, false};
     record.Sent(query, part, attempt, send);
   }
   void End(std::uint32_t query, Verdict verdict, CompletionCause cause = CompletionCause::kComplete) {
@@ -67,7 +71,8 @@
     std::uint32_t query = Open(id, class_index);
     for (int part = 0; part < 2; ++part) {
       Send(query, part, 0, 1);
-      record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+      record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                   decision_log::Cause::kServed);
     }
     End(query, verdict, cause);
   }
@@ -106,15 +111,18 @@
   f.Send(query, 0, 0, 1);
   f.Send(query, 1, 0, 2);
   f.now += 10'000, f.record.Now(f.now);
-  f.record.Ended(query, 0, 0, 1, AttemptOutcome::kFull, decision_log::Progress::kAnswering, decision_log::Cause::kSkipped);
+  f.record.Ended(query, 0, 0, 1, AttemptOutcome::kFull, decision_log::Progress::kAnswering,
+                 decision_log::Cause::kSkipped);
   f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kFull);
   f.now += 10'000, f.record.Now(f.now);
   f.record.Ended(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kConnectionLost);
   f.Send(query, 0, 2, 3, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kReset);
   f.Send(query, 1, 1, 3, liftrudder::routing::DispatchKind::kStragglerHedge);
-  f.record.Ended(query, 0, 2, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
-  f.record.Ended(query, 1, 1, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+  f.record.Ended(query, 0, 2, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                 decision_log::Cause::kServed);
+  f.record.Ended(query, 1, 1, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                 decision_log::Cause::kServed);
   f.record.Cancelled(query, 1, {0, 0, liftrudder::routing::CancelReason::kAnswered});
   f.End(query, Verdict::kComplete);
   f.now += 10'000, f.record.Now(f.now);
@@ -239,7 +247,8 @@
   REQUIRE(found.traces.size() == 1);
   CHECK(found.traces[0].events_cut);
   CHECK(found.traces[0].verdict == Verdict::kPartial);
-  CHECK(decision_log::Reader(f.record.record_file()).Summarize().blocks_used <= f.record.record_file().layout().blocks / 16);
+  CHECK(decision_log::Reader(f.record.record_file()).Summarize().blocks_used <=
+        f.record.record_file().layout().blocks / 16);
 }
 
 TEST_CASE("no allocation a query once running, and the bytes claimed stay the same") {
@@ -259,7 +268,8 @@
                   parts);
     for (int part = 0; part < 6; ++part) f.Send(query, part, 0, 1);
     for (int part = 0; part < 6; ++part)
-      f.record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+      f.record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                     decision_log::Cause::kServed);
     f.End(query, i % 50 == 0 ? Verdict::kRefused : Verdict::kComplete);
     f.record.Flush();
   }
@@ -366,8 +376,9 @@
   }
   f.record.Flush();
   auto summary = decision_log::Reader(f.record.record_file()).Summarize();
-  std::size_t counted = summary.totals[decision_log::kTallyIntake + static_cast<std::size_t>(IntakeResult::kMalformed)] +
-                        summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)];
+  std::size_t counted =
+      summary.totals[decision_log::kTallyIntake + static_cast<std::size_t>(IntakeResult::kMalformed)] +
+      summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)];
   CHECK(counted == told);
   CHECK(f.Find("bad").traces.size() <= 40);
   CHECK(f.Find("mine").traces.size() == 1);
@@ -375,7 +386,8 @@
   for (int i = 0; i < 1000; ++i) f.record.Tell(note);
   f.record.Flush();
   summary = decision_log::Reader(f.record.record_file()).Summarize();
-  CHECK(summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)] == 1000 - 256);
+  CHECK(summary.totals[decision_log::kTallyLost + static_cast<std::size_t>(decision_log::Lost::kQueueFull)] ==
+        1000 - 256);
 }
 
 TEST_CASE("what a killed program left can be read; damage is skipped and counted, or named") {
@@ -506,7 +518,8 @@
       }
       std::uint32_t entry = *free.begin();
       free.erase(free.begin());
-      auto stratum = static_cast<std::size_t>(next(4) == 0 ? next(decision_log::kStrata) : 6 * decision_log::kClassStrata);
+      auto stratum = static_cast<std::size_t>(next(4) == 0 ? next(decision_log::kStrata)
+                                                           : 6 * decision_log::kClassStrata);
       auto blocks = static_cast<std::uint32_t>(1 + next(4));
       retention.Keep(entry, stratum, now, blocks);
       kept[entry] = {stratum, blocks};
--- a/tests/identity/identity_fuzz.cpp
+++ b/tests/identity/identity_fuzz.cpp
@@ -73,7 +73,8 @@
     Need(!std::get<std::string>(read).empty(), "a refused key set says why");
   }
   auto permission_table = PermissionTable::Read(text);
-  if (const auto* wrong = std::get_if<std::string>(&permission_table)) Need(!wrong->empty(), "a refused book says why");
+  if (const auto* wrong = std::get_if<std::string>(&permission_table))
+    Need(!wrong->empty(), "a refused book says why");
   return 0;
 }
 
--- a/tests/identity/identity_test.cpp
+++ b/tests/identity/identity_test.cpp
@@ -13,12 +13,12 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "identity/base64url.h"
 #include "identity/authenticator.h"
+#include "identity/base64url.h"
 #include "identity/token_verifier.h"
 #include "support/token_signer.h"
-#include "test_support/temporary_directory.h"
 #include "test_support/coordinator_process.h"
+#include "test_support/temporary_directory.h"
 
 namespace identity = liftrudder::identity;
 using namespace liftrudder::identity;
--- a/tests/limits/tenant_quotas_test.cpp
+++ b/tests/limits/tenant_quotas_test.cpp
@@ -10,8 +10,8 @@
 #include <queue>
 #include <set>
 
-using liftrudder::limits::TenantQuotas;
 using liftrudder::limits::ShareSettings;
+using liftrudder::limits::TenantQuotas;
 using Micros = TenantQuotas::Micros;
 
 namespace {
@@ -41,7 +41,8 @@
         accounts.End(open.top().second.first, open.top().second.second);
         open.pop();
       }
-      std::string caller = "t" + std::to_string(asked[who->first]++ % (who->first == "a" ? authenticator : 4));
+      std::string caller =
+          "t" + std::to_string(asked[who->first]++ % (who->first == "a" ? authenticator : 4));
       auto verdict = accounts.Ask(who->first, caller, 1, now);
       if (verdict.granted) open.push({now + lasts, {who->first, caller}});
       (verdict.granted ? granted : refused)[who->first] += 1;
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -8,9 +8,9 @@
 #include <future>
 #include <thread>
 
-#include "support/connection_pool_fixture.h"
 #include "net/server.h"
 #include "platform/discovery.h"
+#include "support/connection_pool_fixture.h"
 
 using namespace liftrudder;
 using coordinator::Cause;
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -4,8 +4,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "support/token_issuer.h"
 #include "net/server.h"
+#include "support/token_issuer.h"
 
 using namespace liftrudder;
 using net::TlsChannel;
@@ -26,7 +26,8 @@
 
 const HandClock kClock;
 
-Context Made(TlsMaterial material, const coordinator::Clock& clock = kClock, const TlsContext* before = nullptr) {
+Context Made(TlsMaterial material, const coordinator::Clock& clock = kClock,
+             const TlsContext* before = nullptr) {
   auto made = TlsContext::Make(std::move(material), clock, before);
   INFO((made.index() == 1 ? std::get<1>(made) : "made"));
   REQUIRE(made.index() == 0);
--- a/tests/opensearch/access_control_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -172,7 +172,8 @@
     CHECK_FALSE(networks.Contain(out));
   Json permission_table = {
       {"keys", "k"}, {"issuer", "i"}, {"audience", "a"}, {"tenants", {{"north", {{"indices", {"x"}}}}}}};
-  CHECK(std::holds_alternative<identity::PermissionTable>(identity::PermissionTable::Read(permission_table.dump())));
+  CHECK(std::holds_alternative<identity::PermissionTable>(
+      identity::PermissionTable::Read(permission_table.dump())));
   for (auto [place, value, says] :
        {std::tuple("/tenants/north/netwroks", Json::array({"10.0.0.0/8"}),
                    "tenant 'north': [netwroks] is not known"),
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -135,7 +135,8 @@
   auto wrong = [](const std::string& entry) -> std::string {
     std::string good = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
     try {
-      config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}", Known());
+      config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}",
+                                Known());
     } catch (const std::runtime_error& error) {
       return error.what();
     }
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr Micros kMs = 1000, kSecond = 1000 * kMs, kRound = 10 * kMs;
 constexpr int kCoordinators = 100, kSlots = 4;  // parts that a holder does at once
-constexpr Micros kWork = 40 * kMs;           // of one part at a warm holder
+constexpr Micros kWork = 40 * kMs;              // of one part at a warm holder
 
 Settings Shared(int endpoints) {
   Settings s;
@@ -176,10 +176,12 @@
   for (std::size_t last = 0, first = 0; last < endpoint.came.size(); ++last) {
     Micros at = endpoint.came[last];
     if (at < endpoint.told.started_us || at > endpoint.told.started_us + group.s.slow_start_us) continue;
-    while (endpoint.came[first] < std::max(at - group.s.collapse_window_us, endpoint.told.started_us)) ++first;
-    double age = static_cast<double>(at - endpoint.told.started_us) / static_cast<double>(group.s.slow_start_us);
-    double able =
-        (group.s.slow_start_capacity + (1 - group.s.slow_start_capacity) * age) * kSlots * group.s.collapse_window_us / kWork;
+    while (endpoint.came[first] < std::max(at - group.s.collapse_window_us, endpoint.told.started_us))
+      ++first;
+    double age =
+        static_cast<double>(at - endpoint.told.started_us) / static_cast<double>(group.s.slow_start_us);
+    double able = (group.s.slow_start_capacity + (1 - group.s.slow_start_capacity) * age) * kSlots *
+                  group.s.collapse_window_us / kWork;
     worst = std::max(worst, static_cast<double>(last - first + 1) / able);
   }
   return worst;
@@ -224,7 +226,9 @@
       if (endpoint.told.cell % 5 < 3) old.push_back(id);
     std::ranges::shuffle(old, group.random);
     int to_gone = 0;
-    group.at_send = [&](const Holder& endpoint) { to_gone += !endpoint.up && group.now > endpoint.lost + kSecond; };
+    group.at_send = [&](const Holder& endpoint) {
+      to_gone += !endpoint.up && group.now > endpoint.lost + kSecond;
+    };
     std::vector<Holder*> fresh;
     for (std::size_t i = 0; i < old.size(); ++i) {
       group.RunUntil(4 * kSecond + static_cast<Micros>(i) * 7 * kSecond / static_cast<Micros>(old.size()));
@@ -276,7 +280,8 @@
   double usual = GENERATE(0.02, 0.12);
   const double bad[kBad] = {0.5, 0.9, 1.0};
   Group group(30, 0.4, 1);
-  for (auto& [id, endpoint] : group.endpoints) endpoint.fails = id.address <= kBad ? bad[id.address - 1] : usual;
+  for (auto& [id, endpoint] : group.endpoints)
+    endpoint.fails = id.address <= kBad ? bad[id.address - 1] : usual;
   group.RunUntil(31 * kSecond);
   Shares during(group);
   INFO("usual " << usual << ": " << during.came[1] << " " << during.came[2] << " " << during.came[3]);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,4 +1,6 @@
 // A small test for each rule and each failure found, driven through the interface alone.
+#include "routing/router.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,8 +8,6 @@
 #include <map>
 #include <set>
 
-#include "routing/router.h"
-
 namespace liftrudder::routing {
 namespace {
 
@@ -76,14 +76,14 @@
   }
 
   // A query with parts of these weights; part ids are id * 100 + index, shards their index.
-  std::vector<Action> Ask(Id id, int cls, std::vector<double> weights, Micros patience = 2 * kLatencyObjective,
-                          int tenant = 0, bool is_retry = false) {
+  std::vector<Action> Ask(Id id, int cls, std::vector<double> weights,
+                          Micros patience = 2 * kLatencyObjective, int tenant = 0, bool is_retry = false) {
     std::vector<Event> events{QueryReceived{id, static_cast<std::int64_t>(id),
-                                           static_cast<int>(weights.size()), cls, tenant, is_retry, 0,
-                                           patience, 0}};
+                                            static_cast<int>(weights.size()), cls, tenant, is_retry, 0,
+                                            patience, 0}};
     for (std::size_t i = 0; i < weights.size(); ++i) {
       events.push_back(ShardRequestReceived{static_cast<Id>(id * 100 + i), static_cast<std::int64_t>(id),
-                                   static_cast<int>(i), weights[i], 0, 0});
+                                            static_cast<int>(i), weights[i], 0, 0});
     }
     return Do(events);
   }
@@ -129,7 +129,8 @@
   int Sends(Id part) const { return attempts.contains(part) ? attempts.at(part) : 0; }
   // Fills the fleet: queries whose parts stay out.
   void Load(int queries) {
-    for (int i = 0; i < queries; ++i) Ask(next_id++, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
+    for (int i = 0; i < queries; ++i)
+      Ask(next_id++, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   }
 
   Router module;
@@ -270,9 +271,10 @@
 
 TEST(Drain, NothingNewToADrainingOrGoneReplica) {
   Bench bench;
-  bench.Do(EndpointListUpdate{EndpointListKind::kDelta,
-                    2,
-                    {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kGone)}});
+  bench.Do(
+      EndpointListUpdate{EndpointListKind::kDelta,
+                         2,
+                         {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kGone)}});
   for (Id id = 1; id <= 20; ++id) bench.Ask(id, kComplete, {1});
   for (const auto& [send, attempt] : bench.sent) EXPECT_GE(send.replica.address, 2u);
 }
@@ -282,7 +284,8 @@
 TEST(Cold, AStartedReplicaGetsNoMoreThanItsWarmthsShare) {
   Bench bench;
   bench.Calm(40, 20 * kMs);
-  bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
+  bench.Do(
+      EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
   int to_cold = 0, to_others = 0;
   for (int i = 0; i < 60; ++i) {
     bench.Ask(bench.next_id++, kComplete, {1});
@@ -490,7 +493,8 @@
   s.reach = 1;
   Bench bench(s);
   bench.Calm(40);
-  for (int i = 0; i < 30; ++i) bench.Ask(bench.next_id++, kComplete, {1}, 3 * kLatencyObjective);  // shard 0 only
+  for (int i = 0; i < 30; ++i)
+    bench.Ask(bench.next_id++, kComplete, {1}, 3 * kLatencyObjective);  // shard 0 only
   std::size_t sent = bench.sent.size();
   EXPECT_LT(sent, 30u);
   bench.Ask(1, kPartial, {0.1, 0.5, 0.4});
@@ -529,7 +533,8 @@
   for (int instance = 0; instance < s.fleet_size; ++instance) {
     Bench bench(s, static_cast<std::uint64_t>(instance + 1));
     bench.Calm(20);
-    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
+    bench.Do(
+        EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
     for (int i = 0; i < 4; ++i) bench.Ask(bench.next_id++, kComplete, {1});
     for (const auto& [send, attempt] : bench.sent) to_cold += send.replica.address == 0;
   }
@@ -568,9 +573,9 @@
   Bench bench;
   bench.Calm(40);
   bench.Do(EndpointListUpdate{EndpointListKind::kDelta,
-                    2,
-                    {Bench::Member(0, Availability::kReady, bench.now - 9000 * kMs),
-                     Bench::Member(1, Availability::kReady, bench.now - 9000 * kMs)}});
+                              2,
+                              {Bench::Member(0, Availability::kReady, bench.now - 9000 * kMs),
+                               Bench::Member(1, Availability::kReady, bench.now - 9000 * kMs)}});
   bench.Ask(1, kComplete, {0.2, 0.3, 0.5});
   ASSERT_EQ(bench.sent.size(), 1u);
   EXPECT_EQ(bench.Sends(102), 1);  // the heaviest
@@ -590,7 +595,8 @@
   for (int cell : {0, 1})
     bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(cell, Availability::kDraining)}});
   for (int cell : {0, 1}) {
-    bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 3, {Bench::Member(cell, Availability::kReady, bench.now)}});
+    bench.Do(EndpointListUpdate{
+        EndpointListKind::kDelta, 3, {Bench::Member(cell, Availability::kReady, bench.now)}});
   }
   bench.Ask(1, kComplete, {0.2, 0.3, 0.5});
   EXPECT_EQ(bench.sent.size(), 3u);
@@ -684,7 +690,8 @@
   while (bench.Last<Answer>().empty() && bench.now < asked + kLatencyObjective) bench.Tick(1 * kMs);
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
   EXPECT_LE(bench.now, asked + kLatencyObjective * 98 / 100);
-  EXPECT_GE(bench.now, asked + kLatencyObjective * 95 / 100);  // and a part that comes before that still counts
+  EXPECT_GE(bench.now,
+            asked + kLatencyObjective * 95 / 100);  // and a part that comes before that still counts
 }
 
 // quebec-later big-2: whole-only queries waited for one part of 28.
@@ -939,8 +946,8 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       for (std::uint64_t key : {seed, std::uint64_t{77}}) {
         Bench bench(s, seed);
-        bench.Do(
-            {QueryReceived{1, 1, 1, kComplete, 0, false, key, 3 * kLatencyObjective, 0}, ShardRequestReceived{100, 1, 0, 1, key, 0}});
+        bench.Do({QueryReceived{1, 1, 1, kComplete, 0, false, key, 3 * kLatencyObjective, 0},
+                  ShardRequestReceived{100, 1, 0, 1, key, 0}});
         (key == 77 ? of_one_key : by_key).insert(bench.Where(100));
       }
     }
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -33,28 +33,51 @@
 constexpr auto kPatience = std::chrono::seconds(20);
 
 Json Grade(const char* name, const char* effect) {
-  return {{"name", name},        {"aimUs", 2000000}, {"giveUpUs", 10000000},     {"lateShare", 0.3},
-          {"value", 1.0},        {"effect", effect}, {"repeatWindowUs", 5000000}, {"dedupScope", "all"}};
+  return {{"name", name}, {"aimUs", 2000000}, {"giveUpUs", 10000000},      {"lateShare", 0.3},
+          {"value", 1.0}, {"effect", effect}, {"repeatWindowUs", 5000000}, {"dedupScope", "all"}};
 }
 
 Json Configuration() {
   Json settings = {
-      {"az", 0},        {"groupSize", 1}, {"ordinal", 0},  {"resolutionUs", 5000}, {"dcs", {"dc1"}},
-      {"kinds", {"k"}}, {"registryMode", "automatic"},
+      {"az", 0},
+      {"groupSize", 1},
+      {"ordinal", 0},
+      {"resolutionUs", 5000},
+      {"dcs", {"dc1"}},
+      {"kinds", {"k"}},
+      {"registryMode", "automatic"},
       {"loadInfo", {{"how", "inline"}, {"names", {"q", "rif"}}}},
       {"grades", {Grade("part", "idempotent"), Grade("whole", "idempotent"), Grade("keyed", "deduplicated")}},
       {"familyInfo",
-       {{"cells", 2}, {"reach", 1}, {"slices", 2}, {"perCall", 1}, {"classFetch", {0, 0, 0}},
-        {"classFloor", {0.4, 1.0, 1.0}}, {"wholeAt", {1.0, 1.0, 1.0}}, {"incompleteWorth", {0.95, 0.9, 0.9}}}},
+       {{"cells", 2},
+        {"reach", 1},
+        {"slices", 2},
+        {"perCall", 1},
+        {"classFetch", {0, 0, 0}},
+        {"classFloor", {0.4, 1.0, 1.0}},
+        {"wholeAt", {1.0, 1.0, 1.0}},
+        {"incompleteWorth", {0.95, 0.9, 0.9}}}},
       {"bounds",
-       {{"attemptsCap", 3}, {"cancelling", true}, {"connectTimeoutUs", 250000}, {"idleCloseUs", 30000000},
-        {"maxOpen", 100}, {"maxRetryAfterUs", 500000}, {"probes", true}, {"retryAfter", true},
-        {"secondCopies", true}, {"streamsPerConn", 100}}},
+       {{"attemptsCap", 3},
+        {"cancelling", true},
+        {"connectTimeoutUs", 250000},
+        {"idleCloseUs", 30000000},
+        {"maxOpen", 100},
+        {"maxRetryAfterUs", 500000},
+        {"probes", true},
+        {"retryAfter", true},
+        {"secondCopies", true},
+        {"streamsPerConn", 100}}},
       {"rules", {{"graceToAnswerUs", 20000}, {"stopSendingWithinUs", 1000000}}}};
-  return {{"name", "n1"}, {"seed", "8c1f30d27a5be964"}, {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
+  return {{"name", "n1"},
+          {"seed", "8c1f30d27a5be964"},
+          {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
           {"settings", settings},
-          {"opensearch", {{"result_window", 100}, {"indices", {{"lessons", {{"class", "part"},
-                          {"whole_class", "whole"}, {"shards", {0, 1}}, {"weights", {3, 1}}}}}}}}};
+          {"opensearch",
+           {{"result_window", 100},
+            {"indices",
+             {{"lessons",
+               {{"class", "part"}, {"whole_class", "whole"}, {"shards", {0, 1}}, {"weights", {3, 1}}}}}}}}};
 }
 
 std::string Plain(std::string_view text) {
@@ -107,7 +130,7 @@
   int cell = 0;
   std::list<Line> lines;
   std::deque<std::pair<Line*, std::string>> came;
-  Line* last = nullptr;  // whose message was expected last
+  Line* last = nullptr;                // whose message was expected last
   std::map<std::string, Line*> asked;  // where a part was asked for last, by its id
 };
 
@@ -166,7 +189,8 @@
       if (!peer.lines.back().tls->ended()) throw std::runtime_error("it was cut, without a last word");
     } else if (verb == "send") {
       bool endpoint = endpoints_.contains(Name(who));
-      Write(endpoint ? Asked(endpoints_.at(Name(who)), rest) : Client(who), endpoint ? Framed(Plain(rest)) : Plain(rest));
+      Write(endpoint ? Asked(endpoints_.at(Name(who)), rest) : Client(who),
+            endpoint ? Framed(Plain(rest)) : Plain(rest));
     } else if (verb == "bytes") {
       Write(*endpoints_.at(Name(who)).last, Plain(rest));
     } else if (verb == "post") {
@@ -258,8 +282,8 @@
 
   Json Entry(const std::string& name, const std::string& state) {
     const Peer& peer = endpoints_.at(name);
-    return {{"id", name}, {"addr", peer.addr}, {"zone", "dc1"}, {"kind", "k"}, {"cell", peer.cell},
-            {"state", state}, {"weight", 1.0}, {"started_ms", 0}};
+    return {{"id", name},        {"addr", peer.addr}, {"zone", "dc1"}, {"kind", "k"},
+            {"cell", peer.cell}, {"state", state},    {"weight", 1.0}, {"started_ms", 0}};
   }
 
   static std::string Port(const Peer& peer) { return peer.addr.substr(peer.addr.find(':') + 1); }
@@ -281,18 +305,22 @@
     bool add = what.starts_with("add ");
     std::string name = Name(what.substr(what.find(' ') + 1));
     const Peer& endpoint = endpoints_.at(name);
-    auto two = [](int value) { return std::string{static_cast<char>(value >> 8), static_cast<char>(value & 0xff)}; };
+    auto two = [](int value) {
+      return std::string{static_cast<char>(value >> 8), static_cast<char>(value & 0xff)};
+    };
     auto record = [&](const std::string& owner, int type, const std::string& data) {
-      return *dns::WireName(owner) + two(type) + two(add ? dns::kClassIn : dns::kClassNone) + two(0) + two(0) +
-             two(static_cast<int>(data.size())) + data;
+      return *dns::WireName(owner) + two(type) + two(add ? dns::kClassIn : dns::kClassNone) + two(0) +
+             two(0) + two(static_cast<int>(data.size())) + data;
     };
     std::string srv = two(0) + two(1) + two(std::stoi(Port(endpoint))) + *dns::WireName(name + ".z.");
     std::string all = record("_search._tcp.z.", dns::kTypeSrv, srv);
     std::string text = "cell=" + std::to_string(endpoint.cell);
     text.insert(0, 1, static_cast<char>(text.size()));
-    if (add) all += record(name + ".z.", dns::kTypeA, std::string("\x7f\0\0\1", 4)) + record(name + ".z.", dns::kTypeTxt, text);
-    std::string message = two(77) + two(5 << 11) + two(1) + two(0) + two(add ? 3 : 1) + two(0) + *dns::WireName("z.") +
-                          two(dns::kTypeSoa) + two(dns::kClassIn) + all;
+    if (add)
+      all += record(name + ".z.", dns::kTypeA, std::string("\x7f\0\0\1", 4)) +
+             record(name + ".z.", dns::kTypeTxt, text);
+    std::string message = two(77) + two(5 << 11) + two(1) + two(0) + two(add ? 3 : 1) + two(0) +
+                          *dns::WireName("z.") + two(dns::kTypeSoa) + two(dns::kClassIn) + all;
     Peer& peer = clients_[who];
     if (peer.lines.empty()) {
       Line& line = peer.lines.emplace_back();
@@ -323,7 +351,8 @@
     int others = 0;
     words >> state >> others;
     Json all = Json::array();
-    for (const auto& [name, peer] : endpoints_) all.push_back(Entry(name, name == Name(who) ? state : "ready"));
+    for (const auto& [name, peer] : endpoints_)
+      all.push_back(Entry(name, name == Name(who) ? state : "ready"));
     for (int i = 0; i < others; ++i) {
       Json entry = all.front();
       entry["id"] = "other-" + std::string(40, 'x') + std::to_string(i);
@@ -345,7 +374,8 @@
     }
     WriteConfig(bad ? "{" : config_.dump());
     ::kill(child_, SIGHUP);
-    if (bad) return Until([&] { return log_.find("the old settings stay") != std::string::npos; }, "not reread");
+    if (bad)
+      return Until([&] { return log_.find("the old settings stay") != std::string::npos; }, "not reread");
     Until([&] { return !discovery_.lines.empty(); }, "the watch does not move");
   }
 
@@ -354,7 +384,8 @@
     std::string path = directory_ + "/config.json";
     WriteConfig(config_.dump());
     int ends[2];
-    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) throw std::runtime_error("no socket pair");
+    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0)
+      throw std::runtime_error("no socket pair");
     child_ = ::fork();
     if (child_ == 0) {
       ::dup2(ends[1], STDERR_FILENO);
@@ -382,8 +413,8 @@
 
   std::string Request(const std::string& method, const std::string& target, const std::string& headers,
                       const std::string& body) {
-    return method + " " + target + " HTTP/1.1\r\nHost: t\r\n" + headers + "Content-Length: " +
-           std::to_string(body.size()) + "\r\n\r\n" + body;
+    return method + " " + target + " HTTP/1.1\r\nHost: t\r\n" + headers +
+           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 
   static std::string Headers(const std::string& id, const std::string& grade, const std::string& budget) {
@@ -398,7 +429,8 @@
     std::vector<std::string> all;
     for (std::string shard; std::getline(list, shard, ',');) all.push_back(shard);
     for (const std::string& shard : all)
-      body["tablets"].push_back({{"tablet", std::stoi(shard)}, {"fraction", 1.0 / static_cast<double>(all.size())}});
+      body["tablets"].push_back(
+          {{"tablet", std::stoi(shard)}, {"fraction", 1.0 / static_cast<double>(all.size())}});
     std::string headers = Headers(id, grade, budget);
     if (!key.empty()) headers += "Idempotency-Key: " + key + "\r\n";
     Write(Client(who), Request("POST", "/api", headers, body.dump()));
@@ -419,7 +451,8 @@
       line.http = std::make_unique<HttpParser>(HttpParser::Kind::kResponse);
       if (config_.contains("tls") && !who.starts_with("raw")) {
         auto shows = shown_.find(who);
-        line.tls = std::make_unique<TlsClient>(TLS1_3_VERSION, shows == shown_.end() ? nullptr : &shows->second);
+        line.tls =
+            std::make_unique<TlsClient>(TLS1_3_VERSION, shows == shown_.end() ? nullptr : &shows->second);
         Shake(line);
       }
     }
@@ -432,7 +465,8 @@
       std::string out = line.tls->Step(came, line.in);
       if (!out.empty()) net::WriteAll(line.fd, out, 5'000'000);
       came.clear();
-      if (SSL_is_init_finished(line.tls->raw()) == 0 && net::ReadSome(line.fd, came, 5'000'000) != net::Io::kOk)
+      if (SSL_is_init_finished(line.tls->raw()) == 0 &&
+          net::ReadSome(line.fd, came, 5'000'000) != net::Io::kOk)
         throw std::runtime_error("no handshake");
     }
   }
@@ -447,13 +481,15 @@
     Peer* peer = nullptr;
     std::string name = who;
     if (who == "any" || who == "other") {
-      Until([&] {
-        for (auto& [endpoint, one] : endpoints_) {
-          bool fits = who == "any" || endpoint != Name("it");
-          if (fits && !one.came.empty()) name = endpoint;
-        }
-        return name != who;
-      }, "nothing came at a holder");
+      Until(
+          [&] {
+            for (auto& [endpoint, one] : endpoints_) {
+              bool fits = who == "any" || endpoint != Name("it");
+              if (fits && !one.came.empty()) name = endpoint;
+            }
+            return name != who;
+          },
+          "nothing came at a holder");
       aliases_[who == "any" ? "it" : "other"] = name;
       peer = &endpoints_.at(name);
     } else {
@@ -489,7 +525,8 @@
     std::filesystem::rename(directory_ + "/keys.new", directory_ + "/keys.json");
   }
 
-  // What the configuration of TLS names, put in place by renaming; `words`: whose certificates are taken back.
+  // What the configuration of TLS names, put in place by renaming; `words`: whose certificates are taken
+  // back.
   void WriteTls(const std::string& name, std::istringstream& words) {
     Issued server = server_issuer_.Issue(name, "DNS:" + name, "serverAuth");
     std::vector<Issued> revoked;
@@ -509,8 +546,8 @@
     std::int64_t lasts = 60;
     words >> kid >> tenant >> lasts;
     std::int64_t now = std::time(nullptr);
-    Json claims = {{"iss", "issuer"},   {"aud", "gatherer"}, {"exp", now + lasts}, {"nbf", now - 60},
-                   {"tenant", tenant}, {"sub", "caller of " + tenant}};
+    Json claims = {{"iss", "issuer"}, {"aud", "gatherer"}, {"exp", now + lasts},
+                   {"nbf", now - 60}, {"tenant", tenant},  {"sub", "caller of " + tenant}};
     const Signer& signer = signers_.try_emplace(kid, signers_.size() % 2 == 1).first->second;
     bearers_[who] = "Authorization: Bearer " + signer.Token(kid, claims) + "\r\n";
   }
@@ -529,24 +566,28 @@
     int status = 0;
     Until([&] { return ::waitpid(child_, &status, WNOHANG) == child_; }, "the program does not end");
     child_ = 0;
-    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) throw std::runtime_error("the program crashed:\n" + log_);
+    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
+      throw std::runtime_error("the program crashed:\n" + log_);
   }
 
   void Counters(const std::string& glob) {
     std::string seen;
-    Until([&] {
-      Peer& peer = clients_["#counters"];
-      if (!peer.came.empty()) {
-        seen = peer.came.front().second;
-        peer.came.pop_front();
-      } else if (seen.empty() || !Matches(glob, seen)) {
-        if (peer.lines.empty() || !asked_) Write(Client("#counters"), Request("GET", "/-/metrics", "", ""));
-        asked_ = true;
-        return false;
-      }
-      asked_ = false;
-      return Matches(glob, seen);
-    }, "the counters do not come to match");
+    Until(
+        [&] {
+          Peer& peer = clients_["#counters"];
+          if (!peer.came.empty()) {
+            seen = peer.came.front().second;
+            peer.came.pop_front();
+          } else if (seen.empty() || !Matches(glob, seen)) {
+            if (peer.lines.empty() || !asked_)
+              Write(Client("#counters"), Request("GET", "/-/metrics", "", ""));
+            asked_ = true;
+            return false;
+          }
+          asked_ = false;
+          return Matches(glob, seen);
+        },
+        "the counters do not come to match");
   }
 
   // Serves all sockets until the condition holds.
@@ -554,7 +595,8 @@
   void Until(Condition&& holds, const char* otherwise) {
     auto end = std::chrono::steady_clock::now() + kPatience;
     while (!holds()) {
-      if (std::chrono::steady_clock::now() > end) throw std::runtime_error(std::string(otherwise) + "\n" + log_);
+      if (std::chrono::steady_clock::now() > end)
+        throw std::runtime_error(std::string(otherwise) + "\n" + log_);
       Pump();
     }
   }
@@ -588,7 +630,8 @@
   }
 
   void Beat() {
-    if (discovery_.lines.empty() || std::chrono::steady_clock::now() - told_ < std::chrono::seconds(1)) return;
+    if (discovery_.lines.empty() || std::chrono::steady_clock::now() - told_ < std::chrono::seconds(1))
+      return;
     told_ = std::chrono::steady_clock::now();
     if (!discovery_.lines.back().ended) net::WriteAll(discovery_.lines.back().fd, "1\r\n\n\r\n", 0);
   }
@@ -632,7 +675,8 @@
       }
       if (line.http->Feed(line.in) != HttpParser::State::kDone) return;
       net::HttpMessage& message = line.http->message();
-      std::string text = message.status > 0 ? std::to_string(message.status) : message.method + " " + message.target;
+      std::string text =
+          message.status > 0 ? std::to_string(message.status) : message.method + " " + message.target;
       for (const char* name : {"Retry-After", "Connection"}) {
         if (const std::string* value = message.Header(name)) text += std::string(" ") + name + ":" + *value;
       }
@@ -653,7 +697,7 @@
   Peer discovery_;
   std::map<std::string, Peer> endpoints_, clients_;
   std::map<std::string, std::string> aliases_, kept_;
-  std::map<std::string, Signer> signers_;        // by kid
+  std::map<std::string, Signer> signers_;  // by kid
   Issuer server_issuer_{"servers"}, client_issuer_{"clients"};
   std::map<std::string, Issued> shown_;         // the certificate that a client shows
   std::map<std::string, std::string> bearers_;  // the header line that a client's requests carry
--- a/tests/scenario/scenario.h
+++ b/tests/scenario/scenario.h
@@ -17,7 +17,8 @@
 //   log once TEXT            the program's log says this, and only once so far
 //   keys KID[:STATE] ...     the key set that callers' tokens are held against is this from now on
 //   token C KID TENANT [S]   client C's `http` requests carry a token of that key, good for S seconds (60)
-//   tls NAME [C] ...         the certificate for that name is shown from now on, and those of the clients C are
+//   tls NAME [C] ...         the certificate for that name is shown from now on, and those of the clients C
+//   are
 //                            taken back; clients speak TLS where /tls is set, but for those named raw...
 //   certificate C NAMES      client C shows one with these names, such as DNS:a.example
 //   finished C               C's connection has been closed, and not cut: the last word came
@@ -29,7 +30,8 @@
 //   quiet X                  nothing has come at X that was not expected
 //   keep NAME PREFIX SUFFIX  what stands between these in the last message, later written $NAME
 //   close X                  X's connections end; `reset X` with a reset; `dead X` and the listener too
-//   reload [bad]             discovery moves to a new address and the configuration says so (or cannot be read),
+//   reload [bad]             discovery moves to a new address and the configuration says so (or cannot be
+//   read),
 //                            and SIGHUP is sent; waits until the program watches there (or has logged it)
 //   signal                   SIGTERM to the program;  wait exit: it has ended with 0
 //   until GLOB               the program's counters match
--- a/tests/scenario/scenario_test.cpp
+++ b/tests/scenario/scenario_test.cpp
@@ -1,11 +1,11 @@
 // One scenario, named by the environment, so that each is a test of its own.
 #define CATCH_CONFIG_MAIN
-#include <catch2/catch.hpp>
+#include "scenario/scenario.h"
 
+#include <catch2/catch.hpp>
 #include <cstdlib>
 
 #include "config/config.h"
-#include "scenario/scenario.h"
 
 TEST_CASE("scenario") {
   const char* path = std::getenv("SCENARIO");
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -1,11 +1,11 @@
 // The codec on the byte examples of the wire page, and on frames that are not whole or not known.
-#include "config/routing_settings.h"
 #include "simulator/codec.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
+#include "config/routing_settings.h"
 #include "simulator/host.h"
 
 namespace liftrudder::simulator {
@@ -117,7 +117,8 @@
 }
 
 TEST(Decode, HealthResultHangupDueAndHeard) {
-  auto probe = Only<HealthCheckFinished>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
+  auto probe =
+      Only<HealthCheckFinished>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
   EXPECT_EQ(probe.spent_us, 1400);
   EXPECT_EQ(Only<ClientDisconnected>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
   EXPECT_EQ(Only<TimerFired>("46 00000008 000000000000004d").label, 0x4du);
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -26,11 +26,12 @@
       list.entries.push_back({"h" + std::to_string(i), net::LocalAddress(listeners.back()), {}});
     }
     news = endpoint_registry.Apply(list, 1);
-    links.emplace(dialect, endpoint_registry, clock, limits, counters, figures, [this](coordinator::AttemptResult result) {
-      std::lock_guard lock(mutex);
-      results.push_back(std::move(result));
-      wake.notify_one();
-    });
+    links.emplace(dialect, endpoint_registry, clock, limits, counters, figures,
+                  [this](coordinator::AttemptResult result) {
+                    std::lock_guard lock(mutex);
+                    results.push_back(std::move(result));
+                    wake.notify_one();
+                  });
   }
   void Send(int endpoint, std::shared_ptr<const coordinator::ClientPresence> client = nullptr) {
     coordinator::AttemptRequest order;
@@ -38,7 +39,8 @@
     order.endpoint = news->replicas[static_cast<std::size_t>(endpoint)].id;
     order.shard = static_cast<int>(parts);
     order.attempt_deadline_us = clock.Now() + 60'000'000;
-    order.payload = std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
+    order.payload =
+        std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
     links->Start(std::move(order));
     if (ends_round) links->EndRound();
   }
--- a/tests/support/explain_reading.h
+++ b/tests/support/explain_reading.h
@@ -16,10 +16,11 @@
 inline Kept ReadAll(const decision_log::RecordFile& record_file, const decision_log::Filter& filter) {
   Kept out;
   std::vector<decision_log::QueryTrace> traces;
-  static_cast<decision_log::Found&>(out) = decision_log::Reader(record_file).Find(filter, [&traces](const decision_log::QueryTrace& trace) {
-    traces.push_back(trace);
-    return true;
-  });
+  static_cast<decision_log::Found&>(out) =
+      decision_log::Reader(record_file).Find(filter, [&traces](const decision_log::QueryTrace& trace) {
+        traces.push_back(trace);
+        return true;
+      });
   out.traces = std::move(traces);
   return out;
 }
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -5,25 +5,27 @@
 #include <tuple>
 
 #include "config/config.h"
-#include "coordinator/in_flight_table.h"
 #include "coordinator/endpoint_registry.h"
+#include "coordinator/in_flight_table.h"
 #include "dns/update.h"
-#include "support/connection_pool_fixture.h"
 #include "net/http.h"
 #include "net/json.h"
 #include "opensearch/merge.h"
+#include "support/connection_pool_fixture.h"
 
 using namespace liftrudder;
-using tests::LinksUnderTest;
-using tests::Served;
-using coordinator::Cause;
 using coordinator::AttemptOutcome;
+using coordinator::Cause;
 using coordinator::Progress;
 using net::HttpParser;
+using tests::LinksUnderTest;
+using tests::Served;
 
 TEST_CASE("whether an attempt may have run follows from how far it had come") {
-  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) == AttemptOutcome::kConnectFailed);
-  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kConnectionLost) == AttemptOutcome::kConnectFailed);
+  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) ==
+        AttemptOutcome::kConnectFailed);
+  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kConnectionLost) ==
+        AttemptOutcome::kConnectFailed);
   CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kConnectionLost) == AttemptOutcome::kReset);
   CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kSpoilt) == AttemptOutcome::kError);
   CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kWithdrawn) == AttemptOutcome::kNotSent);
@@ -66,9 +68,12 @@
   CHECK(endpoint_registry.Find(id).drain_deadline_us == stop);  // the first telling counts
   a.addr = "127.0.0.1:9";
   a.told.availability = liftrudder::routing::Availability::kReady;
-  CHECK(endpoint_registry.Apply({7, liftrudder::routing::EndpointListKind::kFull, {a}}, 600'000)->replicas[0].id == id);
+  CHECK(endpoint_registry.Apply({7, liftrudder::routing::EndpointListKind::kFull, {a}}, 600'000)
+            ->replicas[0]
+            .id == id);
   CHECK(endpoint_registry.Find(id).addr == "127.0.0.1:9");
-  CHECK(endpoint_registry.Find(known->replicas[1].id).drain_deadline_us > 0);  // left out of a whole list: gone
+  CHECK(endpoint_registry.Find(known->replicas[1].id).drain_deadline_us >
+        0);  // left out of a whole list: gone
 }
 
 TEST_CASE("only a list that came since the start ends the wait for one") {
@@ -87,13 +92,16 @@
   coordinator::EndpointRegistry endpoint_registry;
   coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, gone = a;
   gone.told.availability = liftrudder::routing::Availability::kGone;
-  auto id = endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->replicas[0].id;
+  auto id =
+      endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->replicas[0].id;
   endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {gone}}, 20);
   CHECK(endpoint_registry.Find(id).id == "a");
   endpoint_registry.Apply({3, liftrudder::routing::EndpointListKind::kDelta, {}}, 60'000'000);
   CHECK(endpoint_registry.Find(id).id.empty());
   CHECK_FALSE(endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'001));
-  CHECK(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'002)->replicas[0].id != id);
+  CHECK(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'002)
+            ->replicas[0]
+            .id != id);
 }
 
 // A hundred gatherers with a thread for each holder and one for each connection ran into the system's limit
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -27,8 +27,9 @@
 
 }  // namespace
 
-CoordinatorProcess::CoordinatorProcess(const std::string& program, const std::string& directory, const std::string& config,
-                   const std::vector<std::string>& arguments, int passed)
+CoordinatorProcess::CoordinatorProcess(const std::string& program, const std::string& directory,
+                                       const std::string& config, const std::vector<std::string>& arguments,
+                                       int passed)
     : log_(directory + "/log") {
   std::string path = directory + "/config.json";
   std::ofstream(path) << config;
--- a/tools/test_support/coordinator_process.h
+++ b/tools/test_support/coordinator_process.h
@@ -22,7 +22,7 @@
   // file's path. `passed`: a listener that it inherits as descriptor 3. Ready once addr() is not empty; else
   // Log() says why not.
   CoordinatorProcess(const std::string& program, const std::string& directory, const std::string& config,
-           const std::vector<std::string>& arguments = {}, int passed = -1);
+                     const std::vector<std::string>& arguments = {}, int passed = -1);
   ~CoordinatorProcess() { Kill(); }
   CoordinatorProcess(const CoordinatorProcess&) = delete;
 
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -31,7 +31,7 @@
 }
 
 void FakeDiscovery::Tell(const std::string& id, const std::string& endpoint_addr, int cell,
-                     const std::string& state) {
+                         const std::string& state) {
   Tell({{id, endpoint_addr, cell, state}});
 }
 
