--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -55,11 +55,11 @@
     coordinator_.Post(coordinator::AttemptResult{
         order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
   }
-  void Withdraw(const coordinator::AttemptKey&, const coordinator::EndpointId&, coordinator::Cause) override {
+  void CancelAttempt(const coordinator::AttemptKey&, const coordinator::EndpointId&, coordinator::Cause) override {
   }
-  void CallOff(const coordinator::AttemptKey&) override {}
+  void RequestCancellation(const coordinator::AttemptKey&) override {}
   void CloseIdle(const coordinator::EndpointId&) override {}
-  void ForgetGone() override {}
+  void ReleaseRemovedEndpoints() override {}
 
  private:
   coordinator::Coordinator& coordinator_;
@@ -106,7 +106,7 @@
   std::thread reader([&] {
     if (!readers || !record) return;
     decision_log::ExplainService explain_service(
-        recorder->record_file(), [&] { coordinator.Freshen(); }, [&] { return clock.Now(); });
+        recorder->record_file(), [&] { coordinator.RefreshDecisionLog(); }, [&] { return clock.Now(); });
     while (!done) {
       explain_service.Ask({{"limit", "50"}, {"format", "json"}});
       std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -123,7 +123,7 @@
     coordinator::Payload payload;
     payload.call_id = fmt::format("bench-{:08}", i);
     request.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
-    for (int part = 0; part < kParts; ++part) request.parts.push_back({part, 1.0 / kParts, 0, 0});
+    for (int shard_request = 0; shard_request < kParts; ++shard_request) request.shard_requests.push_back({shard_request, 1.0 / kParts, 0, 0});
     left.fetch_add(1);
     coordinator.Admit(std::move(request), std::make_shared<Signal>(left));
     while (left.load() > 4) std::this_thread::yield();
@@ -146,21 +146,21 @@
 // One reading of a full record of 4 MiB: CPU in milliseconds.
 double ReadingCost(const decision_log::Question& question) {
   decision_log::Recorder recorder(4 * 1024 * 1024, "", decision_log::About{"bench", 0, {"search"}}, 7);
-  std::vector<decision_log::OpenedPart> parts(kParts, {1, 0.16, 0});
+  std::vector<decision_log::RecordedShardRequest> shard_requests(kParts, {1, 0.16, 0});
   for (std::uint32_t i = 0; i < 20'000; ++i) {
     std::uint32_t query = 1 + i * 10;
     std::int64_t now_us = 1'000'000'000 + std::int64_t{i} * 5'000;
     recorder.Now(now_us);
     std::string id = fmt::format("bench-{:08}", i);
     recorder.Open({query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""},
-                  parts);
-    for (int part = 0; part < kParts; ++part) {
+                  shard_requests);
+    for (int shard_request = 0; shard_request < kParts; ++shard_request) {
       liftrudder::routing::Send send{0, {1, 1}, 1'000'000, {}};
       send.reason.choice.count = 3;
       for (std::uint32_t j = 0; j < 3; ++j)
-        send.reason.choice.replicas[j] = {{j + 1, 1}, 0, liftrudder::routing::Eligibility::kEligible, true};
-      recorder.Sent(query, part, 0, send);
-      recorder.Ended(query, part, 0, 1, liftrudder::routing::AttemptOutcome::kOk,
+        send.reason.choice.endpoints[j] = {{j + 1, 1}, 0, liftrudder::routing::Eligibility::kEligible, true};
+      recorder.Sent(query, shard_request, 0, send);
+      recorder.Ended(query, shard_request, 0, 1, liftrudder::routing::AttemptOutcome::kOk,
                      decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
     recorder.Final(query, decision_log::Verdict::kComplete, {}, decision_log::IntakeResult::kNone, 0, kParts);
@@ -211,8 +211,8 @@
       net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
       for (int i = next.fetch_add(1); i < queries; i = next.fetch_add(1)) {
         std::string tablets, in;
-        for (int part = 0; part < kParts; ++part)
-          tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":0.166667}}", part > 0 ? "," : "", part);
+        for (int shard_request = 0; shard_request < kParts; ++shard_request)
+          tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":0.166667}}", shard_request > 0 ? "," : "", shard_request);
         std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", tablets);
         net::WriteAll(
             fd,
--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -60,9 +60,9 @@
   }
 
   void Tell(EndpointListKind kind) {
-    EndpointListUpdate news{kind, ++version, {}};
-    for (auto& [id, endpoint] : endpoints) news.replicas.push_back(endpoint.told);
-    events.push_back(news);
+    EndpointListUpdate update{kind, ++version, {}};
+    for (auto& [id, endpoint] : endpoints) update.endpoints.push_back(endpoint.told);
+    events.push_back(update);
   }
 
   void Arrive() {
@@ -70,15 +70,15 @@
     query.id = next_id++;
     query.number = ++number;
     query.class_index = static_cast<int>(random() % 3);
-    query.parts = query.class_index == 0   ? 12
+    query.shard_requests = query.class_index == 0   ? 12
                   : query.class_index == 1 ? 6
                                            : 1 + static_cast<int>(random() % 2);
     query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
     events.push_back(query);
     auto first = static_cast<int>(random() % 12);
     double sum = 0;
-    for (int i = 0; i < query.parts; ++i) sum += 1.0 / (i + 1);
-    for (int i = 0; i < query.parts; ++i) {
+    for (int i = 0; i < query.shard_requests; ++i) sum += 1.0 / (i + 1);
+    for (int i = 0; i < query.shard_requests; ++i) {
       events.push_back(ShardRequestReceived{next_id++, number, (first + i) % 12, 1.0 / (i + 1) / sum, 0, 0});
     }
     if (Unit() < 0.01) gone.insert({now + 300'000, query.id});
@@ -97,9 +97,9 @@
   };
 
   void Do(const Send& send) {
-    int attempt = attempts[send.part]++;
-    Holder& endpoint = endpoints[send.replica];
-    AttemptFinished ended{send.part, attempt, send.replica, AttemptOutcome::kOk, 0, true, {}};
+    int attempt = attempts[send.shard_request]++;
+    Holder& endpoint = endpoints[send.endpoint];
+    AttemptFinished ended{send.shard_request, attempt, send.endpoint, AttemptOutcome::kOk, 0, true, {}};
     Micros at = now + send.timeout_us;
     double dice = Unit();
     if (endpoint.silent) {
@@ -120,7 +120,7 @@
   }
   void Do(const Cancel& cancel) {
     if (Unit() < 0.7)
-      due.push({now + 5'000, {cancel.part, cancel.attempt, {}, AttemptOutcome::kCancelled, 5'000, true, {}}});
+      due.push({now + 5'000, {cancel.shard_request, cancel.attempt, {}, AttemptOutcome::kCancelled, 5'000, true, {}}});
   }
   void Do(const SetTimer& timer) { timers.insert({now + timer.span_us, timer.label}); }
   void Do(const auto&) {}
@@ -128,14 +128,14 @@
   void Note(const Action& action) {
     Mix(action.index());
     if (const auto* a = std::get_if<Send>(&action))
-      Mix(a->part), Mix(a->replica.address), Mix(static_cast<std::uint64_t>(a->timeout_us));
-    if (const auto* a = std::get_if<Answer>(&action)) Mix(a->query), Mix(a->full);
-    if (const auto* a = std::get_if<Refuse>(&action))
+      Mix(a->shard_request), Mix(a->endpoint.address), Mix(static_cast<std::uint64_t>(a->timeout_us));
+    if (const auto* a = std::get_if<Answer>(&action)) Mix(a->query), Mix(a->complete);
+    if (const auto* a = std::get_if<Reject>(&action))
       Mix(a->query), Mix(static_cast<std::uint64_t>(a->retry_after_us));
     if (const auto* a = std::get_if<Fail>(&action)) Mix(a->query);
     if (const auto* a = std::get_if<Cancel>(&action))
-      Mix(a->part), Mix(static_cast<std::uint64_t>(a->attempt));
-    if (const auto* a = std::get_if<Close>(&action)) Mix(a->replica.address);
+      Mix(a->shard_request), Mix(static_cast<std::uint64_t>(a->attempt));
+    if (const auto* a = std::get_if<Close>(&action)) Mix(a->endpoint.address);
     if (const auto* a = std::get_if<SetTimer>(&action))
       Mix(static_cast<std::uint64_t>(a->span_us)), Mix(a->label);
   }
--- a/simulator/codec.cpp
+++ b/simulator/codec.cpp
@@ -84,7 +84,7 @@
     case 500:
       return AttemptOutcome::kError;
     case 503:
-      return AttemptOutcome::kFull;
+      return AttemptOutcome::kOverloaded;
     case 504:
       return AttemptOutcome::kTimeout;
     case 502:
@@ -139,9 +139,9 @@
 
 Event Attempt(Reader& in) {
   AttemptFinished ended;
-  ended.part = in.U32("ticket");
+  ended.shard_request = in.U32("ticket");
   ended.attempt = in.U8("leg");
-  ended.replica = in.Address("replica");
+  ended.endpoint = in.Address("replica");
   ended.code = Disposition(in);
   ended.spent_us = in.U32("spentUs");
   ended.part_done = in.U8("noMore") != 0;
@@ -151,7 +151,7 @@
 
 Event Probe(Reader& in) {
   HealthCheckFinished ended;
-  ended.replica = in.Address("replica");
+  ended.endpoint = in.Address("replica");
   ended.code = Disposition(in);
   ended.spent_us = in.U32("spentUs");
   ended.load = in.Load("feedback");
@@ -176,17 +176,17 @@
   }
   void operator()(const Send& send) {
     Head(kHandOff, 14);
-    Put(body, send.part, 4);
+    Put(body, send.shard_request, 4);
     Put(body, Clamp32(send.timeout_us), 4);
-    Put(body, send.replica.address, 4);
-    Put(body, send.replica.port, 2);
+    Put(body, send.endpoint.address, 4);
+    Put(body, send.endpoint.port, 2);
   }
   void operator()(const Answer& answer) {
     Head(kConclude, 5);
     Put(body, answer.query, 4);
-    Put(body, answer.full ? 1 : 0, 1);
+    Put(body, answer.complete ? 1 : 0, 1);
   }
-  void operator()(const Refuse& refuse) {
+  void operator()(const Reject& refuse) {
     Head(kNotNow, 8);
     Put(body, refuse.query, 4);
     Put(body, Clamp32(refuse.retry_after_us), 4);
@@ -197,13 +197,13 @@
   }
   void operator()(const Cancel& cancel) {
     Head(kCallOff, 5);
-    Put(body, cancel.part, 4);
+    Put(body, cancel.shard_request, 4);
     Put(body, static_cast<std::uint64_t>(cancel.attempt), 1);
   }
   void operator()(const Close& close) {
     Head(kLetGo, 6);
-    Put(body, close.replica.address, 4);
-    Put(body, close.replica.port, 2);
+    Put(body, close.endpoint.address, 4);
+    Put(body, close.endpoint.port, 2);
   }
   void operator()(const SetTimer& timer) {
     Head(kArm, 12);
@@ -269,19 +269,19 @@
       case kKill:
         break;
       case kFleet: {
-        EndpointListUpdate news;
-        news.version = in.U64("serial");
+        EndpointListUpdate update;
+        update.version = in.U64("serial");
         int how = in.U8("how");
         if (how > 3) in.Complain("unknown kind of list " + std::to_string(how));
-        news.kind = static_cast<EndpointListKind>(how);
+        update.kind = static_cast<EndpointListKind>(how);
         int bank = in.U16("bank");
-        if (news.kind != EndpointListKind::kFailed) {
+        if (update.kind != EndpointListKind::kFailed) {
           auto found = banks_.find(bank);
           if (found == banks_.end())
             in.Complain("names list " + std::to_string(bank) + ", which was never sent");
-          news.replicas = found->second;
+          update.endpoints = found->second;
         }
-        event.what = Event(std::move(news));
+        event.what = Event(std::move(update));
         break;
       }
       case kReq:
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -68,16 +68,16 @@
   std::string token{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
   while (!token.empty() && (token.back() == '\n' || token.back() == '\r')) token.pop_back();
   std::string_view rest = token;
-  for (const char* part : {"header", "claims"}) {
+  for (const char* shard_request : {"header", "claims"}) {
     auto text = identity::DecodeBase64Url(rest.substr(0, rest.find('.')));
     rest.remove_prefix(
         std::min(rest.size(), rest.find('.') == std::string_view::npos ? rest.size() : rest.find('.') + 1));
     auto json =
         text ? identity::ReadStrictJson(*text, identity::kMostToken) : std::string("it is not base64url");
     if (const auto* wrong = std::get_if<std::string>(&json)) {
-      fmt::print("{}: {}\n", part, *wrong);
+      fmt::print("{}: {}\n", shard_request, *wrong);
     } else {
-      fmt::print("{}: {}\n", part, std::get<nlohmann::json>(json).dump());
+      fmt::print("{}: {}\n", shard_request, std::get<nlohmann::json>(json).dump());
     }
   }
   if (options.file.empty()) return kGood;
--- a/src/coordinator/admission.cpp
+++ b/src/coordinator/admission.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 std::optional<Id> Coordinator::Admit(QueryRequest request, std::shared_ptr<ClientReply> reply) {
-  int size = 1 + static_cast<int>(request.parts.size());
+  int size = 1 + static_cast<int>(request.shard_requests.size());
   int most = settings_.max_in_flight > 0 ? std::min(settings_.max_in_flight, kMostOpen) : kMostOpen;
   if (open_.fetch_add(size) + size > most) {
     open_.fetch_sub(size);
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -40,20 +40,20 @@
   wake_.notify_one();
 }
 
-void Coordinator::Freshen() {
+void Coordinator::RefreshDecisionLog() {
   constexpr auto kLongest = std::chrono::milliseconds(200);
   std::unique_lock lock(mutex_);
-  std::uint64_t mine = ++freshen_asked_;
+  std::uint64_t mine = ++refresh_asked_;
   wake_.notify_one();
-  freshened_.wait_for(lock, kLongest, [&] { return freshen_done_ >= mine || stopping_; });
+  refreshed_.wait_for(lock, kLongest, [&] { return refresh_done_ >= mine || stopping_; });
 }
 
 Micros Coordinator::RoundAt(Micros due_us) const {
-  if (urgent_ || freshen_asked_ > freshen_done_) return pace_.Soon();
+  if (urgent_ || refresh_asked_ > refresh_done_) return pace_.Soon();
   return queue_.empty() ? std::max(due_us, pace_.Later()) : pace_.Later();
 }
 
-std::vector<Input> Coordinator::NextBatch(std::uint64_t& freshen) {
+std::vector<Input> Coordinator::NextBatch(std::uint64_t& refresh) {
   std::unique_lock lock(mutex_);
   while (true) {
     Micros now = clock_.Now();
@@ -74,15 +74,15 @@
   pace_.Began(clock_.Now());
   std::vector<Input> batch(std::make_move_iterator(queue_.begin()), std::make_move_iterator(queue_.end()));
   queue_.clear();
-  freshen = freshen_asked_;
+  refresh = refresh_asked_;
   return batch;
 }
 
 void Coordinator::Run() {
   std::vector<routing::Action> actions;
   while (true) {
-    std::uint64_t freshen = 0;
-    std::vector<Input> batch = NextBatch(freshen);
+    std::uint64_t refresh = 0;
+    std::vector<Input> batch = NextBatch(refresh);
     {
       std::lock_guard lock(mutex_);
       if (stopping_) break;
@@ -94,16 +94,16 @@
     TakeDue();
     if (!events_.empty()) {
       actions.clear();
-      held_.clear();
-      aggregator_.Handle(now_, events_, actions, recorder_ != nullptr ? &held_ : nullptr);
+      pending_.clear();
+      aggregator_.Handle(now_, events_, actions, recorder_ != nullptr ? &pending_ : nullptr);
       counters_.rounds.Add();
       avoided_ = aggregator_.Avoided();
-      RecordHeld();
+      RecordPending();
       for (const routing::Action& action : actions)
         std::visit([this](const auto& what) { Act(what); }, action);
       transport_->EndRound();
     }
-    EndRound(freshen);
+    EndRound(refresh);
   }
   EndRound(0);  // the fronts' last notes
 }
@@ -114,7 +114,7 @@
     timers_.erase(timers_.begin());
   }
   for (const auto& [key, endpoint] : in_flight_.Expired(now_))
-    transport_->Withdraw(key, endpoint, Cause::kExpired);
+    transport_->CancelAttempt(key, endpoint, Cause::kExpired);
 }
 
 void Coordinator::Act(const routing::SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -37,7 +37,7 @@
 
   void Attach(EndpointTransport& transport) { transport_ = &transport; }
   // Before Run: called on the core's thread after each list, which may be longer than those before.
-  void OnList(std::function<void()> on_list) { on_list_ = std::move(on_list); }
+  void OnEndpointListChange(std::function<void()> on_endpoint_list_change) { on_endpoint_list_change_ = std::move(on_endpoint_list_change); }
   // Before Run; without one nothing is recorded.
   void Attach(decision_log::Recorder& recorder) { recorder_ = &recorder; }
 
@@ -48,10 +48,10 @@
 
   // From a front's thread: what the record is to know of a client. Waits for nobody.
   void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
-                  int status, std::string_view call_id, double figure = 0, double bound = 0);
-  void NoteGiven(const std::vector<Served>& served, int status, std::size_t bytes, bool whole);
+                  int status, std::string_view call_id, double observed = 0, double threshold = 0);
+  void NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole);
   // Has the record made readable up to now; waits a fifth of a second at most, on the caller's thread.
-  void Freshen();
+  void RefreshDecisionLog();
 
   void Run();   // on the core's own thread, until Stop
   void Stop();  // from any thread
@@ -61,7 +61,7 @@
 
  private:
   // Waits for input or a timer, but never less than a resolution after the last round.
-  std::vector<Input> NextBatch(std::uint64_t& freshen);
+  std::vector<Input> NextBatch(std::uint64_t& refresh);
   // Under the lock: when the next round may begin, for what has come so far and `due_us`.
   Micros RoundAt(Micros due_us) const;
 
@@ -69,7 +69,7 @@
   void Take(QueryArrival& arrival);
   void Take(ClientDisconnect& hangup);
   void Take(AttemptResult& result);
-  void Take(routing::EndpointListUpdate& news);
+  void Take(routing::EndpointListUpdate& update);
   void TakeDue();
 
   // Stages route and send.
@@ -81,17 +81,17 @@
 
   // Stage relay.
   void Act(const routing::Answer& answer);
-  void Act(const routing::Refuse& refuse);
+  void Act(const routing::Reject& refuse);
   void Act(const routing::Fail& fail);
   void Finish(Id query, FinalAnswer answer, const routing::CompletionReason& reason);
-  void CloseQuery(Id query, int parts);
+  void CloseQuery(Id query, int shard_requests);
 
   // What the record is told of; nothing when there is none.
   void Note(const decision_log::Note& note);
   void RecordOpen(const QueryArrival& arrival);
-  void RecordHeld();
-  void RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason, int pieces);
-  void EndRound(std::uint64_t freshen);
+  void RecordPending();
+  void RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason, int shard_responses);
+  void EndRound(std::uint64_t refresh);
 
   const routing::Settings settings_;
   routing::Router aggregator_;
@@ -100,7 +100,7 @@
   metrics::Counters& counters_;
   EndpointTransport* transport_ = nullptr;
   decision_log::Recorder* recorder_ = nullptr;
-  std::function<void()> on_list_;
+  std::function<void()> on_endpoint_list_change_;
 
   std::mutex mutex_;
   std::condition_variable wake_;
@@ -109,8 +109,8 @@
   bool urgent_ = false;  // something in the queue is not to wait for answers
   RoundPacer pace_;
   Micros sleeps_until_us_ = 0;  // 0: it looks at the queue before it sleeps
-  std::uint64_t freshen_asked_ = 0, freshen_done_ = 0;
-  std::condition_variable freshened_;
+  std::uint64_t refresh_asked_ = 0, refresh_done_ = 0;
+  std::condition_variable refreshed_;
   std::atomic<int> open_{0};  // queries and parts, as the settings count them
   std::atomic<int> open_queries_{0};
   std::atomic<int> avoided_{0};
@@ -120,8 +120,8 @@
   InFlightTable in_flight_;
   std::set<std::pair<Micros, std::uint64_t>> timers_;
   std::vector<routing::Event> events_;
-  std::vector<routing::PendingShardRequest> held_;
-  std::vector<decision_log::OpenedPart> opened_parts_;
+  std::vector<routing::PendingShardRequest> pending_;
+  std::vector<decision_log::RecordedShardRequest> recorded_shard_requests_;
   Micros now_ = 0;
   std::int64_t number_ = 0;
 };
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -27,9 +27,9 @@
   if (any_ && (whole ? list.version < version_ : list.version <= version_)) return std::nullopt;
   any_ = true;
   version_ = list.version;
-  routing::EndpointListUpdate news;
-  news.kind = list.kind;
-  news.version = list.version;
+  routing::EndpointListUpdate update;
+  update.kind = list.kind;
+  update.version = list.version;
   std::set<EndpointId> named;
   for (const EndpointEntry& entry : list.entries) {
     auto [place, fresh] = ids_.try_emplace(entry.id);
@@ -43,33 +43,33 @@
       StopSending(endpoint, told_us);
     }
     if (entry.told.availability != routing::Availability::kGone) {
-      gone_.erase(place->second);
+      disconnected_.erase(place->second);
     } else {
-      gone_.try_emplace(place->second, told_us);
+      disconnected_.try_emplace(place->second, told_us);
     }
     named.insert(place->second);
-    news.replicas.push_back(entry.told);
-    news.replicas.back().id = place->second;
+    update.endpoints.push_back(entry.told);
+    update.endpoints.back().id = place->second;
   }
   for (auto& [id, endpoint] : endpoints_) {
     if (!whole || named.contains(id)) continue;
     StopSending(endpoint, told_us);
-    gone_.try_emplace(id, told_us);
+    disconnected_.try_emplace(id, told_us);
   }
   Forget(told_us);
-  return news;
+  return update;
 }
 
 // Guards a long day, in which holders are replaced for ever, against growing with them. Nothing is out any
 // more at what was gone that long, older lists are ignored, and a newer one that names it again makes it a
 // new holder.
 void EndpointRegistry::Forget(Micros now) {
-  for (auto one = gone_.begin(); one != gone_.end();) {
+  for (auto one = disconnected_.begin(); one != disconnected_.end();) {
     auto next = std::next(one);
     if (now - one->second > kForget) {
       ids_.erase(endpoints_.at(one->first).id);
       endpoints_.erase(one->first);
-      gone_.erase(one);
+      disconnected_.erase(one);
     }
     one = next;
   }
@@ -94,7 +94,7 @@
 
 int EndpointRegistry::Listed() const {
   std::lock_guard lock(mutex_);
-  return static_cast<int>(endpoints_.size() - gone_.size());
+  return static_cast<int>(endpoints_.size() - disconnected_.size());
 }
 
 std::uint64_t EndpointRegistry::Version() const {
--- a/src/coordinator/endpoint_registry.h
+++ b/src/coordinator/endpoint_registry.h
@@ -49,7 +49,7 @@
   std::uint64_t version_ = 0;
   std::map<std::string, EndpointId> ids_;
   std::map<EndpointId, EndpointAddress> endpoints_;
-  std::map<EndpointId, Micros> gone_;  // since when; they are forgotten in time
+  std::map<EndpointId, Micros> disconnected_;  // since when; they are forgotten in time
   std::uint32_t given_ = 0;            // ids so far: none is given twice
 };
 
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -8,16 +8,16 @@
   routing::QueryReceived query;
   query.id = arrival.id;
   query.number = ++number_;
-  query.parts = static_cast<int>(request.parts.size());
+  query.shard_requests = static_cast<int>(request.shard_requests.size());
   query.class_index = request.class_index;
   query.is_retry = request.is_retry;
   query.timeout_remaining_us = std::max<Micros>(0, request.deadline_us - now_);
-  for (const ShardRequest& part : request.parts) query.work_us += part.work_us;
+  for (const ShardRequest& shard_request : request.shard_requests) query.work_us += shard_request.work_us;
   events_.push_back(query);
-  for (std::size_t i = 0; i < request.parts.size(); ++i) {
-    const ShardRequest& part = request.parts[i];
-    events_.push_back(routing::ShardRequestReceived{arrival.id + 1 + static_cast<Id>(i), number_, part.shard,
-                                                    part.weight, part.key, part.work_us});
+  for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
+    const ShardRequest& shard_request = request.shard_requests[i];
+    events_.push_back(routing::ShardRequestReceived{arrival.id + 1 + static_cast<Id>(i), number_, shard_request.shard,
+                                                    shard_request.weight, shard_request.key, shard_request.work_us});
   }
   RecordOpen(arrival);
   in_flight_.Open(arrival.id, request, std::move(arrival.reply));
@@ -32,7 +32,7 @@
                                                                       : decision_log::Verdict::kGone;
     recorder_->Final(hangup.id, verdict, {}, hangup.intake, 0, 0);
   }
-  CloseQuery(hangup.id, query->parts);
+  CloseQuery(hangup.id, query->shard_requests);
   events_.push_back(routing::ClientDisconnected{hangup.id});
 }
 
@@ -40,28 +40,28 @@
   AttemptKey key = result.key;
   Progress progress = result.progress;
   Cause cause = result.cause;
-  const InFlightShardRequest* part = in_flight_.Part(key.part);
-  Id query = part != nullptr ? part->query : 0;
+  const InFlightShardRequest* shard_request = in_flight_.ShardRequest(key.shard_request);
+  Id query = shard_request != nullptr ? shard_request->query : 0;
   auto ended = in_flight_.End(std::move(result), now_);
   if (!ended) return;
   if (recorder_ != nullptr) {
-    recorder_->Ended(query, static_cast<int>(key.part - query - 1), key.attempt, ended->replica.address,
+    recorder_->Ended(query, static_cast<int>(key.shard_request - query - 1), key.attempt, ended->endpoint.address,
                      ended->code, progress, cause);
   }
   counters_.outcomes[static_cast<std::size_t>(ended->code)].Add();
   events_.push_back(std::move(*ended));
 }
 
-void Coordinator::Take(routing::EndpointListUpdate& news) {
+void Coordinator::Take(routing::EndpointListUpdate& update) {
   counters_.lists.Add();
-  for (const routing::Endpoint& replica : news.replicas) {
+  for (const routing::Endpoint& endpoint : update.endpoints) {
     if (recorder_ == nullptr) break;
-    EndpointAddress endpoint = endpoint_registry_.Find(replica.id);
-    recorder_->Holder(replica.id.address, endpoint.id, endpoint.addr);
+    EndpointAddress address = endpoint_registry_.Find(endpoint.id);
+    recorder_->Endpoint(endpoint.id.address, address.id, address.addr);
   }
-  events_.push_back(std::move(news));
-  transport_->ForgetGone();
-  if (on_list_) on_list_();
+  events_.push_back(std::move(update));
+  transport_->ReleaseRemovedEndpoints();
+  if (on_endpoint_list_change_) on_endpoint_list_change_();
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/in_flight_table.h
+++ b/src/coordinator/in_flight_table.h
@@ -33,17 +33,17 @@
   std::shared_ptr<ClientReply> reply;
   Micros deadline_us = 0;
   Id first_part = 0;
-  int parts = 0;
+  int shard_requests = 0;
 };
 
 class InFlightTable {
  public:
   void Open(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply);
   const InFlightQuery* Query(Id id) const;
-  InFlightShardRequest* Part(Id id);
+  InFlightShardRequest* ShardRequest(Id id);
 
   // Enters a new attempt; its number.
-  int Begin(Id part, InFlightShardRequest& entry, const InFlightAttempt& attempt);
+  int Begin(Id shard_request, InFlightShardRequest& entry, const InFlightAttempt& attempt);
   // Ends an attempt: the event for the module, or nothing when it had ended before.
   std::optional<routing::AttemptFinished> End(AttemptResult result, Micros now);
   // Attempts whose wait is over; each is named once.
@@ -51,14 +51,14 @@
   Micros NextExpiry() const;
 
   // Takes the query out; the pieces that are in, by shard as the client asked for them.
-  std::vector<Piece> Close(Id id);
+  std::vector<ShardResponse> Close(Id id);
   bool Empty() const { return queries_.empty(); }
 
  private:
-  void DropIfDone(std::map<Id, InFlightShardRequest>::iterator part);
+  void DropIfDone(std::map<Id, InFlightShardRequest>::iterator shard_request);
 
   std::map<Id, InFlightQuery> queries_;
-  std::map<Id, InFlightShardRequest> parts_;
+  std::map<Id, InFlightShardRequest> shard_requests_;
   std::set<std::pair<Micros, AttemptKey>> expiries_;
 };
 
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -28,11 +28,11 @@
 // been begun by then is not begun any more. Any thread.
 class ClientPresence {
  public:
-  void Leave() { gone_ = true; }
-  bool Gone() const { return gone_; }
+  void MarkDisconnected() { disconnected_ = true; }
+  bool Disconnected() const { return disconnected_; }
 
  private:
-  std::atomic<bool> gone_{false};
+  std::atomic<bool> disconnected_{false};
 };
 
 // What every part of a query carries on, byte for byte as the client gave it.
@@ -53,22 +53,22 @@
   std::string label;  // the client's own name for it, kNoteId bytes at most, where the front has such a
                       // thing; for the record alone
   std::shared_ptr<const Payload> payload;
-  std::vector<ShardRequest> parts;
+  std::vector<ShardRequest> shard_requests;
 };
 
-enum class Verdict { kAnswered, kRefused, kFailed };
+enum class Verdict { kAnswered, kRejected, kFailed };
 
-struct Piece {
+struct ShardResponse {
   int shard = 0;
   std::string value;
 };
 
 struct FinalAnswer {
   Verdict verdict = Verdict::kFailed;
-  bool full = false;
+  bool complete = false;
   Micros retry_after_us = 0;
-  std::vector<Piece> pieces;
-  int parts = 0;             // of the query, answered or not
+  std::vector<ShardResponse> shard_responses;
+  int shard_requests = 0;             // of the query, answered or not
   bool cut_by_time = false;  // in part because its time had come, not for want of holders
 };
 
@@ -78,7 +78,7 @@
 AttemptOutcome OutcomeOf(Progress progress, Cause cause);
 
 struct AttemptKey {
-  Id part = 0;
+  Id shard_request = 0;
   int attempt = 0;
   auto operator<=>(const AttemptKey&) const = default;
 };
@@ -101,7 +101,7 @@
 };
 
 // A query that a response answers; status: its own where it has one, as in a multi-search, else 0.
-struct Served {
+struct AnsweredQuery {
   Id query = 0;
   int status = 0;
 };
@@ -120,12 +120,12 @@
   virtual ~EndpointTransport() = default;
   virtual void Start(AttemptRequest order) = 0;
   virtual void EndRound() = 0;
-  virtual void Withdraw(const AttemptKey& key, const EndpointId& endpoint, Cause cause) = 0;
+  virtual void CancelAttempt(const AttemptKey& key, const EndpointId& endpoint, Cause cause) = 0;
   // Its holder is asked to give it up; it ends as soon as that is known, or as if it had not been asked.
-  virtual void CallOff(const AttemptKey& key) = 0;
+  virtual void RequestCancellation(const AttemptKey& key) = 0;
   virtual void CloseIdle(const EndpointId& endpoint) = 0;
   // Lets go of what is kept for holders that take nothing new and have nothing out.
-  virtual void ForgetGone() = 0;
+  virtual void ReleaseRemovedEndpoints() = 0;
 };
 
 struct EndpointAddress {
--- a/src/decision_log/attempt_result.h
+++ b/src/decision_log/attempt_result.h
@@ -16,7 +16,7 @@
   kSkipped,
   kSpoilt,
   kConnectionLost,
-  kWithdrawn,
+  kCancelled,
   kExpired,
   kStale,  // its time was over, or its holder takes nothing new
   kLeft    // its client had gone
--- a/src/decision_log/counts.cpp
+++ b/src/decision_log/counts.cpp
@@ -50,7 +50,7 @@
 constexpr std::array<std::string_view, 4> kCancelNames = {"answered", "query_over", "looks_sick",
                                                           "dead_connection"};
 constexpr std::array<std::string_view, 2> kCloseNames = {"dead_connection", "unused_too_long"};
-constexpr std::array<std::string_view, 10> kHeldNames = {
+constexpr std::array<std::string_view, 10> kPendingNames = {
     "none", "cut", "hot", "head_start", "no_replica", "budget", "attempts", "effect", "killer", "too_late"};
 
 }  // namespace
@@ -68,7 +68,7 @@
 std::string_view Name(routing::CompletionCause value) { return Pick(kEndNames, value); }
 std::string_view Name(routing::CancelReason value) { return Pick(kCancelNames, value); }
 std::string_view Name(routing::CloseReason value) { return Pick(kCloseNames, value); }
-std::string_view Name(routing::PendingReason value) { return Pick(kHeldNames, value); }
+std::string_view Name(routing::PendingReason value) { return Pick(kPendingNames, value); }
 
 std::optional<Verdict> VerdictOf(std::string_view name) { return Place<Verdict>(kVerdictNames, name); }
 std::optional<routing::CompletionCause> EndCauseOf(std::string_view name) {
--- a/src/decision_log/counts.h
+++ b/src/decision_log/counts.h
@@ -12,7 +12,7 @@
 
 namespace liftrudder::decision_log {
 
-enum class Verdict : std::uint8_t { kOpen, kComplete, kPartial, kRefused, kFailed, kLate, kGone, kRejected };
+enum class Verdict : std::uint8_t { kOpen, kComplete, kPartial, kRejected, kFailed, kLate, kGone, kRejectedAtIntake };
 constexpr std::size_t kVerdicts = 8;
 
 // Refusals that never reach the module, and ends that a front sets by itself.
@@ -43,7 +43,7 @@
 constexpr std::size_t kTallyEnds = kTallyClose + 2;
 
 // What a kept query counts as when room is short.
-enum class Group : std::uint8_t { kRefused, kPartial, kFailed, kRejected, kGone, kEventful, kOrdinary };
+enum class Group : std::uint8_t { kRejected, kPartial, kFailed, kRejectedAtIntake, kGone, kEventful, kOrdinary };
 constexpr std::size_t kGroups = 7;
 
 enum class Lost : std::uint8_t {
--- a/src/decision_log/event_queue.h
+++ b/src/decision_log/event_queue.h
@@ -25,12 +25,12 @@
   bool id_cut = false;
   bool whole = true;         // what the client was given was written to its end
   std::uint16_t status = 0;  // of HTTP
-  std::uint16_t parts = 0;
+  std::uint16_t shard_requests = 0;
   std::uint32_t query = 0;  // given: which
   std::uint32_t bytes = 0;  // given: written, head and body
   std::int64_t at_us = 0;
   std::uint64_t id_hash = 0;
-  float figure = 0, bound = 0;
+  float observed = 0, threshold = 0;
   std::array<char, kNoteId> id;
 
   void SetId(std::string_view id);
--- a/src/decision_log/explain.cpp
+++ b/src/decision_log/explain.cpp
@@ -16,7 +16,7 @@
 using routing::PendingReason;
 
 std::string ReasonOf(const QueryOccurrence& seen) {
-  return std::string(seen.verdict == Verdict::kRejected ? Name(static_cast<IntakeResult>(seen.cause))
+  return std::string(seen.verdict == Verdict::kRejectedAtIntake ? Name(static_cast<IntakeResult>(seen.cause))
                                                         : Name(static_cast<CompletionCause>(seen.cause)));
 }
 
@@ -138,7 +138,7 @@
   if (!summary.endpoints.empty()) {
     out += fmt::format("holders, the last minute:\n  {:<30} {:>8} {:>13} {:>12} {:>8}\n", "holder", "sent",
                        "resent after", "given up for", "missing");
-    for (const Summary::Holder& one : summary.endpoints) {
+    for (const Summary::Endpoint& one : summary.endpoints) {
       out += fmt::format("  {:<30} {:>8} {:>13} {:>12} {:>8}\n", Escaped(one.name.id), one.sent,
                          one.resent_after, one.refused_for, one.missing);
     }
@@ -162,7 +162,7 @@
     out[section.name] = std::move(rows);
   }
   out["holders"] = Json::array();
-  for (const Summary::Holder& one : summary.endpoints) {
+  for (const Summary::Endpoint& one : summary.endpoints) {
     out["holders"].push_back({{"holder", Escaped(one.name.id)},
                               {"addr", Escaped(one.name.addr)},
                               {"sent", one.sent},
--- a/src/decision_log/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -63,31 +63,31 @@
   bool intake = trace.intake != IntakeResult::kNone;
   out["reason"] = intake ? Name(trace.intake) : Name(trace.cause);
   if (trace.verdict != Verdict::kOpen) {
-    out["figure"] = Number(trace.figure);
-    out["bound"] = Number(trace.bound);
+    out["figure"] = Number(trace.observed);
+    out["bound"] = Number(trace.threshold);
     out["ended_ms"] = Milliseconds(trace.ended_us);
   }
   if (trace.blamed.number != 0) out["holder"] = Escaped(trace.blamed.id);
   if (trace.retry_after_us > 0) out["retry_after_ms"] = Milliseconds(trace.retry_after_us);
-  if (trace.verdict == Verdict::kPartial || trace.verdict == Verdict::kComplete) out["pieces"] = trace.pieces;
+  if (trace.verdict == Verdict::kPartial || trace.verdict == Verdict::kComplete) out["pieces"] = trace.shard_responses;
   out["parts_told"] = trace.parts_told;
-  Json parts = Json::array();
-  for (const ShardRequestTrace& part : trace.parts) {
-    Json one = {{"shard", part.shard}, {"weight", Number(part.weight)}};
-    if (part.work_us > 0) one["work_us"] = part.work_us;
+  Json shard_requests = Json::array();
+  for (const ShardRequestTrace& shard_request : trace.shard_requests) {
+    Json one = {{"shard", shard_request.shard}, {"weight", Number(shard_request.weight)}};
+    if (shard_request.work_us > 0) one["work_us"] = shard_request.work_us;
     one["attempts"] = Json::array();
-    for (const AttemptTrace& attempt : part.attempts) one["attempts"].push_back(JsonOf(attempt));
-    for (const PendingTrace& held : part.held) {
-      Json reason = {{"at_ms", Milliseconds(held.at_us)},
-                     {"why", Name(held.reason)},
-                     {"figure", Number(held.figure)},
-                     {"bound", Number(held.bound)}};
-      if (!held.considered.empty()) reason["considered"] = JsonOf(held.considered);
+    for (const AttemptTrace& attempt : shard_request.attempts) one["attempts"].push_back(JsonOf(attempt));
+    for (const PendingTrace& pending : shard_request.pending) {
+      Json reason = {{"at_ms", Milliseconds(pending.at_us)},
+                     {"why", Name(pending.reason)},
+                     {"figure", Number(pending.observed)},
+                     {"bound", Number(pending.threshold)}};
+      if (!pending.considered.empty()) reason["considered"] = JsonOf(pending.considered);
       one["held"].push_back(std::move(reason));
     }
-    parts.push_back(std::move(one));
+    shard_requests.push_back(std::move(one));
   }
-  out["parts"] = std::move(parts);
+  out["parts"] = std::move(shard_requests);
   out["given"] = Json::array();
   for (const ResponseTrace& given : trace.given) {
     out["given"].push_back({{"at_ms", Milliseconds(given.at_us)},
--- a/src/decision_log/explain_service.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -34,8 +34,8 @@
     if (std::abs(*seconds) > 1e11) return std::nullopt;
     return static_cast<std::int64_t>(*seconds * 1e6) + (text.starts_with('-') ? now_us : 0);
   }
-  std::tm parts{};
-  const char* rest = ::strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &parts);
+  std::tm shard_requests{};
+  const char* rest = ::strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &shard_requests);
   if (rest == nullptr) return std::nullopt;
   double fraction = 0;
   if (*rest == '.') {
@@ -45,7 +45,7 @@
   }
   if (*rest == 'Z') ++rest;
   if (*rest != '\0') return std::nullopt;
-  return std::int64_t{::timegm(&parts)} * 1'000'000 + static_cast<std::int64_t>(fraction * 1e6);
+  return std::int64_t{::timegm(&shard_requests)} * 1'000'000 + static_cast<std::int64_t>(fraction * 1e6);
 }
 
 }  // namespace
@@ -141,7 +141,7 @@
   auto question = ReadQuestion(parameters, now_us);
   if (const auto* wrong = std::get_if<std::string>(&question)) return {400, false, *wrong + "\n", 0};
   tokens_ -= 1;
-  freshen_();
+  refresh_();
   return AnswerWith(Reader(record_file_, [] { std::this_thread::sleep_for(kPause); }),
                     std::get<Question>(question));
 }
--- a/src/decision_log/explain_service.h
+++ b/src/decision_log/explain_service.h
@@ -41,15 +41,15 @@
  public:
   // `freshen` has the writer make all readable that it knows; called before each reading, bounded in time by
   // whoever gives it. `now` is the program's clock.
-  ExplainService(const RecordFile& record_file, std::function<void()> freshen,
+  ExplainService(const RecordFile& record_file, std::function<void()> refresh,
                  std::function<std::int64_t()> now)
-      : record_file_(record_file), freshen_(std::move(freshen)), now_(std::move(now)) {}
+      : record_file_(record_file), refresh_(std::move(refresh)), now_(std::move(now)) {}
 
   Reply Ask(const Parameters& parameters);
 
  private:
   const RecordFile& record_file_;
-  std::function<void()> freshen_;
+  std::function<void()> refresh_;
   std::function<std::int64_t()> now_;
   std::atomic<bool> busy_{false};
   // Guarded by busy_.
--- a/src/decision_log/explain_text.cpp
+++ b/src/decision_log/explain_text.cpp
@@ -47,7 +47,7 @@
       return "was answered";
     case AttemptOutcome::kError:
       return "ended in the holder's error";
-    case AttemptOutcome::kFull:
+    case AttemptOutcome::kOverloaded:
       return "was turned away by the holder";
     case AttemptOutcome::kTimeout:
       return "got no answer in time";
@@ -80,7 +80,7 @@
     case Cause::kConnectionLost:
       out = one.progress == Progress::kNotConnected ? "no connection came up" : "the connection was lost";
       break;
-    case Cause::kWithdrawn:
+    case Cause::kCancelled:
       out = "it was called off";
       break;
     case Cause::kExpired:
@@ -168,34 +168,34 @@
   return "went, for a reason this program does not know, to";
 }
 
-std::string HeldWords(const PendingTrace& held) {
-  switch (held.reason) {
+std::string PendingWords(const PendingTrace& pending) {
+  switch (pending.reason) {
     case PendingReason::kCutoff:
       return fmt::format("was left out: light (weight {:.3f}) and below the cut, whose level was {:.2f}",
-                         held.bound, held.figure);
+                         pending.threshold, pending.observed);
     case PendingReason::kEndpointLoad:
       return fmt::format(
           "was left out: the best holder would have taken {:.2f} times the aim, {:.2f} at most is tried",
-          held.figure, held.bound);
+          pending.observed, pending.threshold);
     case PendingReason::kCanary:
       return "waited for the part of its query that went ahead";
     case PendingReason::kNoEndpoint: {
-      std::string aside = Listed(held.considered, false, "");
+      std::string aside = Listed(pending.considered, false, "");
       return "could go nowhere" +
              (aside.empty() ? std::string(": no holder of its shard is known") : ": " + aside);
     }
     case PendingReason::kRetryBudget:
       return "was not sent again: the budget of further attempts is used up";
     case PendingReason::kAttemptLimit:
-      return fmt::format("was not sent again: {:.0f} of {:.0f} attempts are used up", held.figure,
-                         held.bound);
+      return fmt::format("was not sent again: {:.0f} of {:.0f} attempts are used up", pending.observed,
+                         pending.threshold);
     case PendingReason::kNotRepeatable:
       return "was not sent again: it may have run, and this class may not be repeated (any more)";
     case PendingReason::kPoisonQuery:
       return "was not sent again: its holder died with it, and nothing of its query had been answered";
     case PendingReason::kDeadline:
-      return fmt::format("was not sent: only {:.3f} s were left, and {:.3f} s are kept back", held.figure,
-                         held.bound);
+      return fmt::format("was not sent: only {:.3f} s were left, and {:.3f} s are kept back", pending.observed,
+                         pending.threshold);
     case PendingReason::kNone:
       break;
   }
@@ -203,7 +203,7 @@
 }
 
 std::string EndWords(const QueryTrace& trace) {
-  double f = trace.figure, b = trace.bound;
+  double f = trace.observed, b = trace.threshold;
   switch (trace.cause) {
     case CompletionCause::kUnspecified:
       return "";
@@ -253,8 +253,8 @@
     case IntakeResult::kDuplicateId:
       return "a query with this id was open";
     case IntakeResult::kTooManyOpen:
-      return fmt::format("{:.0f} queries and parts would have been open, {:.0f} may be", trace.figure,
-                         trace.bound);
+      return fmt::format("{:.0f} queries and parts would have been open, {:.0f} may be", trace.observed,
+                         trace.threshold);
     case IntakeResult::kTooManyConnections:
       return "too many connections were open";
     case IntakeResult::kLate:
@@ -275,9 +275,9 @@
     case Verdict::kComplete:
       return fmt::format("It was answered whole after {}: {}.", Seconds(trace.ended_us), reason);
     case Verdict::kPartial:
-      return fmt::format("It was answered in part, {} of {} parts, after {}: {}.", trace.pieces,
+      return fmt::format("It was answered in part, {} of {} parts, after {}: {}.", trace.shard_responses,
                          trace.parts_told, Seconds(trace.ended_us), reason);
-    case Verdict::kRefused:
+    case Verdict::kRejected:
       return fmt::format("It was refused after {}: {}.{}", Seconds(trace.ended_us), reason,
                          trace.retry_after_us > 0
                              ? " The client was told to come back in " + Seconds(trace.retry_after_us) + "."
@@ -288,7 +288,7 @@
       return fmt::format("It ran out of time after {}: {}.", Seconds(trace.ended_us), reason);
     case Verdict::kGone:
       return fmt::format("It ended without an answer after {}: {}.", Seconds(trace.ended_us), reason);
-    case Verdict::kRejected:
+    case Verdict::kRejectedAtIntake:
       return fmt::format("It was turned away at the door: {}.", reason);
   }
   return "Its end is not one this program knows.";
@@ -310,14 +310,14 @@
 
 std::string WallTime(std::int64_t us) {
   std::time_t seconds = us / 1'000'000;
-  std::tm parts{};
-  ::gmtime_r(&seconds, &parts);
-  return fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}.{:03}Z", parts.tm_year + 1900, parts.tm_mon + 1,
-                     parts.tm_mday, parts.tm_hour, parts.tm_min, parts.tm_sec, us / 1000 % 1000);
+  std::tm shard_requests{};
+  ::gmtime_r(&seconds, &shard_requests);
+  return fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}.{:03}Z", shard_requests.tm_year + 1900, shard_requests.tm_mon + 1,
+                     shard_requests.tm_mday, shard_requests.tm_hour, shard_requests.tm_min, shard_requests.tm_sec, us / 1000 % 1000);
 }
 
 bool MayHaveRun(AttemptOutcome code) {
-  return code != AttemptOutcome::kFull && code != AttemptOutcome::kConnectFailed &&
+  return code != AttemptOutcome::kOverloaded && code != AttemptOutcome::kConnectFailed &&
          code != AttemptOutcome::kNotSent;
 }
 
@@ -331,18 +331,18 @@
   if (trace.parts_told > 0) out += fmt::format(" with {} parts", trace.parts_told);
   if (trace.budget_us > 0) out += fmt::format(" and {} to wait", Seconds(trace.budget_us));
   out += trace.is_retry ? ", marked as a further try.\n" : ".\n";
-  for (std::size_t i = 0; i < trace.parts.size(); ++i) {
-    const ShardRequestTrace& part = trace.parts[i];
-    out += fmt::format("  part {} (shard {}, weight {:.3f}):", i, part.shard, part.weight);
-    if (part.attempts.empty() && part.held.empty()) out += " was not sent.";
+  for (std::size_t i = 0; i < trace.shard_requests.size(); ++i) {
+    const ShardRequestTrace& shard_request = trace.shard_requests[i];
+    out += fmt::format("  part {} (shard {}, weight {:.3f}):", i, shard_request.shard, shard_request.weight);
+    if (shard_request.attempts.empty() && shard_request.pending.empty()) out += " was not sent.";
     out += '\n';
     // In the order in which it happened.
-    std::size_t held = 0;
+    std::size_t pending = 0;
     auto tell_held = [&](std::int64_t until_us) {
-      for (; held < part.held.size() && part.held[held].at_us <= until_us; ++held)
-        out += fmt::format("    {} it {}.\n", Seconds(part.held[held].at_us), HeldWords(part.held[held]));
+      for (; pending < shard_request.pending.size() && shard_request.pending[pending].at_us <= until_us; ++pending)
+        out += fmt::format("    {} it {}.\n", Seconds(shard_request.pending[pending].at_us), PendingWords(shard_request.pending[pending]));
     };
-    for (const AttemptTrace& one : part.attempts) {
+    for (const AttemptTrace& one : shard_request.attempts) {
       tell_held(one.at_us);
       out += fmt::format("    {} it {} {}, {}.\n", Seconds(one.at_us), WhySent(one), Escaped(one.endpoint.id),
                          WhyThere(one));
@@ -364,7 +364,7 @@
   }
   out += Outcome(trace) + "\n";
   for (const ResponseTrace& given : trace.given) {
-    if (trace.verdict == Verdict::kRejected) {
+    if (trace.verdict == Verdict::kRejectedAtIntake) {
       out += fmt::format("The client was given status {}.\n", given.status);
       continue;
     }
--- a/src/decision_log/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -31,7 +31,7 @@
 Reader::Reader(const RecordFile& record_file, std::function<void()> pause)
     : record_file_(record_file), pause_(std::move(pause)), about_(record_file.ReadAbout()) {}
 
-EndpointName Reader::Holder(std::uint32_t number) const {
+EndpointName Reader::Endpoint(std::uint32_t number) const {
   const Layout& layout = record_file_.layout();
   std::array<std::uint64_t, kEndpointWords> words;
   EndpointName out{number, "#" + std::to_string(number), ""};
@@ -127,7 +127,7 @@
   std::vector<CandidateTrace> out;
   for (std::size_t i = 0; i < count; ++i) {
     std::uint32_t high = High(words[i]);
-    out.push_back({Holder(Low(words[i])), static_cast<int>(high & 0xffff),
+    out.push_back({Endpoint(Low(words[i])), static_cast<int>(high & 0xffff),
                    static_cast<routing::Eligibility>(high >> 16 & 0xff), (high >> 24) != 0});
   }
   return out;
@@ -148,12 +148,12 @@
     bool of_part = kind == EventKind::kPart || kind == EventKind::kSend || kind == EventKind::kEnd ||
                    kind == EventKind::kCancel || kind == EventKind::kHeld;
     if (of_part && operand >= kMostParts) return false;
-    auto part = [&]() -> ShardRequestTrace* {
-      if (operand >= trace.parts.size()) trace.parts.resize(operand + 1);
-      return &trace.parts[operand];
+    auto shard_request = [&]() -> ShardRequestTrace* {
+      if (operand >= trace.shard_requests.size()) trace.shard_requests.resize(operand + 1);
+      return &trace.shard_requests[operand];
     };
     auto attempt = [&](std::uint8_t number) -> AttemptTrace* {
-      for (AttemptTrace& one : part()->attempts) {
+      for (AttemptTrace& one : shard_request()->attempts) {
         if (one.number == number) return &one;
       }
       return nullptr;
@@ -175,9 +175,9 @@
         break;
       }
       case EventKind::kPart:
-        part()->shard = static_cast<int>(time);
-        part()->weight = Real(Low(event[1]));
-        part()->work_us = High(event[1]);
+        shard_request()->shard = static_cast<int>(time);
+        shard_request()->weight = Real(Low(event[1]));
+        shard_request()->work_us = High(event[1]);
         break;
       case EventKind::kSend: {
         AttemptTrace sent;
@@ -185,12 +185,12 @@
         sent.number = static_cast<int>(how & 0xff);
         sent.kind = static_cast<routing::DispatchKind>(how >> 8 & 0xff);
         sent.after = static_cast<routing::AttemptOutcome>(how >> 16 & 0xff);
-        sent.endpoint = Holder(Low(event[1]));
+        sent.endpoint = Endpoint(Low(event[1]));
         sent.at_us = time;
         sent.timeout_us = Low(event[2]);
         sent.unlisted = static_cast<int>(High(event[2]));
         sent.considered = Choice(event + 3, std::min<std::size_t>(how >> 24, size - 3));
-        part()->attempts.push_back(std::move(sent));
+        shard_request()->attempts.push_back(std::move(sent));
         break;
       }
       case EventKind::kEnd:
@@ -208,7 +208,7 @@
         }
         break;
       case EventKind::kHeld:
-        part()->held.push_back({time, static_cast<routing::PendingReason>(Byte(event[2], 0)),
+        shard_request()->pending.push_back({time, static_cast<routing::PendingReason>(Byte(event[2], 0)),
                                 Real(Low(event[1])), Real(High(event[1])),
                                 Choice(event + 3, std::min<std::size_t>(Byte(event[2], 4), size - 3))});
         break;
@@ -216,11 +216,11 @@
         trace.verdict = static_cast<Verdict>(operand & 0xff);
         trace.cause = static_cast<routing::CompletionCause>(operand >> 8);
         trace.ended_us = time;
-        trace.figure = Real(Low(event[1]));
-        trace.bound = Real(High(event[1]));
-        trace.blamed = Holder(Low(event[2]));
+        trace.observed = Real(Low(event[1]));
+        trace.threshold = Real(High(event[1]));
+        trace.blamed = Endpoint(Low(event[2]));
         trace.retry_after_us = High(event[2]);
-        trace.pieces = static_cast<int>(Low(event[3]));
+        trace.shard_responses = static_cast<int>(Low(event[3]));
         trace.intake = static_cast<IntakeResult>(Byte(event[3], 4));
         break;
       case EventKind::kGiven:
@@ -233,8 +233,8 @@
         trace.class_index = Byte(event[2], 6);
         trace.front = static_cast<FrontKind>(Byte(event[2], 7));
         trace.id_hash = event[3];
-        trace.figure = Real(Low(event[4]));
-        trace.bound = Real(High(event[4]));
+        trace.observed = Real(Low(event[4]));
+        trace.threshold = Real(High(event[4]));
         trace.intake = static_cast<IntakeResult>(operand >> 8);
         trace.call_id = Text(event + 5, std::min<std::size_t>(operand & 0xff, (size - 5) * 8));
         break;
@@ -251,7 +251,7 @@
   if (filter.from_us && trace.arrived_us < *filter.from_us) return false;
   if (filter.to_us && trace.arrived_us > *filter.to_us) return false;
   if (filter.reason) {
-    bool ends = trace.verdict != Verdict::kRejected && *filter.reason == Name(trace.cause);
+    bool ends = trace.verdict != Verdict::kRejectedAtIntake && *filter.reason == Name(trace.cause);
     if (!ends && (trace.intake == IntakeResult::kNone || *filter.reason != Name(trace.intake))) return false;
   }
   if (filter.id) {
@@ -259,7 +259,7 @@
     bool labelled = !trace.label.empty() && trace.label_hash == label;
     // An id that was kept whole is compared itself; a door's may be a label that its front had cut.
     bool named = (trace.id_hash == hash && (trace.id_cut || trace.call_id == *filter.id)) ||
-                 (trace.verdict == Verdict::kRejected && trace.id_hash == label);
+                 (trace.verdict == Verdict::kRejectedAtIntake && trace.id_hash == label);
     if (!labelled && !named) return false;
   }
   if (filter.endpoint) {
@@ -267,8 +267,8 @@
       return name.id == *filter.endpoint || name.addr == *filter.endpoint;
     };
     bool any = here(trace.blamed);
-    for (const ShardRequestTrace& part : trace.parts) {
-      for (const AttemptTrace& one : part.attempts) any = any || here(one.endpoint);
+    for (const ShardRequestTrace& shard_request : trace.shard_requests) {
+      for (const AttemptTrace& one : shard_request.attempts) any = any || here(one.endpoint);
     }
     if (!any) return false;
   }
@@ -346,8 +346,8 @@
     if (record_file_.ReadCell(layout.endpoint_at + slot * kEndpointWords, words) != RecordFile::Cell::kGood ||
         Low(words[1]) == 0)
       continue;
-    Summary::Holder endpoint;
-    endpoint.name = Holder(Low(words[1]));
+    Summary::Endpoint endpoint;
+    endpoint.name = Endpoint(Low(words[1]));
     std::uint64_t* counts[] = {&endpoint.sent, &endpoint.resent_after, &endpoint.refused_for,
                                &endpoint.missing};
     for (std::size_t i = 0; i < kEndpointCounts; ++i) {
--- a/src/decision_log/reader.h
+++ b/src/decision_log/reader.h
@@ -48,7 +48,7 @@
 struct PendingTrace {
   std::int64_t at_us = 0;
   routing::PendingReason reason = routing::PendingReason::kNone;
-  double figure = 0, bound = 0;
+  double observed = 0, threshold = 0;
   std::vector<CandidateTrace> considered;
 };
 
@@ -57,7 +57,7 @@
   double weight = 0;
   std::int64_t work_us = 0;
   std::vector<AttemptTrace> attempts;
-  std::vector<PendingTrace> held;
+  std::vector<PendingTrace> pending;
 };
 
 struct ResponseTrace {
@@ -79,14 +79,14 @@
   std::string class_name;
   FrontKind front = FrontKind::kPlatform;
   int parts_told = 0;
-  std::vector<ShardRequestTrace> parts;
+  std::vector<ShardRequestTrace> shard_requests;
   Verdict verdict = Verdict::kOpen;
   IntakeResult intake = IntakeResult::kNone;
   routing::CompletionCause cause = routing::CompletionCause::kUnspecified;
-  double figure = 0, bound = 0;
+  double observed = 0, threshold = 0;
   EndpointName blamed;  // of kEndpointLoad
   std::int64_t ended_us = 0, retry_after_us = 0;
-  int pieces = 0;
+  int shard_responses = 0;
   std::vector<ResponseTrace> given;
 };
 
@@ -121,11 +121,11 @@
 struct Summary {
   std::int64_t now_s = 0;                          // the newest second counted in
   std::vector<std::uint64_t> last_minute, totals;  // by kind, as counts.h numbers them
-  struct Holder {
+  struct Endpoint {
     EndpointName name;
     std::uint64_t sent = 0, resent_after = 0, refused_for = 0, missing = 0;
   };
-  std::vector<Holder> endpoints;                                // with anything counted in the last minute
+  std::vector<Endpoint> endpoints;                                // with anything counted in the last minute
   std::vector<std::pair<std::int64_t, std::uint64_t>> dropped;  // let go of or lost, by second
   std::size_t blocks = 0, blocks_used = 0, bytes = 0;
 };
@@ -149,7 +149,7 @@
   std::optional<QueryTrace> Read(Head head, Found& found) const;
   bool Decode(const std::uint64_t* words, std::size_t count, QueryTrace& trace) const;
   std::vector<CandidateTrace> Choice(const std::uint64_t* words, std::size_t count) const;
-  EndpointName Holder(std::uint32_t number) const;
+  EndpointName Endpoint(std::uint32_t number) const;
   bool Matches(const QueryTrace& trace, const Filter& filter) const;
   void Sight(const std::string& id, Found& found) const;
 
--- a/src/decision_log/record_file.cpp
+++ b/src/decision_log/record_file.cpp
@@ -105,13 +105,13 @@
   if (memory == MAP_FAILED) Bad(path, "no memory to read it");
   Layout whole;
   whole.bytes = size;
-  RecordFile held(static_cast<std::uint64_t*>(memory), whole, true);
+  RecordFile pending(static_cast<std::uint64_t*>(memory), whole, true);
   for (std::size_t got = 0; got < size;) {
     ssize_t more = ::pread(file.fd, static_cast<char*>(memory) + got, size - got, static_cast<off_t>(got));
     if (more <= 0) Bad(path, "cut short while it was read, at byte " + std::to_string(got));
     got += static_cast<std::size_t>(more);
   }
-  const std::uint64_t* words = held.words_;
+  const std::uint64_t* words = pending.words_;
   if (words[0] != kMagic) Bad(path, "not a record of decisions (its first bytes are others)");
   auto version = static_cast<std::uint32_t>(words[1]);
   if (version != kFormatVersion)
@@ -124,8 +124,8 @@
   if (words[2] != size || layout.bytes != size || words[1] >> 32 != kBlockWords * 8)
     Bad(path,
         "of another size: " + std::to_string(size) + " bytes, its head says " + std::to_string(words[2]));
-  held.layout_ = layout;
-  return held;
+  pending.layout_ = layout;
+  return pending;
 }
 
 RecordFile::RecordFile(RecordFile&& other) noexcept
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -263,15 +263,15 @@
 
 void Recorder::AddChoice(const routing::Choice& choice, std::uint64_t* words, std::size_t& count) const {
   for (std::size_t i = 0; i < choice.count; ++i) {
-    const routing::Candidate& one = choice.replicas[i];
+    const routing::Candidate& one = choice.endpoints[i];
     words[count++] =
-        Pair(one.replica.address, std::uint32_t{one.out} |
+        Pair(one.endpoint.address, std::uint32_t{one.out} |
                                       std::uint32_t{static_cast<std::uint8_t>(one.standing)} << 16 |
                                       std::uint32_t{one.eligible} << 24);
   }
 }
 
-void Recorder::Holder(std::uint32_t number, std::string_view id, std::string_view addr) {
+void Recorder::Endpoint(std::uint32_t number, std::string_view id, std::string_view addr) {
   const Layout& layout = record_file_.layout();
   std::size_t at = layout.endpoint_at + number % layout.endpoints * kEndpointWords;
   std::array<std::uint64_t, kEndpointWords> words{};
@@ -295,7 +295,7 @@
   record_file_.EndCell(at, kEndpointWords);
 }
 
-void Recorder::Open(const Opened& query, std::span<const OpenedPart> parts) {
+void Recorder::Open(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests) {
   // A number that came round again after 2^32: the old query is no longer found by it.
   if (Entry* old = Find(query.query)) {
     IndexErase(query.query);
@@ -315,7 +315,7 @@
   std::uint64_t budget = static_cast<std::uint64_t>(
       std::clamp<std::int64_t>(query.deadline_us - query.arrived_us, 0, 0xffffffff));
   words[1] = static_cast<std::uint64_t>(query.arrived_us);
-  words[2] = budget | std::uint64_t{std::min<std::size_t>(parts.size(), 0xffff)} << 32 |
+  words[2] = budget | std::uint64_t{std::min<std::size_t>(shard_requests.size(), 0xffff)} << 32 |
              std::uint64_t{class_index} << 48 | std::uint64_t{static_cast<std::uint8_t>(query.front)} << 56;
   words[3] = hash;
   words[4] = label_hash;
@@ -327,18 +327,18 @@
   std::uint8_t flags =
       (id.size() < query.call_id.size() ? kFlagIdCut : 0) | (query.is_retry ? kFlagRepeated : 0);
   SetHead(*entry, Verdict::kOpen, 0, flags);
-  for (std::size_t i = 0; i < parts.size(); ++i) {
-    const OpenedPart& part = parts[i];
+  for (std::size_t i = 0; i < shard_requests.size(); ++i) {
+    const RecordedShardRequest& shard_request = shard_requests[i];
     words[0] =
-        First(EventKind::kPart, 2, static_cast<std::uint32_t>(i), static_cast<std::uint32_t>(part.shard));
-    words[1] = Pair(Bits(part.weight),
-                    static_cast<std::uint32_t>(std::clamp<std::int64_t>(part.work_us, 0, 0xffffffff)));
+        First(EventKind::kPart, 2, static_cast<std::uint32_t>(i), static_cast<std::uint32_t>(shard_request.shard));
+    words[1] = Pair(Bits(shard_request.weight),
+                    static_cast<std::uint32_t>(std::clamp<std::int64_t>(shard_request.work_us, 0, 0xffffffff)));
     Append(*entry, {words.data(), 2});
   }
 }
 
-void Recorder::Sent(std::uint32_t query, int part, int attempt, const routing::Send& send) {
-  std::uint32_t endpoint = send.replica.address;
+void Recorder::Sent(std::uint32_t query, int shard_request, int attempt, const routing::Send& send) {
+  std::uint32_t endpoint = send.endpoint.address;
   CountEndpoint(endpoint, EndpointCount::kSent);
   Count(kTallySend + static_cast<std::size_t>(send.reason.kind));
   if (send.reason.kind == routing::DispatchKind::kRetry)
@@ -360,18 +360,18 @@
                   choice.unlisted);
   std::size_t count = 3;
   AddChoice(choice, words.data(), count);
-  words[0] = First(EventKind::kSend, count, static_cast<std::uint32_t>(part), Since(*entry));
+  words[0] = First(EventKind::kSend, count, static_cast<std::uint32_t>(shard_request), Since(*entry));
   Append(*entry, {words.data(), count});
 }
 
-void Recorder::Ended(std::uint32_t query, int part, int attempt, std::uint32_t endpoint,
+void Recorder::Ended(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
                      routing::AttemptOutcome code, Progress progress, Cause cause) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   using routing::AttemptOutcome;
   if (code != AttemptOutcome::kOk && code != AttemptOutcome::kCancelled && code != AttemptOutcome::kNotSent)
     entry->blamed = endpoint;
-  std::uint64_t words[2] = {First(EventKind::kEnd, 2, static_cast<std::uint32_t>(part), Since(*entry)),
+  std::uint64_t words[2] = {First(EventKind::kEnd, 2, static_cast<std::uint32_t>(shard_request), Since(*entry)),
                             static_cast<std::uint64_t>(attempt & 0xff) |
                                 static_cast<std::uint64_t>(code) << 8 |
                                 std::uint64_t{static_cast<std::uint8_t>(progress)} << 16 |
@@ -379,13 +379,13 @@
   Append(*entry, words);
 }
 
-void Recorder::Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel) {
+void Recorder::Cancelled(std::uint32_t query, int shard_request, const routing::Cancel& cancel) {
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   using routing::CancelReason;
   entry->eventful |=
       cancel.reason == CancelReason::kEndpointOutlier || cancel.reason == CancelReason::kDeadConnection;
-  std::uint64_t words[2] = {First(EventKind::kCancel, 2, static_cast<std::uint32_t>(part), Since(*entry)),
+  std::uint64_t words[2] = {First(EventKind::kCancel, 2, static_cast<std::uint32_t>(shard_request), Since(*entry)),
                             static_cast<std::uint64_t>(cancel.attempt & 0xff) |
                                 std::uint64_t{static_cast<std::uint8_t>(cancel.reason)} << 8};
   Append(*entry, words);
@@ -395,32 +395,32 @@
   Count(kTallyClose + static_cast<std::size_t>(close.reason));
 }
 
-void Recorder::Held(std::uint32_t query, int part, const routing::PendingShardRequest& held) {
-  Count(kTallyHeld + static_cast<std::size_t>(held.reason));
+void Recorder::Pending(std::uint32_t query, int shard_request, const routing::PendingShardRequest& pending) {
+  Count(kTallyHeld + static_cast<std::size_t>(pending.reason));
   Entry* entry = Find(query);
   if (entry == nullptr) return;
   entry->eventful |=
-      held.reason != routing::PendingReason::kCutoff && held.reason != routing::PendingReason::kCanary;
+      pending.reason != routing::PendingReason::kCutoff && pending.reason != routing::PendingReason::kCanary;
   std::array<std::uint64_t, kMostEvent> words;
-  words[1] = Pair(held.figure, held.bound);
-  words[2] = Pair(static_cast<std::uint8_t>(held.reason),
-                  std::uint32_t{held.choice.count} | std::uint32_t{held.choice.unlisted} << 8);
+  words[1] = Pair(pending.observed, pending.threshold);
+  words[2] = Pair(static_cast<std::uint8_t>(pending.reason),
+                  std::uint32_t{pending.choice.count} | std::uint32_t{pending.choice.unlisted} << 8);
   std::size_t count = 3;
-  AddChoice(held.choice, words.data(), count);
-  words[0] = First(EventKind::kHeld, count, static_cast<std::uint32_t>(part), Since(*entry));
+  AddChoice(pending.choice, words.data(), count);
+  words[0] = First(EventKind::kHeld, count, static_cast<std::uint32_t>(shard_request), Since(*entry));
   Append(*entry, {words.data(), count});
 }
 
 void Recorder::Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason,
-                     IntakeResult intake, std::int64_t retry_after_us, int pieces) {
+                     IntakeResult intake, std::int64_t retry_after_us, int shard_responses) {
   Count(kTallyVerdict + static_cast<std::size_t>(verdict));
   Count(kTallyEnd + static_cast<std::size_t>(reason.cause));
   if (intake != IntakeResult::kNone) Count(kTallyIntake + static_cast<std::size_t>(intake));
   Entry* entry = Find(query);
   if (entry == nullptr || entry->ended) return;
   entry->ended = true;
-  bool given_up = verdict == Verdict::kRefused || verdict == Verdict::kFailed || verdict == Verdict::kLate;
-  std::uint32_t whose = reason.replica.address != 0 ? reason.replica.address : entry->blamed;
+  bool given_up = verdict == Verdict::kRejected || verdict == Verdict::kFailed || verdict == Verdict::kLate;
+  std::uint32_t whose = reason.endpoint.address != 0 ? reason.endpoint.address : entry->blamed;
   if (given_up && whose != 0 && reason.cause != routing::CompletionCause::kLoad)
     CountEndpoint(whose, EndpointCount::kRefusedFor);
   if (verdict == Verdict::kPartial && entry->blamed != 0)
@@ -429,14 +429,14 @@
   std::uint64_t words[4] = {
       First(EventKind::kFinal, 4, static_cast<std::uint32_t>(verdict) | std::uint32_t{cause} << 8,
             Since(*entry)),
-      Pair(reason.figure, reason.bound),
-      Pair(reason.replica.address,
+      Pair(reason.observed, reason.threshold),
+      Pair(reason.endpoint.address,
            static_cast<std::uint32_t>(std::clamp<std::int64_t>(retry_after_us, 0, 0xffffffff))),
-      Pair(static_cast<std::uint32_t>(pieces), static_cast<std::uint8_t>(intake))};
+      Pair(static_cast<std::uint32_t>(shard_responses), static_cast<std::uint8_t>(intake))};
   std::uint32_t serial = entry->serial;
   Append(*entry, words);
   if (entry->serial != serial) return;
-  Group group = verdict == Verdict::kRefused                               ? Group::kRefused
+  Group group = verdict == Verdict::kRejected                               ? Group::kRejected
                 : verdict == Verdict::kPartial                             ? Group::kPartial
                 : verdict == Verdict::kFailed || verdict == Verdict::kLate ? Group::kFailed
                 : verdict == Verdict::kGone                                ? Group::kGone
@@ -483,9 +483,9 @@
 
 void Recorder::TakeIntake(const Note& note) {
   Count(kTallyIntake + static_cast<std::size_t>(note.intake));
-  Count(kTallyVerdict + static_cast<std::size_t>(Verdict::kRejected));
+  Count(kTallyVerdict + static_cast<std::size_t>(Verdict::kRejectedAtIntake));
   auto cause = static_cast<std::uint8_t>(static_cast<std::size_t>(note.intake));
-  if (note.id_bytes > 0) Seen(note.id_hash, Verdict::kRejected, note.class_index, cause);
+  if (note.id_bytes > 0) Seen(note.id_hash, Verdict::kRejectedAtIntake, note.class_index, cause);
   // Guards the record, and the core's time, against a flood of what cannot be read: it is counted all the
   // same.
   double passed = static_cast<double>(now_us_ - intake_us_) / 1e6;
@@ -499,19 +499,19 @@
   entry->ended = entry->kept = true;
   std::array<std::uint64_t, kMostEvent> words;
   words[1] = static_cast<std::uint64_t>(note.at_us);
-  words[2] = Pair(note.status, std::uint32_t{note.parts} | std::uint32_t{note.class_index} << 16 |
+  words[2] = Pair(note.status, std::uint32_t{note.shard_requests} | std::uint32_t{note.class_index} << 16 |
                                    std::uint32_t{static_cast<std::uint8_t>(note.front)} << 24);
   words[3] = note.id_hash;
-  words[4] = Pair(note.figure, note.bound);
+  words[4] = Pair(note.observed, note.threshold);
   std::size_t count = 5 + PutText({note.id.data(), note.id_bytes}, words.data() + 5);
   words[0] = First(EventKind::kIntake, count, note.id_bytes | std::uint32_t{cause} << 8, 0);
   Append(*entry, {words.data(), count});
-  SetHead(*entry, Verdict::kRejected, cause, note.id_cut ? kFlagIdCut : 0);
+  SetHead(*entry, Verdict::kRejectedAtIntake, cause, note.id_cut ? kFlagIdCut : 0);
   record_file_.Store(WordOf(entry->head) + 2,
                      record_file_.Load(WordOf(entry->head) + 2) |
-                         std::uint64_t{static_cast<std::uint8_t>(Group::kRejected)} << 58);
+                         std::uint64_t{static_cast<std::uint8_t>(Group::kRejectedAtIntake)} << 58);
   retention_.Keep(static_cast<std::uint32_t>(entry - entries_.data()),
-                  RetentionPolicy::Stratum(Group::kRejected, note.class_index), now_us_, entry->blocks);
+                  RetentionPolicy::Stratum(Group::kRejectedAtIntake, note.class_index), now_us_, entry->blocks);
 }
 
 // ---- Counts ----
--- a/src/decision_log/recorder.h
+++ b/src/decision_log/recorder.h
@@ -40,7 +40,7 @@
 constexpr std::uint8_t kFlagIdCut = 2;     // the call id was longer than what is kept of it
 constexpr std::uint8_t kFlagRepeated = 4;  // the client marked it as a further try
 
-struct Opened {
+struct RecordedQuery {
   std::uint32_t query = 0;  // its parts are numbered from 0
   std::int64_t arrived_us = 0, deadline_us = 0;
   int class_index = 0;
@@ -48,7 +48,7 @@
   bool is_retry = false;
   std::string_view call_id, label;  // label: the client's own name for it, where the front has such a thing
 };
-struct OpenedPart {
+struct RecordedShardRequest {
   int shard = 0;
   double weight = 0;
   std::int64_t work_us = 0;
@@ -71,17 +71,17 @@
 
   // ---- The core's thread ----
   void Now(std::int64_t now_us) { now_us_ = now_us; }
-  void Holder(std::uint32_t number, std::string_view id, std::string_view addr);
-  void Open(const Opened& query, std::span<const OpenedPart> parts);
-  void Sent(std::uint32_t query, int part, int attempt, const routing::Send& send);
-  void Ended(std::uint32_t query, int part, int attempt, std::uint32_t endpoint, routing::AttemptOutcome code,
+  void Endpoint(std::uint32_t number, std::string_view id, std::string_view addr);
+  void Open(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests);
+  void Sent(std::uint32_t query, int shard_request, int attempt, const routing::Send& send);
+  void Ended(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint, routing::AttemptOutcome code,
              Progress progress, Cause cause);
-  void Cancelled(std::uint32_t query, int part, const routing::Cancel& cancel);
+  void Cancelled(std::uint32_t query, int shard_request, const routing::Cancel& cancel);
   void Closed(const routing::Close& close);
-  void Held(std::uint32_t query, int part, const routing::PendingShardRequest& held);
+  void Pending(std::uint32_t query, int shard_request, const routing::PendingShardRequest& pending);
   // The module's last word, or the front's (`door`) where that came first.
   void Final(std::uint32_t query, Verdict verdict, const routing::CompletionReason& reason,
-             IntakeResult intake, std::int64_t retry_after_us, int pieces);
+             IntakeResult intake, std::int64_t retry_after_us, int shard_responses);
   // Takes the fronts' notes in and makes all that was written since the last call readable.
   void Flush();
   // How often Flush has run; a reader that wants the newest waits for the next but one.
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -293,7 +293,7 @@
   }
   for (coordinator::EndpointEntry& entry : list.entries) told_[entry.id] = entry;
   if (list.entries.empty() && !first) return;
-  if (auto news = endpoint_registry_.Apply(list, clock_.Now())) coordinator_.Post(std::move(*news));
+  if (auto update = endpoint_registry_.Apply(list, clock_.Now())) coordinator_.Post(std::move(*update));
   log::Info("zone {}: {} holders, {} changed", zone_.origin, now.size(), list.entries.size());
 }
 
--- a/src/identity/token.cpp
+++ b/src/identity/token.cpp
@@ -104,7 +104,7 @@
   return place < kNames.size() ? kNames[place] : "unknown";
 }
 
-Denial MayVouch(const Key* key, Micros now_us) {
+Denial MaySign(const Key* key, Micros now_us) {
   if (key == nullptr) return Denial::kKeyWithdrawn;
   switch (key->state) {
     case KeyState::kAnnounced:
@@ -140,7 +140,7 @@
   if (key == nullptr) return Denial::kUnknownKey;
   // The key says how it signs; what the header claims must only agree.
   if ((*algorithm == "ES256") != (key->algorithm == Algorithm::kEs256)) return Denial::kWrongAlgorithm;
-  if (Denial reason = MayVouch(key, now_us); reason != Denial::kNone) return reason;
+  if (Denial reason = MaySign(key, now_us); reason != Denial::kNone) return reason;
   // Nothing of the claims is looked at before the signature holds.
   if (!Signed(*key, token.substr(0, last), *signature)) return Denial::kBadSignature;
   auto claims = ReadStrictJson(*payload, kMostToken);
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -60,7 +60,7 @@
 
 // Whether the key may vouch at that moment, by its state alone; kNone: it may. A key that is not in the set
 // any more is withdrawn.
-Denial MayVouch(const Key* key, Micros now_us);
+Denial MaySign(const Key* key, Micros now_us);
 
 }  // namespace liftrudder::identity
 
--- a/src/identity/token_verifier.cpp
+++ b/src/identity/token_verifier.cpp
@@ -43,7 +43,7 @@
     if (found != cache_.end()) {
       const VerifiedToken& caller = found->second.caller;
       const Key* key = keys_->Find(caller.kid);
-      Denial reason = MayVouch(key, now_us);
+      Denial reason = MaySign(key, now_us);
       if (reason != Denial::kNone) return reason;
       if (now_us >= caller.until_us) return Denial::kExpired;
       // A clock that stepped back.
@@ -60,7 +60,7 @@
     // Guards against a withdrawal that came while the signature was checked: held against the newest set once
     // more.
     const Key* key = keys_->Find(caller->kid);
-    if (Denial reason = MayVouch(key, now_us); reason != Denial::kNone) return reason;
+    if (Denial reason = MaySign(key, now_us); reason != Denial::kNone) return reason;
     if (key->thumbprint != caller->key) return Denial::kUnknownKey;
     Remember(digest, *caller);
   }
--- a/src/limits/backoff.cpp
+++ b/src/limits/backoff.cpp
@@ -13,10 +13,10 @@
 }
 
 Backoff::Micros Backoff::Next() {
-  Micros bound = first_;
-  for (int i = 0; i < failures_ && bound < most_; ++i) bound *= 2;
+  Micros threshold = first_;
+  for (int i = 0; i < failures_ && threshold < most_; ++i) threshold *= 2;
   ++failures_;
-  return Within(std::min(bound, most_));
+  return Within(std::min(threshold, most_));
 }
 
 }  // namespace liftrudder::limits
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -120,10 +120,10 @@
     throw std::runtime_error("identity: a tenant has [certificates], but [tls] asks no client for one");
   lr::coordinator::EndpointRegistry endpoint_registry;
   lr::coordinator::Coordinator coordinator(config.settings, config.seed, clock, endpoint_registry, counters);
-  lr::platform::FrameDialect frames(config.load_names);
-  lr::opensearch::SearchDialect searches;
-  const lr::net::Dialect& dialect =
-      options == nullptr ? static_cast<const lr::net::Dialect&>(frames) : searches;
+  lr::platform::FrameProtocol frames(config.load_names);
+  lr::opensearch::SearchProtocol searches;
+  const lr::net::EndpointProtocol& protocol =
+      options == nullptr ? static_cast<const lr::net::EndpointProtocol&>(frames) : searches;
   lr::net::ConnectionLimits limits{config.connect_timeout_us,
                                    config.idle_close_us,
                                    options == nullptr ? config.streams_per_connection : 1,
@@ -131,7 +131,7 @@
                                    config.budget.endpoint_connections,
                                    config.budget.endpoints};
   auto links = std::make_unique<lr::net::EndpointConnectionPool>(
-      dialect, endpoint_registry, clock, limits, counters, figures,
+      protocol, endpoint_registry, clock, limits, counters, figures,
       [&coordinator](lr::coordinator::AttemptResult result) { coordinator.Post(std::move(result)); });
   coordinator.Attach(*links);
   std::optional<lr::decision_log::Recorder> recorder;
@@ -140,11 +140,11 @@
     StartRecord(config, clock.Now(), recorder);
     coordinator.Attach(*recorder);
     explain_service.emplace(
-        recorder->record_file(), [&coordinator] { coordinator.Freshen(); }, [&clock] { return clock.Now(); });
+        recorder->record_file(), [&coordinator] { coordinator.RefreshDecisionLog(); }, [&clock] { return clock.Now(); });
   }
   lr::decision_log::ExplainService* asked = explain_service ? &*explain_service : nullptr;
   if (zone.file.empty()) {
-    if (auto news = endpoint_registry.Apply(config.known, clock.Now())) coordinator.Post(std::move(*news));
+    if (auto update = endpoint_registry.Apply(config.known, clock.Now())) coordinator.Post(std::move(*update));
   }
   // Lists may grow far beyond the one at the start; the descriptors are shared out anew then.
   std::mutex shares;
@@ -161,7 +161,7 @@
     lr::log::Info("{} holders: room for {} connections of clients and {} to holders", endpoints,
                   budget.client_connections, budget.endpoint_connections);
   };
-  coordinator.OnList(share);
+  coordinator.OnEndpointListChange(share);
   lr::net::Thread core_thread([&coordinator] { coordinator.Run(); });
   // What cannot be had at the start ends the program with its reason: its thread must not be waited for for
   // ever.
--- a/src/metrics/figures.cpp
+++ b/src/metrics/figures.cpp
@@ -26,10 +26,10 @@
 
 std::string Figures::Text() const {
   std::string out;
-  auto of_class = [&](const char* name, Counter ByClass::*figure) {
+  auto of_class = [&](const char* name, Counter ByClass::*observed) {
     for (std::size_t i = 0; i < groups_.size(); ++i) {
       fmt::format_to(std::back_inserter(out), "app_{}{{group=\"{}\"}} {}\n", name, names_[i],
-                     (groups_[i].*figure).Value());
+                     (groups_[i].*observed).Value());
     }
   };
   of_class("answered_total", &ByClass::answered);
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -25,7 +25,7 @@
   line("answers_failed", failed);
   line("answers_late", late);
   line("attempts_sent", sent);
-  line("attempts_resent", resent);
+  line("attempts_resent", retried);
   for (std::size_t i = 0; i < outcomes.size(); ++i)
     fmt::format_to(std::back_inserter(out), "attempts_{} {}\n", kOutcomes[i], outcomes[i].Value());
   line("connections_opened", connects);
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -22,7 +22,7 @@
 struct Counters {
   Counter taken, turned_away, malformed, denied, gone;
   Counter whole, partial, refused, failed, late;
-  Counter sent, resent, rounds, connects, connects_failed, lists, evicted, spoilt;
+  Counter sent, retried, rounds, connects, connects_failed, lists, evicted, spoilt;
   std::array<Counter, 8> outcomes;  // in the order of routing::AttemptOutcome
 
   std::string Text() const;
--- a/src/net/endpoint_connection_pool.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -30,12 +30,12 @@
 
 }  // namespace
 
-EndpointConnectionPool::EndpointConnectionPool(const Dialect& dialect,
+EndpointConnectionPool::EndpointConnectionPool(const EndpointProtocol& protocol,
                                                const coordinator::EndpointResolver& endpoint_registry,
                                                const coordinator::Clock& clock,
                                                const ConnectionLimits& limits, metrics::Counters& counters,
                                                metrics::Figures& figures, ResultSink sink)
-    : dialect_(dialect),
+    : protocol_(protocol),
       endpoint_registry_(endpoint_registry),
       clock_(clock),
       limits_(limits),
@@ -85,7 +85,7 @@
 }
 
 // The attempt ends now, whatever its holder is at: an attempt's end waits for no socket.
-void EndpointConnectionPool::Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId&,
+void EndpointConnectionPool::CancelAttempt(const coordinator::AttemptKey& key, const coordinator::EndpointId&,
                                       coordinator::Cause cause) {
   std::lock_guard lock(mutex_);
   TakeOut(key, cause);
@@ -101,14 +101,14 @@
   if (found->second.progress >= coordinator::Progress::kPartlyWritten && place != connections_.end()) {
     Connection& connection = place->second;
     Link& link = *connection.link;
-    std::string id = dialect_.Id(found->second.order);
+    std::string id = protocol_.Id(found->second.order);
     // Answers to these may come late or never: a connection that has met many is replaced, lest they pile up.
     connection.withdrawn.push_back(id);
     connection.given_up = connection.withdrawn.size() >= kMostWithdrawn;
     std::erase_if(connection.out, [&](const auto& one) { return one.second == key; });
-    if (dialect_.GiveUp(id).empty()) {
+    if (protocol_.GiveUp(id).empty()) {
       if (connection.out.empty()) Drop(place->first, connection, coordinator::Cause::kConnectionLost);
-    } else if (cause == coordinator::Cause::kWithdrawn && !found->second.called_off) {
+    } else if (cause == coordinator::Cause::kCancelled && !found->second.cancellation_requested) {
       GiveUp(place->first, connection, id);
     }
     Pump(link);
@@ -120,24 +120,24 @@
 // Nothing is known of a holder that does not read, and a word sent to it may never come: the attempt goes on
 // until it is answered, its connection ends or its time is over. Before its first byte it is as if never
 // sent.
-void EndpointConnectionPool::CallOff(const coordinator::AttemptKey& key) {
+void EndpointConnectionPool::RequestCancellation(const coordinator::AttemptKey& key) {
   std::lock_guard lock(mutex_);
   auto found = live_.find(key);
-  if (found == live_.end() || found->second.called_off) return;
+  if (found == live_.end() || found->second.cancellation_requested) return;
   Attempt& attempt = found->second;
   auto place = connections_.find(attempt.connection);
   bool begun = place != connections_.end() &&
                (place->second.written > 0 ||
                 std::ranges::find(place->second.writing, key) == place->second.writing.end());
-  if (!begun) return TakeOut(key, coordinator::Cause::kWithdrawn);
-  attempt.called_off = true;
-  std::string id = dialect_.Id(attempt.order);
-  if (!dialect_.GiveUp(id).empty()) GiveUp(place->first, place->second, id);
+  if (!begun) return TakeOut(key, coordinator::Cause::kCancelled);
+  attempt.cancellation_requested = true;
+  std::string id = protocol_.Id(attempt.order);
+  if (!protocol_.GiveUp(id).empty()) GiveUp(place->first, place->second, id);
 }
 
 // Behind a frame that is being written. It may end the connection.
 void EndpointConnectionPool::GiveUp(Number number, Connection& connection, const std::string& id) {
-  connection.control.push_back(dialect_.GiveUp(id));
+  connection.control.push_back(protocol_.GiveUp(id));
   if (!connection.Writes()) Flush(number, connection);
 }
 
@@ -160,7 +160,7 @@
 }
 
 // Guards a long day, in which holders are replaced for ever, against connections for each of them.
-void EndpointConnectionPool::ForgetGone() {
+void EndpointConnectionPool::ReleaseRemovedEndpoints() {
   std::lock_guard lock(mutex_);
   for (auto one = links_.begin(); one != links_.end();) {
     auto next = std::next(one);
@@ -281,7 +281,7 @@
       Finish(key, *barred);
       continue;
     }
-    Number number = Pick(link, dialect_.Id(found->second.order));
+    Number number = Pick(link, protocol_.Id(found->second.order));
     if (number != 0) {
       TakeBatch(link, number, connections_.at(number));
     } else if (link.connecting > 0) {
@@ -313,7 +313,7 @@
     const coordinator::AttemptRequest& order = found->second.order;
     text += order.payload->statement.size();
     bool first = connection.writing.empty();
-    if (!first && (text > kMostCallText || Ambiguous(connection, dialect_.Id(order)))) break;
+    if (!first && (text > kMostCallText || Ambiguous(connection, protocol_.Id(order)))) break;
     link.queue.pop_front();
     Enter(number, connection, key, found->second);
   }
@@ -400,7 +400,7 @@
   connection.fd = std::move(fd);
   connection.addr = addr;
   connection.begun_us = clock_.Now();
-  connection.reader = dialect_.Reader();
+  connection.reader = protocol_.Reader();
   link.connections.push_back(number);
   ++link.connecting;
   epoll_event event{EPOLLIN | EPOLLOUT, {}};
@@ -478,7 +478,7 @@
 // Looked at before the first byte only: a client that has left, a holder that drains, a time that is over.
 std::optional<coordinator::Cause> EndpointConnectionPool::Barred(
     const coordinator::AttemptRequest& order) const {
-  if (order.payload->client != nullptr && order.payload->client->Gone()) return coordinator::Cause::kLeft;
+  if (order.payload->client != nullptr && order.payload->client->Disconnected()) return coordinator::Cause::kLeft;
   Micros now = clock_.Now();
   coordinator::EndpointAddress endpoint = endpoint_registry_.Find(order.endpoint);
   bool stopped = endpoint.id.empty() || (endpoint.drain_deadline_us > 0 && now >= endpoint.drain_deadline_us);
@@ -494,7 +494,7 @@
   connection.writing.push_back(key);
   connection.write_until_us = now + kWriteWait;
   connection.used_us = now;
-  connection.out.emplace_back(dialect_.Id(attempt.order), key);
+  connection.out.emplace_back(protocol_.Id(attempt.order), key);
   attempt.progress = coordinator::Progress::kPartlyWritten;
   attempt.connection = number;
 }
@@ -544,7 +544,7 @@
     TakeBack(connection, key);
     Finish(key, *barred);
   }
-  if (!orders.empty()) connection.frame = dialect_.Ask(orders, connection.addr, clock_.Now());
+  if (!orders.empty()) connection.frame = protocol_.Ask(orders, connection.addr, clock_.Now());
   return !orders.empty();
 }
 
@@ -579,7 +579,7 @@
 // ---- answers in ----
 
 bool EndpointConnectionPool::Receive(Number number, Connection& connection) {
-  std::vector<EndpointAnswer> answers;
+  std::vector<EndpointResponse> answers;
   Io got = Io::kOk;
   // One that never stops sending must not keep the others waiting: the poll comes back to it.
   for (int turn = 0; got == Io::kOk; ++turn) {
@@ -604,7 +604,7 @@
     if (got == Io::kOk) connection.heard_us = clock_.Now();
     // Guards against spoilt answers: once something came that cannot be used, was asked by nobody, or does
     // not go on, nothing after it on this connection can be trusted, and all that is out there may have run.
-    for (EndpointAnswer& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
+    for (EndpointResponse& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
     if (!usable) {
       counters_.spoilt.Add();
       Drop(number, connection, coordinator::Cause::kSpoilt);
@@ -617,7 +617,7 @@
 }
 
 // False when it answers nothing that was asked on this connection.
-bool EndpointConnectionPool::TakeAnswer(Connection& connection, EndpointAnswer answer) {
+bool EndpointConnectionPool::TakeAnswer(Connection& connection, EndpointResponse answer) {
   connection.used_us = clock_.Now();
   auto found =
       std::ranges::find(connection.out, answer.id, &std::pair<std::string, coordinator::AttemptKey>::first);
@@ -631,7 +631,7 @@
 }
 
 void EndpointConnectionPool::Finish(const coordinator::AttemptKey& key, coordinator::Cause cause,
-                                    EndpointAnswer answer) {
+                                    EndpointResponse answer) {
   auto found = live_.find(key);
   if (found == live_.end()) return;
   coordinator::AttemptResult result{key, found->second.progress, cause, std::move(answer.load),
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -25,7 +25,7 @@
 namespace liftrudder::net {
 
 // One answer read off a connection, by the id it was asked under.
-struct EndpointAnswer {
+struct EndpointResponse {
   std::string id;
   coordinator::Cause cause = coordinator::Cause::kServed;
   std::vector<double> load;
@@ -33,26 +33,26 @@
 };
 
 // What comes off one connection, piece by piece.
-class AnswerReader {
+class ResponseReader {
  public:
-  virtual ~AnswerReader() = default;
+  virtual ~ResponseReader() = default;
   // Takes whole answers off the front of `in`; false when what came cannot be used. `oldest` is the id that
   // has been out longest, for wires whose answers carry none.
-  virtual bool Take(std::string& in, const std::string& oldest, std::vector<EndpointAnswer>& out) = 0;
+  virtual bool Take(std::string& in, const std::string& oldest, std::vector<EndpointResponse>& out) = 0;
   // The holder has ended the connection.
-  virtual void End(const std::string&, std::vector<EndpointAnswer>&) {}
+  virtual void End(const std::string&, std::vector<EndpointResponse>&) {}
 };
 
-class Dialect {
+class EndpointProtocol {
  public:
-  virtual ~Dialect() = default;
+  virtual ~EndpointProtocol() = default;
   virtual std::string Id(const coordinator::AttemptRequest& order) const = 0;
   // What asks for all of these at once; more than one only where ConnectionLimits::parts_per_call allows it.
   virtual std::string Ask(std::span<const coordinator::AttemptRequest* const> orders,
                           const std::string& endpoint, Micros now_us) const = 0;
   // What gives up an attempt; empty: only closing its connection does.
   virtual std::string GiveUp(const std::string& id) const = 0;
-  virtual std::unique_ptr<AnswerReader> Reader() const = 0;
+  virtual std::unique_ptr<ResponseReader> Reader() const = 0;
 };
 
 struct ConnectionLimits {
@@ -70,18 +70,18 @@
 // for.
 class EndpointConnectionPool : public coordinator::EndpointTransport {
  public:
-  EndpointConnectionPool(const Dialect& dialect, const coordinator::EndpointResolver& endpoint_registry,
+  EndpointConnectionPool(const EndpointProtocol& protocol, const coordinator::EndpointResolver& endpoint_registry,
                          const coordinator::Clock& clock, const ConnectionLimits& limits,
                          metrics::Counters& counters, metrics::Figures& figures, ResultSink sink);
   ~EndpointConnectionPool();
 
   void Start(coordinator::AttemptRequest order) override;
   void EndRound() override;
-  void Withdraw(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint,
+  void CancelAttempt(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint,
                 coordinator::Cause cause) override;
-  void CallOff(const coordinator::AttemptKey& key) override;
+  void RequestCancellation(const coordinator::AttemptKey& key) override;
   void CloseIdle(const coordinator::EndpointId& endpoint) override;
-  void ForgetGone() override;
+  void ReleaseRemovedEndpoints() override;
   // The list has grown or shrunk, and with it what both sides may hold.
   void Resize(int max_connections, int endpoints);
 
@@ -108,7 +108,7 @@
     std::deque<std::pair<std::string, coordinator::AttemptKey>> out;
     std::deque<std::string> withdrawn;  // ids given up on it whose answers may still come
     bool given_up = false;              // too many of those: it takes nothing new
-    std::unique_ptr<AnswerReader> reader;
+    std::unique_ptr<ResponseReader> reader;
     std::string pending;  // read, and not a whole answer yet
     // What is being written, of which attempts, and until when; then frames that give attempts up. As long as
     // nothing of it is written, the frame is made anew from `writing` before it is tried.
@@ -126,7 +126,7 @@
     Number connection = 0;
     Micros queued_us = 0;
     int turns = 0;            // connections that broke before its first byte
-    bool called_off = false;  // its holder has been told
+    bool cancellation_requested = false;  // its holder has been told
   };
 
   // The links' own thread.
@@ -155,15 +155,15 @@
   void TakeBack(Connection& connection, const coordinator::AttemptKey& key);
   bool Broken(Number number, Connection& connection);
   bool Receive(Number number, Connection& connection);
-  bool TakeAnswer(Connection& connection, EndpointAnswer answer);
+  bool TakeAnswer(Connection& connection, EndpointResponse answer);
   void Drop(Number number, Connection& connection, coordinator::Cause cause);
   void Arm(Number number, Connection& connection, bool writes);
   std::optional<coordinator::Cause> Barred(const coordinator::AttemptRequest& order) const;
   bool OutOfUse(const Connection& connection, const std::string& addr, Micros now) const;
   void GiveUp(Number number, Connection& connection, const std::string& id);
-  void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointAnswer answer = {});
+  void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointResponse answer = {});
 
-  const Dialect& dialect_;
+  const EndpointProtocol& protocol_;
   const coordinator::EndpointResolver& endpoint_registry_;
   const coordinator::Clock& clock_;
   ConnectionLimits limits_;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -242,7 +242,7 @@
 }
 
 // The last answer on it: what the client has written meanwhile must not turn that into a reset.
-void Server::Refuse(Place place, const HttpResponse& response) {
+void Server::Reject(Place place, const HttpResponse& response) {
   place->line.Write(Format(response, true), 0);
   lingering_closer_.Take(Remove(place).Finish());
 }
@@ -286,9 +286,9 @@
   bool leaving = aside_us_ != 0 && Leaving();
   {
     std::lock_guard lock(mutex_);
-    int served = 0;
+    int answered_queries = 0;
     for (Place one = sessions_.begin(); one != sessions_.end(); ++one) {
-      served += one->phase != Phase::kNew ? 1 : 0;
+      answered_queries += one->phase != Phase::kNew ? 1 : 0;
       if (one->phase == Phase::kBusy) continue;
       if (now >= one->until_us) {
         overdue.push_back(one);
@@ -301,7 +301,7 @@
     }
     std::ranges::sort(idle, {}, [](Place one) { return one->since_us; });
     int beyond = static_cast<int>(sessions_.size()) - most_connections_;
-    int due = std::max({0, served - most_requests_ / 2, beyond});
+    int due = std::max({0, answered_queries - most_requests_ / 2, beyond});
     idle.resize(std::min(idle.size(), static_cast<std::size_t>(due)));
   }
   counters_.evicted.Add(static_cast<std::int64_t>(idle.size()));
@@ -312,7 +312,7 @@
       continue;
     }
     counters_.malformed.Add();
-    Refuse(place, handler_.Malformed(408));
+    Reject(place, handler_.Malformed(408));
   }
 }
 
@@ -335,7 +335,7 @@
     bool more = done && (!place->pending.empty() || place->line.See() == Sight::kBytes);
     if (state == HttpParser::State::kBad || more) {
       counters_.malformed.Add();
-      return Refuse(place, handler_.Malformed(400));
+      return Reject(place, handler_.Malformed(400));
     }
     if (done) return HandOver(place);
     if (taken > kMostRead) return Arm(*place, EPOLL_CTL_MOD, EPOLLIN);
@@ -394,7 +394,7 @@
 }
 
 void Server::Work() {
-  std::vector<Served> served;
+  std::vector<AnsweredQuery> answered_queries;
   std::unique_lock lock(mutex_);
   while (true) {
     if (ready_.empty()) {
@@ -406,16 +406,16 @@
     Place place = ready_.front();
     ready_.pop_front();
     lock.unlock();
-    served.clear();
-    Answer(place, served);
+    answered_queries.clear();
+    Answer(place, answered_queries);
     lock.lock();
   }
   --workers_;
   left_.notify_all();
 }
 
-void Server::Answer(Place place, std::vector<Served>& served) try {
-  Exchange exchange{&place->line, place->received_us, !Ready(), &served, place->reply_waiter};
+void Server::Answer(Place place, std::vector<AnsweredQuery>& answered_queries) try {
+  Exchange exchange{&place->line, place->received_us, !Ready(), &answered_queries, place->reply_waiter};
   auto response = handler_.Handle(place->parser.message(), exchange);
   if (!response) return static_cast<void>(Remove(place));
   // Told to end, we still serve those who are connected until new ones are turned away: sent off at once,
@@ -423,7 +423,7 @@
   bool close = response->close || place->parser.message().close || stopping_ || Leaving();
   std::string text = Format(*response, close);
   Written written = place->line.Write(text, kWriteWait);
-  handler_.Wrote(served, response->status, written.bytes, written.status == Io::kOk);
+  handler_.Wrote(answered_queries, response->status, written.bytes, written.status == Io::kOk);
   if (written.status != Io::kOk) {
     Remove(place);
   } else if (close) {
@@ -437,7 +437,7 @@
 }
 
 void ReplyWaiter::Stir(bool gone) {
-  if (gone) client_->Leave();
+  if (gone) client_->MarkDisconnected();
   std::lock_guard lock(mutex_);
   stirred_ = true;
   came_.notify_one();
@@ -461,7 +461,7 @@
     }
     lock.unlock();
     Sight sight = client.See();
-    if (sight == Sight::kEnd) reply_waiter_->client_->Leave();
+    if (sight == Sight::kEnd) reply_waiter_->client_->MarkDisconnected();
     if (sight == Sight::kNothing) reply_waiter_->look_again_();
     if (sight == Sight::kEnd) return End::kGone;
     if (sight == Sight::kBytes) return End::kCrowded;
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -24,7 +24,7 @@
 
 namespace liftrudder::net {
 
-using coordinator::Served;
+using coordinator::AnsweredQuery;
 
 // Where a worker waits for the answers to one request. The door's thread goes on looking at the connection
 // and stirs the worker when something is to be seen there; a client that has gone is marked so at once,
@@ -51,7 +51,7 @@
   ClientConnection* line = nullptr;  // to see the client go, and who it is
   Micros received_us = 0;            // when the request's first byte was seen
   bool draining = false;
-  std::vector<Served>* served = nullptr;      // the handler enters which queries its response answers
+  std::vector<AnsweredQuery>* answered_queries = nullptr;      // the handler enters which queries its response answers
   std::shared_ptr<ReplyWaiter> reply_waiter;  // to wait at
 };
 
@@ -66,7 +66,7 @@
   // `request`: null where nothing has been read yet.
   virtual HttpResponse Overloaded(const HttpMessage* request) = 0;
   // A response has been written, to its end or not; on the thread that wrote it.
-  virtual void Wrote(const std::vector<Served>& served, int status, std::size_t bytes, bool whole) = 0;
+  virtual void Wrote(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) = 0;
 };
 
 struct ServerLimits {
@@ -124,7 +124,7 @@
   bool MakeRoom(Micros now);
   void EndOverdue(Micros now);
   void Arm(const Session& session, int how, std::uint32_t what);
-  void Refuse(Place place, const HttpResponse& response);
+  void Reject(Place place, const HttpResponse& response);
   ClientConnection Remove(Place place);
   void TurnAway(ClientConnection client);
   bool Leaving() const;
@@ -132,7 +132,7 @@
 
   // A worker's thread: one request at a time, until there have been none for a while.
   void Work();
-  void Answer(Place place, std::vector<Served>& served);
+  void Answer(Place place, std::vector<AnsweredQuery>& answered_queries);
   void Restart(Place place);
 
   Fd listener_;
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -8,9 +8,9 @@
 namespace liftrudder::opensearch {
 namespace {
 
-class SearchReader : public net::AnswerReader {
+class SearchReader : public net::ResponseReader {
  public:
-  bool Take(std::string& in, const std::string& oldest, std::vector<net::EndpointAnswer>& out) override {
+  bool Take(std::string& in, const std::string& oldest, std::vector<net::EndpointResponse>& out) override {
     if (oldest.empty()) return false;  // nobody asked
     switch (parser_.Feed(in)) {
       case net::HttpParser::State::kBad:
@@ -24,21 +24,21 @@
     }
   }
 
-  void End(const std::string& oldest, std::vector<net::EndpointAnswer>& out) override {
+  void End(const std::string& oldest, std::vector<net::EndpointResponse>& out) override {
     if (!oldest.empty() && parser_.End() == net::HttpParser::State::kDone) Finish(oldest, out);
   }
 
  private:
-  bool Finish(const std::string& oldest, std::vector<net::EndpointAnswer>& out) {
+  bool Finish(const std::string& oldest, std::vector<net::EndpointResponse>& out) {
     net::HttpMessage message = std::move(parser_.message());
     parser_ = net::HttpParser(net::HttpParser::Kind::kResponse);
-    net::EndpointAnswer answer;
+    net::EndpointResponse answer;
     answer.id = oldest;
     bool good = message.status >= 200 && message.status < 300;
     if (message.status == 429) {
       answer.cause =
           coordinator::Cause::kSkipped;  // turned away from a full queue, by the API's word never begun
-    } else if (good && Served(message.body, oldest.front() == kCountMark)) {
+    } else if (good && AnsweredQuery(message.body, oldest.front() == kCountMark)) {
       answer.cause = coordinator::Cause::kServed;
       answer.value = std::move(message.body);
     } else {
@@ -53,11 +53,11 @@
 
 }  // namespace
 
-std::string SearchDialect::Id(const coordinator::AttemptRequest& order) const {
+std::string SearchProtocol::Id(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string SearchDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders,
+std::string SearchProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders,
                                const std::string& endpoint, coordinator::Micros now_us) const {
   const coordinator::AttemptRequest& order = *orders.front();  // one a call
   const coordinator::Payload& payload = *order.payload;
@@ -69,6 +69,6 @@
       payload.statement.size(), payload.statement);
 }
 
-std::unique_ptr<net::AnswerReader> SearchDialect::Reader() const { return std::make_unique<SearchReader>(); }
+std::unique_ptr<net::ResponseReader> SearchProtocol::Reader() const { return std::make_unique<SearchReader>(); }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/endpoint_protocol.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -11,14 +11,14 @@
 // The call ids of counts begin so; their answers carry a count in place of hits.
 constexpr char kCountMark = 'c';
 
-class SearchDialect : public net::Dialect {
+class SearchProtocol : public net::EndpointProtocol {
  public:
   std::string Id(const coordinator::AttemptRequest& order) const override;
   std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                   coordinator::Micros now_us) const override;
   // A search is given up by closing its connection.
   std::string GiveUp(const std::string&) const override { return {}; }
-  std::unique_ptr<net::AnswerReader> Reader() const override;
+  std::unique_ptr<net::ResponseReader> Reader() const override;
 };
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -79,8 +79,8 @@
   return ErrorResponse(error);
 }
 
-void Front::Wrote(const std::vector<net::Served>& served, int status, std::size_t bytes, bool whole) {
-  coordinator_.NoteGiven(served, status, bytes, whole);
+void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
 std::optional<net::HttpResponse> Front::Handle(net::HttpMessage& request, const net::Exchange& exchange) {
@@ -105,7 +105,7 @@
   if (const auto* error = std::get_if<ApiError>(&result)) {
     if (error->status == 400) counters_.malformed.Add();
     // What reached the core is in its record already.
-    if (exchange.served->empty() && error->status >= 400 && error->status < 429) {
+    if (exchange.answered_queries->empty() && error->status >= 400 && error->status < 429) {
       const std::string* label = request.Header(kLabel);
       coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
                               decision_log::kUnknownClass, error->status, label == nullptr ? "" : *label);
@@ -228,7 +228,7 @@
   if (const std::string* label = request.Header(kLabel))
     query.label = label->substr(0, decision_log::kNoteId);
   bool count = kind == decision_log::FrontKind::kCount;
-  query.parts = index.parts;
+  query.shard_requests = index.shard_requests;
   coordinator::Payload payload;
   payload.call_id = fmt::format("{}{:x}-{}", count ? kCountMark : 's', config_.seed, ++asked_);
   payload.target = std::move(target);
@@ -240,9 +240,9 @@
   asked.deadline_us = query.deadline_us;
   asked.index = &index;
   asked.whole = whole;
-  if (!TakePlace(principal, static_cast<double>(index.parts.size()), asked)) return asked;
+  if (!TakePlace(principal, static_cast<double>(index.shard_requests.size()), asked)) return asked;
   asked.id = coordinator_.Admit(std::move(query), asked.reply);
-  if (asked.id) exchange.served->push_back({*asked.id, 0});
+  if (asked.id) exchange.answered_queries->push_back({*asked.id, 0});
   return asked;
 }
 
@@ -274,16 +274,16 @@
   // Given up with the time over: to this API's clients that is a time-out, not a refusal.
   bool over = clock_.Now() + kEndSlack >= asked.deadline_us;
   if (answer.verdict != coordinator::Verdict::kAnswered && over) return OutOfTime();
-  if (answer.verdict == coordinator::Verdict::kRefused) return Busy(answer.retry_after_us);
+  if (answer.verdict == coordinator::Verdict::kRejected) return Busy(answer.retry_after_us);
   if (answer.verdict == coordinator::Verdict::kFailed) return Unanswered("too few shards answered");
-  if (asked.whole && !answer.full) return Unanswered("not all shards answered, and a part was not allowed");
+  if (asked.whole && !answer.complete) return Unanswered("not all shards answered, and a part was not allowed");
   return std::move(answer);
 }
 
 Coming Front::HowItCame(const Asked& asked, const coordinator::FinalAnswer& answer,
                         const net::Exchange& exchange) const {
   coordinator::Micros now = clock_.Now();
-  return {now - exchange.received_us, answer.cut_by_time, &asked.index->parts};
+  return {now - exchange.received_us, answer.cut_by_time, &asked.index->shard_requests};
 }
 
 Front::Asked Front::AskSearch(const std::string& index, const Search& search, const net::HttpMessage& request,
@@ -461,8 +461,8 @@
     }
     if (&one != &all.front()) out += ',';
     if (auto* error = std::get_if<ApiError>(&result)) {
-      for (net::Served& served : *exchange.served) {
-        if (one.asked && one.asked->id == served.query) served.status = error->status;
+      for (net::AnsweredQuery& answered_queries : *exchange.answered_queries) {
+        if (one.asked && one.asked->id == answered_queries.query) answered_queries.status = error->status;
       }
       out += ErrorBody(*error);
     } else {
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -25,7 +25,7 @@
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
   net::HttpResponse Malformed(int status) override;
   net::HttpResponse Overloaded(const net::HttpMessage* request) override;
-  void Wrote(const std::vector<net::Served>& served, int status, std::size_t bytes, bool whole) override;
+  void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) override;
 
  private:
   // One query given to the core, and who waits for it.
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -43,10 +43,10 @@
   return std::pair(a.shard, a.place) < std::pair(b.shard, b.place);
 }
 
-bool ReadHits(const coordinator::Piece& piece, const Search& search, std::vector<Hit>& hits) {
+bool ReadHits(const coordinator::ShardResponse& shard_response, const Search& search, std::vector<Hit>& hits) {
   std::size_t place = 0;
-  return json::Elements(json::Get(json::Get(piece.value, "hits"), "hits"), [&](std::string_view text) {
-    Hit hit{piece.shard, place++, text, json::Get(text, "sort"), {}};
+  return json::Elements(json::Get(json::Get(shard_response.value, "hits"), "hits"), [&](std::string_view text) {
+    Hit hit{shard_response.shard, place++, text, json::Get(text, "sort"), {}};
     json::Elements(hit.sort_text, [&hit](std::string_view value) {
       hit.sort.push_back(value);
       return true;
@@ -68,19 +68,19 @@
 }
 
 std::string Shards(const coordinator::FinalAnswer& answer, const Coming& coming) {
-  std::size_t total = coming.asked->size(), in = answer.pieces.size();
+  std::size_t total = coming.asked->size(), in = answer.shard_responses.size();
   std::string out = fmt::format("\"_shards\":{{\"total\":{},\"successful\":{},\"skipped\":0,\"failed\":{}",
                                 total, in, total - in);
   if (in < total) {
     out += ",\"failures\":[";
     const char* comma = "";
-    for (const coordinator::ShardRequest& part : *coming.asked) {
-      if (std::ranges::find(answer.pieces, part.shard, &coordinator::Piece::shard) != answer.pieces.end())
+    for (const coordinator::ShardRequest& shard_request : *coming.asked) {
+      if (std::ranges::find(answer.shard_responses, shard_request.shard, &coordinator::ShardResponse::shard) != answer.shard_responses.end())
         continue;
       fmt::format_to(std::back_inserter(out),
                      "{}{{\"shard\":{},\"reason\":{{\"type\":\"no_shard_available_action_exception\","
                      "\"reason\":\"no answer in time\"}}}}",
-                     comma, part.shard);
+                     comma, shard_request.shard);
       comma = ",";
     }
     out += ']';
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-bool Served(std::string_view body, bool count) {
+bool AnsweredQuery(std::string_view body, bool count) {
   if (!json::Valid(body) || !json::Get(body, "error").empty()) return false;
   std::string_view timed_out = json::Get(body, "timed_out"), shards = json::Get(body, "_shards");
   if (!timed_out.empty() && timed_out != "false") return false;
@@ -105,12 +105,12 @@
                                 const Coming& coming) {
   std::vector<Hit> hits;
   std::int64_t total = 0;
-  bool tracked = true, exact = answer.pieces.size() == coming.asked->size();
+  bool tracked = true, exact = answer.shard_responses.size() == coming.asked->size();
   std::optional<double> best;
   std::string_view best_text = "null";
-  for (const coordinator::Piece& piece : answer.pieces) {
-    if (!ReadHits(piece, search, hits)) return std::nullopt;
-    std::string_view outer = json::Get(piece.value, "hits");
+  for (const coordinator::ShardResponse& shard_response : answer.shard_responses) {
+    if (!ReadHits(shard_response, search, hits)) return std::nullopt;
+    std::string_view outer = json::Get(shard_response.value, "hits");
     AddTotal(json::Get(outer, "total"), total, tracked, exact);
     std::string_view score = json::Get(outer, "max_score");
     auto value = json::Number(score);
@@ -142,8 +142,8 @@
 
 std::string MergeCounts(const coordinator::FinalAnswer& answer, const Coming& coming) {
   std::int64_t sum = 0;
-  for (const coordinator::Piece& piece : answer.pieces)
-    sum += json::Integer(json::Get(piece.value, "count")).value_or(0);
+  for (const coordinator::ShardResponse& shard_response : answer.shard_responses)
+    sum += json::Integer(json::Get(shard_response.value, "count")).value_or(0);
   return fmt::format("{{\"count\":{},{}}}", sum, Shards(answer, coming));
 }
 
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -27,7 +27,7 @@
 
 // An answer that counts as served: well formed, with what was asked for, and without error, time-out or
 // failed shards. Anything else is an error, however much it may look like an empty list of hits.
-bool Served(std::string_view body, bool count);
+bool AnsweredQuery(std::string_view body, bool count);
 
 // Nothing when a piece's hits cannot be ordered.
 std::optional<Merged> MergeHits(const Search& search, const coordinator::FinalAnswer& answer,
--- a/src/opensearch/options.cpp
+++ b/src/opensearch/options.cpp
@@ -32,17 +32,17 @@
     return true;
   });
   json::Elements(json::Get(text, "shards"), [&out](std::string_view value) {
-    out.parts.push_back({static_cast<int>(json::Integer(value).value_or(-1)), 0, 0, 0});
+    out.shard_requests.push_back({static_cast<int>(json::Integer(value).value_or(-1)), 0, 0, 0});
     return true;
   });
-  if (out.parts.empty() || (!weights.empty() && weights.size() != out.parts.size()))
+  if (out.shard_requests.empty() || (!weights.empty() && weights.size() != out.shard_requests.size()))
     throw std::runtime_error("indices: an index needs shards, and a weight for each or for none");
   double sum = 0;
   for (double weight : weights) sum += weight;
-  for (std::size_t i = 0; i < out.parts.size(); ++i) {
-    if (out.parts[i].shard < 0 || out.parts[i].shard >= config.settings.shards)
+  for (std::size_t i = 0; i < out.shard_requests.size(); ++i) {
+    if (out.shard_requests[i].shard < 0 || out.shard_requests[i].shard >= config.settings.shards)
       throw std::runtime_error("indices: a shard that the settings do not have");
-    out.parts[i].weight = sum > 0 ? weights[i] / sum : 1.0 / static_cast<double>(out.parts.size());
+    out.shard_requests[i].weight = sum > 0 ? weights[i] / sum : 1.0 / static_cast<double>(out.shard_requests.size());
   }
   return out;
 }
--- a/src/opensearch/options.h
+++ b/src/opensearch/options.h
@@ -14,7 +14,7 @@
 struct IndexOptions {
   int class_index = 0;
   int whole_class_index = 0;  // for scrolls and where partial answers are not allowed
-  std::vector<coordinator::ShardRequest> parts;
+  std::vector<coordinator::ShardRequest> shard_requests;
 };
 
 struct Options {
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -139,11 +139,11 @@
 
 void DiscoveryWatch::TakeList(std::string_view text) {
   coordinator::EndpointList list = config::ParseEndpointList(text, config_);
-  auto news = endpoint_registry_.Apply(list, clock_.Now());
-  if (!news) return;
+  auto update = endpoint_registry_.Apply(list, clock_.Now());
+  if (!update) return;
   log::Info("holder list {}{}: {} entries", list.version,
             list.kind == routing::EndpointListKind::kFull ? ", whole" : "", list.entries.size());
-  coordinator_.Post(std::move(*news));
+  coordinator_.Post(std::move(*update));
 }
 
 }  // namespace liftrudder::platform
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -34,11 +34,11 @@
   return name;
 }
 
-class FrameReader : public net::AnswerReader {
+class FrameReader : public net::ResponseReader {
  public:
   explicit FrameReader(const std::vector<std::string>& load_names) : load_names_(load_names) {}
 
-  bool Take(std::string& in, const std::string&, std::vector<net::EndpointAnswer>& out) override {
+  bool Take(std::string& in, const std::string&, std::vector<net::EndpointResponse>& out) override {
     std::string_view rest = in;
     bool usable = true;
     while (usable && rest.size() >= 4) {
@@ -58,12 +58,12 @@
 
  private:
   // False on a frame that is not one, and on `e`: the holder closes after it.
-  bool TakeFrame(std::string_view frame, std::vector<net::EndpointAnswer>& out) const {
+  bool TakeFrame(std::string_view frame, std::vector<net::EndpointResponse>& out) const {
     if (frame.front() == 'p' || frame.front() == 'l') return true;
     auto line_end = frame.find('\n');
     if (frame.front() != 'a' || line_end == std::string_view::npos) return false;
     std::string_view line = frame.substr(1, line_end - 1);
-    net::EndpointAnswer answer;
+    net::EndpointResponse answer;
     answer.id = Word(line);
     std::string_view end = Word(line);
     Word(line);  // the score
@@ -104,11 +104,11 @@
 
 }  // namespace
 
-std::string FrameDialect::Id(const coordinator::AttemptRequest& order) const {
+std::string FrameProtocol::Id(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string FrameDialect::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string&,
+std::string FrameProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string&,
                               coordinator::Micros now_us) const {
   std::string all;
   for (const coordinator::AttemptRequest* order : orders) {
@@ -121,9 +121,9 @@
   return Frame('q', all);
 }
 
-std::string FrameDialect::GiveUp(const std::string& id) const { return Frame('c', id); }
+std::string FrameProtocol::GiveUp(const std::string& id) const { return Frame('c', id); }
 
-std::unique_ptr<net::AnswerReader> FrameDialect::Reader() const {
+std::unique_ptr<net::ResponseReader> FrameProtocol::Reader() const {
   return std::make_unique<FrameReader>(load_names_);
 }
 
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -9,15 +9,15 @@
 
 namespace liftrudder::platform {
 
-class FrameDialect : public net::Dialect {
+class FrameProtocol : public net::EndpointProtocol {
  public:
-  explicit FrameDialect(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
+  explicit FrameProtocol(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
   std::string Id(const coordinator::AttemptRequest& order) const override;
   std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                   coordinator::Micros now_us) const override;
   std::string GiveUp(const std::string& id) const override;
-  std::unique_ptr<net::AnswerReader> Reader() const override;
+  std::unique_ptr<net::ResponseReader> Reader() const override;
 
  private:
   std::vector<std::string> load_names_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -43,11 +43,11 @@
 
 net::HttpResponse Answer(const coordinator::FinalAnswer& answer) {
   net::HttpResponse out;
-  out.body = fmt::format("{{\"full\":{},\"pieces\":[", answer.full);
-  for (const coordinator::Piece& piece : answer.pieces) {
-    if (&piece != &answer.pieces.front()) out.body += ',';
-    fmt::format_to(std::back_inserter(out.body), "{{\"tablet\":{},\"cell\":{}}}", piece.shard,
-                   json::Quote(piece.value));
+  out.body = fmt::format("{{\"full\":{},\"pieces\":[", answer.complete);
+  for (const coordinator::ShardResponse& shard_response : answer.shard_responses) {
+    if (&shard_response != &answer.shard_responses.front()) out.body += ',';
+    fmt::format_to(std::back_inserter(out.body), "{{\"tablet\":{},\"cell\":{}}}", shard_response.shard,
+                   json::Quote(shard_response.value));
   }
   out.body += "]}";
   return out;
@@ -58,7 +58,7 @@
   return place.empty() && !(place = value).empty();
 }
 
-bool ReadPart(std::string_view text, coordinator::ShardRequest& part) {
+bool ReadPart(std::string_view text, coordinator::ShardRequest& shard_request) {
   std::string_view tablet, fraction, guess, token;
   bool ok = json::JsonMembers(text, [&](std::string_view name, std::string_view value) {
     if (name == "tablet") return Once(tablet, value);
@@ -70,15 +70,15 @@
   auto weight = json::Number(fraction);
   if (!ok || !shard || !weight || *shard < 0 || *shard > INT32_MAX || *weight < 0 || *weight > 1)
     return false;
-  part.shard = static_cast<int>(*shard);
-  part.weight = *weight;
+  shard_request.shard = static_cast<int>(*shard);
+  shard_request.weight = *weight;
   if (!guess.empty()) {
     auto work_us = json::Number(guess);
     if (!work_us || *work_us < 0) return false;
-    part.work_us = static_cast<coordinator::Micros>(std::min(*work_us, 1e9));
+    shard_request.work_us = static_cast<coordinator::Micros>(std::min(*work_us, 1e9));
   }
   if (auto digits = json::RawString(token))
-    std::from_chars(digits->data(), digits->data() + digits->size(), part.key, 16);
+    std::from_chars(digits->data(), digits->data() + digits->size(), shard_request.key, 16);
   return true;
 }
 
@@ -103,8 +103,8 @@
   return Refusal(503, kBusyRetryUs, "too many connections");
 }
 
-void Front::Wrote(const std::vector<net::Served>& served, int status, std::size_t bytes, bool whole) {
-  coordinator_.NoteGiven(served, status, bytes, whole);
+void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
 net::HttpResponse Front::Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
@@ -171,16 +171,16 @@
   double sum = 0;
   std::set<int> shards;
   ok = json::Elements(tablets, [&](std::string_view text) {
-    coordinator::ShardRequest part;
-    if (!ReadPart(text, part) || part.shard >= config_.settings.shards) return false;
-    if (!shards.insert(part.shard).second) return false;  // so there are no more than shards
-    query.parts.push_back(part);
-    sum += part.weight;
+    coordinator::ShardRequest shard_request;
+    if (!ReadPart(text, shard_request) || shard_request.shard >= config_.settings.shards) return false;
+    if (!shards.insert(shard_request.shard).second) return false;  // so there are no more than shards
+    query.shard_requests.push_back(shard_request);
+    sum += shard_request.weight;
     return true;
   });
   // Guards answers in part: what share of the whole a part is can be told only when all of them make one.
-  double slack = kWeightSlack + kWeightRounding * static_cast<double>(query.parts.size());
-  if (!ok || query.parts.empty() || std::abs(sum - 1) > slack) return std::nullopt;
+  double slack = kWeightSlack + kWeightRounding * static_cast<double>(query.shard_requests.size());
+  if (!ok || query.shard_requests.empty() || std::abs(sum - 1) > slack) return std::nullopt;
   query.payload = std::make_shared<const coordinator::Payload>(std::move(payload));
   return query;
 }
@@ -216,7 +216,7 @@
   auto reply = std::make_shared<net::WaitingReply>(exchange.reply_waiter);
   auto id = coordinator_.Admit(std::move(query), reply);
   if (!id) return Refusal(503, kBusyRetryUs, "too many queries are open");
-  exchange.served->push_back({*id, 0});
+  exchange.answered_queries->push_back({*id, 0});
   switch (reply->Wait(*exchange.line, clock_, deadline_us - kLastMoment)) {
     case net::WaitingReply::End::kGone:
       coordinator_.Post(coordinator::ClientDisconnect{*id});
@@ -237,7 +237,7 @@
   }
   const coordinator::FinalAnswer& answer = reply->answer();
   if (answer.verdict == coordinator::Verdict::kAnswered) return Answer(answer);
-  if (answer.verdict == coordinator::Verdict::kRefused) return Refusal(429, answer.retry_after_us, "not now");
+  if (answer.verdict == coordinator::Verdict::kRejected) return Refusal(429, answer.retry_after_us, "not now");
   return Problem(504, "the query failed");
 }
 
--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -11,17 +11,17 @@
 namespace liftrudder::routing {
 
 struct Send {
-  Id part = 0;
-  EndpointId replica;
+  Id shard_request = 0;
+  EndpointId endpoint;
   Micros timeout_us = 0;
   DispatchReason reason = {};
 };
 struct Answer {
   Id query = 0;
-  bool full = false;
+  bool complete = false;
   CompletionReason reason = {};
 };
-struct Refuse {
+struct Reject {
   Id query = 0;
   Micros retry_after_us = 0;
   CompletionReason reason = {};
@@ -31,12 +31,12 @@
   CompletionReason reason = {};
 };
 struct Cancel {
-  Id part = 0;
+  Id shard_request = 0;
   int attempt = 0;
   CancelReason reason = CancelReason::kAnswered;
 };
 struct Close {  // the idle connections to a replica
-  EndpointId replica;
+  EndpointId endpoint;
   CloseReason reason = CloseReason::kDeadConnection;
 };
 struct SetTimer {
@@ -45,7 +45,7 @@
 };
 struct Subscribe {};
 
-using Action = std::variant<Send, Answer, Refuse, Fail, Cancel, Close, SetTimer, Subscribe>;
+using Action = std::variant<Send, Answer, Reject, Fail, Cancel, Close, SetTimer, Subscribe>;
 
 }  // namespace liftrudder::routing
 
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -15,14 +15,14 @@
 struct EndpointListUpdate {
   EndpointListKind kind = EndpointListKind::kFull;
   std::uint64_t version = 0;
-  std::vector<Endpoint> replicas;
+  std::vector<Endpoint> endpoints;
 };
 
 // A query; its parts follow in the same span of events. Parts of a second step come later, alone.
 struct QueryReceived {
   Id id = 0;
   std::int64_t number = 0;  // its parts carry the same
-  int parts = 0;
+  int shard_requests = 0;
   int class_index = 0;
   int tenant = 0;
   bool is_retry = false;  // the client marks it as a further try
@@ -40,12 +40,12 @@
   Micros work_us = 0;  // 0: not told
 };
 
-enum class AttemptOutcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
+enum class AttemptOutcome { kOk, kError, kOverloaded, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 
 struct AttemptFinished {
-  Id part = 0;
+  Id shard_request = 0;
   int attempt = 0;
-  EndpointId replica;
+  EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;
   bool part_done = false;
@@ -53,7 +53,7 @@
 };
 
 struct HealthCheckFinished {
-  EndpointId replica;
+  EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;
   std::vector<double> load;
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -24,7 +24,7 @@
   kGone,
 };
 struct Candidate {
-  EndpointId replica;
+  EndpointId endpoint;
   std::uint16_t out = 0;  // parts of this aggregator out there, capped at the type's most
   Eligibility standing = Eligibility::kEligible;
   bool eligible = false;  // among those the choice was made from, ties at random
@@ -33,7 +33,7 @@
 struct Choice {
   std::uint8_t count = 0;     // of `replicas`
   std::uint8_t unlisted = 0;  // beyond them
-  std::array<Candidate, kMaxCandidates> replicas;
+  std::array<Candidate, kMaxCandidates> endpoints;
 };
 
 enum class DispatchKind : std::uint8_t {
@@ -70,8 +70,8 @@
 };
 struct CompletionReason {
   CompletionCause cause = CompletionCause::kUnspecified;
-  float figure = 0, bound = 0;
-  EndpointId replica;  // of kEndpointLoad: the one whose queue decided; else none
+  float observed = 0, threshold = 0;
+  EndpointId endpoint;  // of kEndpointLoad: the one whose queue decided; else none
 };
 
 enum class CancelReason : std::uint8_t { kAnswered, kQueryOver, kEndpointOutlier, kDeadConnection };
@@ -91,9 +91,9 @@
   kDeadline,       // seconds left, seconds kept back
 };
 struct PendingShardRequest {
-  Id part = 0;
+  Id shard_request = 0;
   PendingReason reason = PendingReason::kNone;
-  float figure = 0, bound = 0;
+  float observed = 0, threshold = 0;
   Choice choice;  // of kNoEndpoint
 };
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -83,24 +83,24 @@
 constexpr double kRetryAfter = 0.5;  // least aims a refused client is asked to stay away when calm
 
 struct Attempt {
-  EndpointId replica;
+  EndpointId endpoint;
   Micros sent_us = 0;
   int depth = 1;  // parts of ours out at the replica, this one included
   bool out = true;
   bool never_ran = false;  // proved
-  bool called_off = false;
+  bool cancellation_requested = false;
   bool lost = false;  // its replica's process or the way to it went while it was out
   AttemptOutcome code = AttemptOutcome::kOk;
 };
 
-struct Part {
+struct ShardRequest {
   Id id = 0;
   Id query = 0;  // 0: the query has ended, attempts may still be out
   int shard = 0;
   double weight = 0;
   std::uint64_t key = 0;
   bool in = false, wanted = false;
-  PendingReason held = PendingReason::kNone;  // as last told
+  PendingReason pending = PendingReason::kNone;  // as last told
   Micros idle_since_us = 0;                   // wanted, and nothing out since then
   std::vector<Attempt> attempts;
   int Out() const { return static_cast<int>(std::ranges::count_if(attempts, &Attempt::out)); }
@@ -121,7 +121,7 @@
   int losses = 0;           // parts that were out at a replica when it was lost
   double in_weight = 0;     // of this step
   double worth_factor = 1;  // late or over its tenant's share: worth less
-  std::vector<Id> parts;    // of this step
+  std::vector<Id> shard_requests;    // of this step
 };
 
 struct Server {
@@ -137,7 +137,7 @@
   double per_part_us = 0;                    // latency for each part of ours out; 0: not seen
   Micros replied_us = 0;
   Micros answered_us = 0;           // when the newest part that it answered had been sent
-  bool sick = false, dead = false;  // dead: sick, and not for being slow: it answers nothing of use
+  bool outlier = false, unresponsive = false;  // dead: sick, and not for being slow: it answers nothing of use
   Micros used_us = 0;       // when something of ours last went to it or came back; 0: no connection yet
   Micros idle_sent_us = 0;  // a part that went out on a connection unused for idle_us, nothing back since
   double idle_us = 0;
@@ -161,7 +161,7 @@
 }
 
 bool ProvesNotRun(AttemptOutcome code) {
-  return code == AttemptOutcome::kFull || code == AttemptOutcome::kConnectFailed ||
+  return code == AttemptOutcome::kOverloaded || code == AttemptOutcome::kConnectFailed ||
          code == AttemptOutcome::kNotSent;
 }
 
@@ -245,7 +245,7 @@
       JudgeSilence(server);
       usable += server.usable ? 1 : 0;
       if (!server.usable || Avoided(server)) avoided += server.told.availability != Availability::kGone;
-      if (server.usable && !server.sick && Warmth(server) >= 1) warm_weight += server.told.weight;
+      if (server.usable && !server.outlier && Warmth(server) >= 1) warm_weight += server.told.weight;
     }
     UpdatePressure(dt);
     cut_level = std::clamp((pressure - kCutFrom) / (kCutFull - kCutFrom), 0.0, 1.0);
@@ -282,28 +282,28 @@
 
   // ================================ the list of replicas, and their health ================================
 
-  void operator()(const EndpointListUpdate& news) {
-    if (news.kind == EndpointListKind::kFailed) return AskAgain();
-    if (news.kind != EndpointListKind::kDelta) {
+  void operator()(const EndpointListUpdate& update) {
+    if (update.kind == EndpointListKind::kFailed) return AskAgain();
+    if (update.kind != EndpointListKind::kDelta) {
       std::set<EndpointId> named;
-      for (const Endpoint& replica : news.replicas) named.insert(replica.id);
+      for (const Endpoint& endpoint : update.endpoints) named.insert(endpoint.id);
       for (auto& [id, server] : servers) {
         if (!named.contains(id)) server.told.availability = Availability::kGone, server.usable = false;
       }
     }
-    for (const Endpoint& replica : news.replicas) {
-      bool known = servers.contains(replica.id);
-      Server& server = servers[replica.id];
-      bool restarted = replica.started_us != server.told.started_us;
+    for (const Endpoint& endpoint : update.endpoints) {
+      bool known = servers.contains(endpoint.id);
+      Server& server = servers[endpoint.id];
+      bool restarted = endpoint.started_us != server.told.started_us;
       bool announced = server.told.availability != Availability::kReady;
-      if (known && !announced && (restarted || replica.availability == Availability::kGone)) NoteLoss(server);
-      server.told = replica;
-      server.zone = static_cast<std::size_t>(std::max(replica.zone, 0));
+      if (known && !announced && (restarted || endpoint.availability == Availability::kGone)) NoteLoss(server);
+      server.told = endpoint;
+      server.zone = static_cast<std::size_t>(std::max(endpoint.zone, 0));
       if (server.zone >= zones.size()) zones.resize(server.zone + 1);
-      server.usable = replica.availability == Availability::kReady;
+      server.usable = endpoint.availability == Availability::kReady;
       if (restarted) {  // a new process: what the old one did says nothing
         server.log_sum = server.samples = server.errors = 0;
-        server.sick = server.dead = server.lost = server.stale = false;
+        server.outlier = server.unresponsive = server.lost = server.stale = false;
         server.used_us = 0;
         // Allowances of the group below one part in a window: who sends the first one is left to chance.
         server.cold_soft = server.cold_hard = Unit();
@@ -318,8 +318,8 @@
       auto cell = static_cast<std::size_t>(server.told.cell);
       if (cell < endpoints.size()) endpoints[cell].push_back(&server);
     }
-    if (news.kind != EndpointListKind::kCached) asks_failed = 0;
-    if (news.kind == EndpointListKind::kCached && s.subscription_required) out->push_back(Subscribe{});
+    if (update.kind != EndpointListKind::kCached) asks_failed = 0;
+    if (update.kind == EndpointListKind::kCached && s.subscription_required) out->push_back(Subscribe{});
   }
 
   // A list service that is down or full turns calls away at once: asked again in the same round by a large
@@ -366,10 +366,10 @@
     while (!times.empty() && times.front() < now - span) times.pop_front();
   }
 
-  void MarkSick(Server& server, bool dead) {
-    server.dead = server.dead || dead;
-    if (server.sick) return;
-    server.sick = true;
+  void MarkSick(Server& server, bool unresponsive) {
+    server.unresponsive = server.unresponsive || unresponsive;
+    if (server.outlier) return;
+    server.outlier = true;
     PutTrialOff(server, 1 / server.trial_factor);
   }
 
@@ -389,7 +389,7 @@
     Micros oldest = now;
     for (const auto& [key, sent] : server.out) oldest = std::min(oldest, sent);
     if (server.replied_us > oldest || static_cast<double>(now - oldest) <= kSilence * copy_us) return;
-    if (!server.sick) MarkSick(server, true);
+    if (!server.outlier) MarkSick(server, true);
     if (oldest != server.idle_sent_us || server.idle_us <= proven_us || !s.cancellation_allowed) return;
     server.trial_us = 0;
     server.trial_turn = 0;
@@ -421,7 +421,7 @@
     }
   }
 
-  bool Avoided(const Server& server) const { return server.sick || zones[server.zone].far; }
+  bool Avoided(const Server& server) const { return server.outlier || zones[server.zone].far; }
 
   void UseConnection(Server& server) {
     double idle = server.used_us > 0 ? static_cast<double>(now - server.used_us) : 0;
@@ -442,9 +442,9 @@
     bool ok = ended.code == AttemptOutcome::kOk;
     if (ok && attempt.sent_us == server.idle_sent_us) proven_us = std::max(proven_us, server.idle_us);
     // Turned away: what it holds does not come in with the aim, nor would this part have.
-    exposure_us += ended.code == AttemptOutcome::kFull ? min_latency_objective_us : 0;
-    new_answers += (ok && !server.sick) || ended.code == AttemptOutcome::kFull ? 1 : 0;
-    bool failed = !ok && ended.code != AttemptOutcome::kFull && ended.code != AttemptOutcome::kTimeout;
+    exposure_us += ended.code == AttemptOutcome::kOverloaded ? min_latency_objective_us : 0;
+    new_answers += (ok && !server.outlier) || ended.code == AttemptOutcome::kOverloaded ? 1 : 0;
+    bool failed = !ok && ended.code != AttemptOutcome::kOverloaded && ended.code != AttemptOutcome::kTimeout;
     if (ok || failed) {
       double usual = std::clamp(fleet_errors, kFleetLeast, kBadShare * kBadShare);
       double likelier = std::log(failed ? kBadShare / usual : (1 - kBadShare) / (1 - usual));
@@ -460,10 +460,10 @@
       server.answered_us = std::max(server.answered_us, now - ended.spent_us);
       double ratio = std::log(std::max(spent, 1.0) / median_us);
       bool fit = ratio < std::log(kSlowRatio);
-      if (server.sick && fit && server.errors < kBadWell) {  // one answer among many errors is no recovery
-        server.sick = server.dead = false;
+      if (server.outlier && fit && server.errors < kBadWell) {  // one answer among many errors is no recovery
+        server.outlier = server.unresponsive = false;
         server.log_sum = server.samples = 0;
-      } else if (server.sick) {
+      } else if (server.outlier) {
         PutTrialOff(server, fit ? 1 / kTrialMost : kTrialGrowth);
       } else {
         histogram[Bucket(spent)] += 1;
@@ -476,7 +476,7 @@
         server.log_sum = server.log_sum * kHealthMemory + ratio;
         server.samples = server.samples * kHealthMemory + 1;
       }
-    } else if (server.sick) {
+    } else if (server.outlier) {
       PutTrialOff(server, kTrialGrowth);
     }
     bool slow = server.log_sum / (server.samples + kHealthPrior) > std::log(kSlowRatio);
@@ -486,15 +486,15 @@
 
   // ================================ arrival and admission ================================
 
-  static CompletionReason Because(CompletionCause cause, double figure, double bound) {
-    return {cause, static_cast<float>(figure), static_cast<float>(bound), {}};
+  static CompletionReason Because(CompletionCause cause, double observed, double threshold) {
+    return {cause, static_cast<float>(observed), static_cast<float>(threshold), {}};
   }
   // Told for people only, and once: what is not out at all, or why it is not any more.
-  bool MarkPending(Part& part, PendingReason reason, double figure = 0, double bound = 0,
+  bool MarkPending(ShardRequest& shard_request, PendingReason reason, double observed = 0, double threshold = 0,
                    const Choice& choice = {}) {
-    if (held != nullptr && part.held != reason && part.Out() == 0)
-      held->push_back({part.id, reason, static_cast<float>(figure), static_cast<float>(bound), choice});
-    part.held = reason;
+    if (pending != nullptr && shard_request.pending != reason && shard_request.Out() == 0)
+      pending->push_back({shard_request.id, reason, static_cast<float>(observed), static_cast<float>(threshold), choice});
+    shard_request.pending = reason;
     return false;
   }
 
@@ -537,15 +537,15 @@
     auto number = numbers.find(event.number);
     if (number == numbers.end()) return;
     Query& query = queries.at(number->second);
-    Part part;
-    part.id = event.id;
-    part.query = query.id;
-    part.shard = event.shard;
-    part.weight = event.weight;
-    part.key = event.key;
-    part.idle_since_us = now;
-    parts[event.id] = std::move(part);
-    query.parts.push_back(event.id);
+    ShardRequest shard_request;
+    shard_request.id = event.id;
+    shard_request.query = query.id;
+    shard_request.shard = event.shard;
+    shard_request.weight = event.weight;
+    shard_request.key = event.key;
+    shard_request.idle_since_us = now;
+    shard_requests[event.id] = std::move(shard_request);
+    query.shard_requests.push_back(event.id);
     query.dispatched = false;
   }
 
@@ -553,9 +553,9 @@
   double Density(std::size_t c) const { return s.classes[c].worth / std::max(class_parts[c], 1.0); }
 
   // What the best holder of the part's shard would take: a last holder may drown in a calm fleet.
-  double ExpectedLatency(const Part& part, EndpointId* whose = nullptr) {
+  double ExpectedLatency(const ShardRequest& shard_request, EndpointId* whose = nullptr) {
     double best[2] = {0, 0};  // of healthy holders, of sick ones
-    ForEachReplica(part.shard, [&](const Server& server) {
+    ForEachReplica(shard_request.shard, [&](const Server& server) {
       if (!server.usable) return;
       double each = server.per_part_us == 0 ? per_part_us : server.per_part_us;
       double expected = each * static_cast<double>(1 + server.out.size());
@@ -587,15 +587,15 @@
     std::size_t c = query.class_index;
     const QueryClassSettings& cls = s.classes[c];
     if (query.step == 1) {
-      auto count = static_cast<double>(query.parts.size());
+      auto count = static_cast<double>(query.shard_requests.size());
       class_parts[c] = class_parts[c] == 0 ? count : class_parts[c] + kNewestGain * (count - class_parts[c]);
     }
     double aim = static_cast<double>(query.objective_at_us - now) /
                  (query.step == 1 && cls.fetch_phase_requests > 0 ? 2 : 1);
-    std::vector<std::pair<Part*, double>> order;  // with the expected latency against the aim
-    for (Id id : query.parts) {
-      Part& part = parts.at(id);
-      order.push_back({&part, aim > 0 ? ExpectedLatency(part) / aim : 0});
+    std::vector<std::pair<ShardRequest*, double>> order;  // with the expected latency against the aim
+    for (Id id : query.shard_requests) {
+      ShardRequest& shard_request = shard_requests.at(id);
+      order.push_back({&shard_request, aim > 0 ? ExpectedLatency(shard_request) / aim : 0});
     }
     std::stable_sort(order.begin(), order.end(),
                      [](auto& a, auto& b) { return a.first->weight < b.first->weight; });
@@ -603,22 +603,22 @@
     bool may_skip = cls.floor < cls.complete_coverage;
     double most = may_skip ? 1 - cls.floor : 0;
     double skipped = 0, hottest = 0;
-    const Part* slowest = nullptr;
-    for (auto& [part, heat] : order) {
-      part->wanted = !may_skip || skipped + part->weight > cut_level * most + 1e-12;
-      if (part->wanted) continue;
-      skipped += part->weight;
-      MarkPending(*part, PendingReason::kCutoff, cut_level, part->weight);
+    const ShardRequest* slowest = nullptr;
+    for (auto& [shard_request, heat] : order) {
+      shard_request->wanted = !may_skip || skipped + shard_request->weight > cut_level * most + 1e-12;
+      if (shard_request->wanted) continue;
+      skipped += shard_request->weight;
+      MarkPending(*shard_request, PendingReason::kCutoff, cut_level, shard_request->weight);
     }
     // Beyond the cut: a part that cannot come in time from any holder only keeps those from others.
-    for (auto& [part, heat] : order) {
-      if (!part->wanted) continue;
-      if (heat > kHotFull && skipped + part->weight <= most) {
-        part->wanted = false;
-        skipped += part->weight;
-        MarkPending(*part, PendingReason::kEndpointLoad, heat, kHotFull);
+    for (auto& [shard_request, heat] : order) {
+      if (!shard_request->wanted) continue;
+      if (heat > kHotFull && skipped + shard_request->weight <= most) {
+        shard_request->wanted = false;
+        skipped += shard_request->weight;
+        MarkPending(*shard_request, PendingReason::kEndpointLoad, heat, kHotFull);
       } else if (!may_skip) {
-        if (heat > hottest) slowest = part;
+        if (heat > hottest) slowest = shard_request;
         hottest = std::max(hottest, heat);
       }
     }
@@ -627,7 +627,7 @@
       EndpointId whose[2];
       if (reason.cause == CompletionCause::kEndpointLoad && slowest != nullptr)
         ExpectedLatency(*slowest, whose);
-      reason.replica = whose[0];
+      reason.endpoint = whose[0];
       return GiveUp(query, reason);
     }
     for (auto it = order.rbegin(); it != order.rend(); ++it) {
@@ -645,38 +645,38 @@
   }
 
   // Fewest of this aggregator's parts out, ties at random, among those that the filter lets through.
-  Server* Choose(const Part& part, bool copy, Choice* reason = nullptr) {
+  Server* Choose(const ShardRequest& shard_request, bool copy, Choice* reason = nullptr) {
     std::set<EndpointId> tried;
-    for (const Attempt& attempt : part.attempts) tried.insert(attempt.replica);
-    std::vector<Server*> healthy, cold, again, sick, dead;
+    for (const Attempt& attempt : shard_request.attempts) tried.insert(attempt.endpoint);
+    std::vector<Server*> healthy, cold, again, outlier, unresponsive;
     Server* trial = nullptr;
     auto note = [&](const Server& server, Eligibility standing) {
       if (reason == nullptr || reason->count == kMaxCandidates)
         return reason ? void(++reason->unlisted) : void();
       auto now_out = static_cast<std::uint16_t>(std::min<std::size_t>(server.out.size(), 0xffff));
-      reason->replicas[reason->count++] = {server.told.id, now_out, standing, false};
+      reason->endpoints[reason->count++] = {server.told.id, now_out, standing, false};
     };
     auto from = [&](const std::vector<Server*>& among) {
       for (std::size_t i = 0; reason != nullptr && i < reason->count; ++i)
-        reason->replicas[i].eligible = std::ranges::any_of(
-            among, [&](const Server* server) { return server->told.id == reason->replicas[i].replica; });
-      return Fewest(part, among);
+        reason->endpoints[i].eligible = std::ranges::any_of(
+            among, [&](const Server* server) { return server->told.id == reason->endpoints[i].endpoint; });
+      return Fewest(shard_request, among);
     };
-    ForEachReplica(part.shard, [&](Server& server) {
+    ForEachReplica(shard_request.shard, [&](Server& server) {
       bool drains = server.told.availability == Availability::kDraining;
       if (!server.usable) return note(server, drains ? Eligibility::kDraining : Eligibility::kGone);
       if (!ColdAllows(server, true)) return note(server, Eligibility::kSlowStartLimit);
       bool was_tried = tried.contains(server.told.id);
       if (Avoided(server)) {
-        note(server, !server.sick  ? Eligibility::kZoneEjected
-                     : server.dead ? Eligibility::kUnresponsive
+        note(server, !server.outlier  ? Eligibility::kZoneEjected
+                     : server.unresponsive ? Eligibility::kUnresponsive
                                    : Eligibility::kOutlier);
         // Let back by few trial parts: one at a time, watched closely (kSickCopy); one for a whole far zone.
         const Zone& zone = zones[server.zone];
         bool due = now >= (zone.far ? zone.trial_us : server.trial_us);
         due = due && (zone.far || warm_sent >= server.trial_turn);
-        if (part.attempts.empty() && due && trial == nullptr) trial = &server;
-        if (!was_tried) (server.dead ? dead : sick).push_back(&server);
+        if (shard_request.attempts.empty() && due && trial == nullptr) trial = &server;
+        if (!was_tried) (server.unresponsive ? unresponsive : outlier).push_back(&server);
       } else if (was_tried) {
         note(server, Eligibility::kAlreadyTried);
         again.push_back(&server);
@@ -695,10 +695,10 @@
     if (!cold.empty()) return from(cold);
     if (copy) return nullptr;
     // A slow one still answers; one that fails fast has nothing out and would draw every part.
-    if (!sick.empty()) return from(sick);
-    if (!dead.empty()) return from(dead);
+    if (!outlier.empty()) return from(outlier);
+    if (!unresponsive.empty()) return from(unresponsive);
     // All were tried: the same ones again, but not in a tight loop.
-    if (again.empty() || static_cast<double>(now - part.idle_since_us) < median_us) return nullptr;
+    if (again.empty() || static_cast<double>(now - shard_request.idle_since_us) < median_us) return nullptr;
     return from(again);
   }
 
@@ -716,7 +716,7 @@
   // that met a part's key of late does less work for it, so the whole group sends a key's parts at one cell
   // to the same holder, found by hashing. Else by chance. A hot key's holder fills up, and the count sends on
   // elsewhere.
-  Server* Fewest(const Part& part, const std::vector<Server*>& among) {
+  Server* Fewest(const ShardRequest& shard_request, const std::vector<Server*>& among) {
     std::vector<Server*> best;
     int least = 0;
     for (Server* server : among) {
@@ -726,12 +726,12 @@
       least = calls;
       best.push_back(server);
     }
-    if (!s.key_affinity || part.key == 0)
+    if (!s.key_affinity || shard_request.key == 0)
       return best[static_cast<std::size_t>(Unit() * static_cast<double>(best.size()))];
     auto heat = [&](const Server* server) {
       std::uint64_t id = std::uint64_t{server->told.id.address} << 16 | server->told.id.port;
-      std::uint64_t cell = static_cast<std::uint64_t>(part.shard % s.cells);
-      return Mix(Mix(part.key + cell) ^ id);
+      std::uint64_t cell = static_cast<std::uint64_t>(shard_request.shard % s.cells);
+      return Mix(Mix(shard_request.key + cell) ^ id);
     };
     return *std::max_element(best.begin(), best.end(), [&](auto* a, auto* b) { return heat(a) < heat(b); });
   }
@@ -754,8 +754,8 @@
   }
 
   // Guard of the second rule: may this part be sent once more?
-  bool EffectAllows(const QueryClassSettings& cls, const Part& part) const {
-    for (const Attempt& attempt : part.attempts) {
+  bool EffectAllows(const QueryClassSettings& cls, const ShardRequest& shard_request) const {
+    for (const Attempt& attempt : shard_request.attempts) {
       if (attempt.never_ran) continue;
       if (cls.effect == Effect::kNonIdempotent) return false;
       bool outside = now + answer_margin_us - attempt.sent_us > cls.deduplication_window_us;
@@ -764,14 +764,14 @@
     return true;
   }
 
-  PendingReason Barred(const QueryClassSettings& cls, const Part& part) const {
+  PendingReason Barred(const QueryClassSettings& cls, const ShardRequest& shard_request) const {
     // A part that was out at a replica that died may be what killed it. Resent freely, a few take down all
     // holders of their shards. A query of which a part was answered is none of these.
-    bool lost = std::ranges::any_of(part.attempts, &Attempt::lost);
-    auto query = queries.find(part.query);
+    bool lost = std::ranges::any_of(shard_request.attempts, &Attempt::lost);
+    auto query = queries.find(shard_request.query);
     if (lost && (query == queries.end() || !query->second.vouched)) return PendingReason::kPoisonQuery;
-    if (static_cast<int>(part.attempts.size()) >= s.max_attempts) return PendingReason::kAttemptLimit;
-    return EffectAllows(cls, part) ? PendingReason::kNone : PendingReason::kNotRepeatable;
+    if (static_cast<int>(shard_request.attempts.size()) >= s.max_attempts) return PendingReason::kAttemptLimit;
+    return EffectAllows(cls, shard_request) ? PendingReason::kNone : PendingReason::kNotRepeatable;
   }
 
   // Replicas were lost unannounced of late: a query that kills what begins a part of it may be about. Each is
@@ -779,92 +779,92 @@
   bool Held(const Query& query, bool first) const {
     if (query.vouched || query.step > 1) return false;
     bool guard = losses > kLossGuard;
-    bool wide = query.parts.size() > kWideLeast && static_cast<double>(query.parts.size()) > kWide * usable;
+    bool wide = query.shard_requests.size() > kWideLeast && static_cast<double>(query.shard_requests.size()) > kWide * usable;
     bool hurried = static_cast<double>(query.objective_at_us - now) < kNoHurry * median_us;
     if (!guard && (!wide || hurried || pressure > kRefuseFrom)) return false;
-    if (first) return query.newest_us == 0 && query.parts.size() > 1;
+    if (first) return query.newest_us == 0 && query.shard_requests.size() > 1;
     return query.newest_us > 0 && (guard || static_cast<double>(now - query.newest_us) < kCanary * median_us);
   }
 
-  bool TrySend(Query& query, Part& part, bool suspect = false) {
+  bool TrySend(Query& query, ShardRequest& shard_request, bool suspect = false) {
     const QueryClassSettings& cls = s.classes[query.class_index];
-    bool copy = part.Out() > 0;
-    bool more = !part.attempts.empty();
+    bool copy = shard_request.Out() > 0;
+    bool more = !shard_request.attempts.empty();
     Micros left = query.deadline_us - now;
     if (left <= answer_margin_us)
-      return MarkPending(part, PendingReason::kDeadline, static_cast<double>(left) / 1e6,
+      return MarkPending(shard_request, PendingReason::kDeadline, static_cast<double>(left) / 1e6,
                          static_cast<double>(answer_margin_us) / 1e6);
-    if (PendingReason barred = Barred(cls, part); barred != PendingReason::kNone)
-      return MarkPending(part, barred, static_cast<double>(part.attempts.size()), s.max_attempts);
-    if (!more && Held(query, false)) return MarkPending(part, PendingReason::kCanary);
-    if (copy && (!s.hedging_allowed || part.Out() > 1)) return false;
-    if (more && !FurtherAllowed(copy && !suspect)) return MarkPending(part, PendingReason::kRetryBudget);
-    DispatchReason reason{DispatchKind::kFirst, more ? part.attempts.back().code : AttemptOutcome::kOk, {}};
-    Server* server = Choose(part, copy, &reason.choice);
-    if (server == nullptr) return MarkPending(part, PendingReason::kNoEndpoint, 0, 0, reason.choice);
+    if (PendingReason barred = Barred(cls, shard_request); barred != PendingReason::kNone)
+      return MarkPending(shard_request, barred, static_cast<double>(shard_request.attempts.size()), s.max_attempts);
+    if (!more && Held(query, false)) return MarkPending(shard_request, PendingReason::kCanary);
+    if (copy && (!s.hedging_allowed || shard_request.Out() > 1)) return false;
+    if (more && !FurtherAllowed(copy && !suspect)) return MarkPending(shard_request, PendingReason::kRetryBudget);
+    DispatchReason reason{DispatchKind::kFirst, more ? shard_request.attempts.back().code : AttemptOutcome::kOk, {}};
+    Server* server = Choose(shard_request, copy, &reason.choice);
+    if (server == nullptr) return MarkPending(shard_request, PendingReason::kNoEndpoint, 0, 0, reason.choice);
     if (copy) {
       reason.kind = suspect ? DispatchKind::kOutlierHedge : DispatchKind::kStragglerHedge;
     } else if (more) {
       reason.kind = DispatchKind::kRetry;
-    } else if (Avoided(*server) && std::ranges::none_of(reason.choice.replicas, &Candidate::eligible)) {
+    } else if (Avoided(*server) && std::ranges::none_of(reason.choice.endpoints, &Candidate::eligible)) {
       reason.kind = DispatchKind::kProbe;
     } else if (Held(query, true)) {
       reason.kind = DispatchKind::kCanary;
     }
-    part.held = PendingReason::kNone;
+    shard_request.pending = PendingReason::kNone;
     if (more) further.push_back(now);
     if (copy) copies_sent = kCopyMemory * copies_sent + 1, copies_won *= kCopyMemory;
     if (!more) query.newest_us = now, ++query.sent;
     if (copy && !suspect) copies.push_back(now);
     UseConnection(*server);
-    if (!server->sick && Warmth(*server) >= 1 && warm_weight > 0) warm_sent += 1 / warm_weight;
+    if (!server->outlier && Warmth(*server) >= 1 && warm_weight > 0) warm_sent += 1 / warm_weight;
     --server->cold_soft;
     --server->cold_hard;
-    server->out[{part.id, static_cast<int>(part.attempts.size())}] = now;
-    part.attempts.push_back({server->told.id, now, static_cast<int>(server->out.size())});
-    out->push_back(Send{part.id, server->told.id, query.deadline_us - answer_margin_us - now, reason});
+    server->out[{shard_request.id, static_cast<int>(shard_request.attempts.size())}] = now;
+    shard_request.attempts.push_back({server->told.id, now, static_cast<int>(server->out.size())});
+    out->push_back(Send{shard_request.id, server->told.id, query.deadline_us - answer_margin_us - now, reason});
     return true;
   }
 
   // ================================ outcomes ================================
 
   void operator()(const AttemptFinished& ended) {
-    auto found = parts.find(ended.part);
-    if (found == parts.end()) return;
-    Part& part = found->second;
+    auto found = shard_requests.find(ended.shard_request);
+    if (found == shard_requests.end()) return;
+    ShardRequest& shard_request = found->second;
     auto index = static_cast<std::size_t>(ended.attempt);
-    if (index >= part.attempts.size() || !part.attempts[index].out) return;
-    Attempt& attempt = part.attempts[index];
+    if (index >= shard_request.attempts.size() || !shard_request.attempts[index].out) return;
+    Attempt& attempt = shard_request.attempts[index];
     attempt.out = false;
     attempt.never_ran = ProvesNotRun(ended.code);
     attempt.lost = ended.code == AttemptOutcome::kReset;
     attempt.code = ended.code;
-    auto server = servers.find(attempt.replica);
+    auto server = servers.find(attempt.endpoint);
     if (server != servers.end()) {
-      server->second.out.erase({part.id, ended.attempt});
+      server->second.out.erase({shard_request.id, ended.attempt});
       JudgeOutcome(server->second, ended, attempt);
       if (attempt.lost) NoteLoss(server->second);
     }
-    auto query = queries.find(part.query);
-    if (part.query == 0 || query == queries.end()) {
-      if (part.Out() == 0) parts.erase(found);
+    auto query = queries.find(shard_request.query);
+    if (shard_request.query == 0 || query == queries.end()) {
+      if (shard_request.Out() == 0) shard_requests.erase(found);
       return;
     }
-    if (part.Out() == 0) part.idle_since_us = now;
+    if (shard_request.Out() == 0) shard_request.idle_since_us = now;
     if (attempt.lost) ++query->second.losses;
-    if (ended.code != AttemptOutcome::kOk || part.in) return;
-    part.in = true;
-    if (ended.attempt > 0 && part.Out() > 0) ++copies_won;
+    if (ended.code != AttemptOutcome::kOk || shard_request.in) return;
+    shard_request.in = true;
+    if (ended.attempt > 0 && shard_request.Out() > 0) ++copies_won;
     query->second.vouched = true;
     if (++query->second.in >= kMostIn * query->second.sent && query->second.most_in_us == 0)
       query->second.most_in_us = now;
-    query->second.in_weight += part.weight;
-    CancelOut(part, CancelReason::kAnswered);
+    query->second.in_weight += shard_request.weight;
+    CancelOut(shard_request, CancelReason::kAnswered);
   }
 
-  void CancelOut(Part& part, CancelReason reason) {
-    for (std::size_t a = 0; s.cancellation_allowed && a < part.attempts.size(); ++a) {
-      if (part.attempts[a].out) out->push_back(Cancel{part.id, static_cast<int>(a), reason});
+  void CancelOut(ShardRequest& shard_request, CancelReason reason) {
+    for (std::size_t a = 0; s.cancellation_allowed && a < shard_request.attempts.size(); ++a) {
+      if (shard_request.attempts[a].out) out->push_back(Cancel{shard_request.id, static_cast<int>(a), reason});
     }
   }
 
@@ -874,28 +874,28 @@
   void Review(Query& query) {
     const QueryClassSettings& cls = s.classes[query.class_index];
     double possible = query.in_weight;
-    bool all_in = !query.parts.empty();
-    for (Id id : query.parts) {
-      Part& part = parts.at(id);
-      if (part.in) continue;
+    bool all_in = !query.shard_requests.empty();
+    for (Id id : query.shard_requests) {
+      ShardRequest& shard_request = shard_requests.at(id);
+      if (shard_request.in) continue;
       all_in = false;
-      if (!part.wanted) continue;
-      auto stuck = std::ranges::find_if(part.attempts, &Attempt::out);
-      if (stuck == part.attempts.end()) {
-        TrySend(query, part);
-      } else if (part.Out() == 1 && CopyDue(query, *stuck)) {
+      if (!shard_request.wanted) continue;
+      auto stuck = std::ranges::find_if(shard_request.attempts, &Attempt::out);
+      if (stuck == shard_request.attempts.end()) {
+        TrySend(query, shard_request);
+      } else if (shard_request.Out() == 1 && CopyDue(query, *stuck)) {
         bool suspect = Suspect(*stuck);
         if (s.hedging_allowed) {
-          TrySend(query, part, suspect);
-        } else if (suspect && !stuck->called_off && FurtherAllowed(false) && Choose(part, true) != nullptr) {
+          TrySend(query, shard_request, suspect);
+        } else if (suspect && !stuck->cancellation_requested && FurtherAllowed(false) && Choose(shard_request, true) != nullptr) {
           // Never two at once: called off, and sent again when that is confirmed. Only where the replica
           // looks sick: a part called off for its age alone is work thrown away.
-          stuck->called_off = true;
-          int attempt = static_cast<int>(stuck - part.attempts.begin());
-          out->push_back(Cancel{part.id, attempt, CancelReason::kEndpointOutlier});
+          stuck->cancellation_requested = true;
+          int attempt = static_cast<int>(stuck - shard_request.attempts.begin());
+          out->push_back(Cancel{shard_request.id, attempt, CancelReason::kEndpointOutlier});
         }
       }
-      if (part.Out() > 0 || Barred(cls, part) == PendingReason::kNone) possible += part.weight;
+      if (shard_request.Out() > 0 || Barred(cls, shard_request) == PendingReason::kNone) possible += shard_request.weight;
     }
     // Replicas died under it and none has answered: it goes no further.
     bool expired = now >= query.deadline_us - answer_margin_us;
@@ -905,7 +905,7 @@
     CompletionReason late =
         Because(CompletionCause::kExpired, static_cast<double>(query.deadline_us - now) / 1e6,
                 static_cast<double>(answer_margin_us) / 1e6);
-    if (query.parts.empty() && query.step == 2) return expired ? GiveUp(query, late) : void();
+    if (query.shard_requests.empty() && query.step == 2) return expired ? GiveUp(query, late) : void();
     bool whole = query.in_weight >= cls.complete_coverage - kWeightSlack && (query.step == 1 || all_in);
     if (whole)
       return Conclude(query, query.step == 1 || query.first_full,
@@ -932,7 +932,7 @@
 
   // Its replica is gone or looks sick, or has answered parts sent well after this one, which is lost then.
   bool Suspect(const Attempt& attempt) const {
-    auto server = servers.find(attempt.replica);
+    auto server = servers.find(attempt.endpoint);
     if (server == servers.end() || !server->second.usable || Avoided(server->second)) return true;
     return static_cast<double>(server->second.answered_us - attempt.sent_us) > copy_us;
   }
@@ -972,13 +972,13 @@
   // Given up: told at once, with the time to come back. A refusal promises that nothing ran.
   void GiveUp(Query& query, const CompletionReason& reason) {
     const QueryClassSettings& cls = s.classes[query.class_index];
-    auto unrun = [&](Id id) { return std::ranges::all_of(parts.at(id).attempts, &Attempt::never_ran); };
+    auto unrun = [&](Id id) { return std::ranges::all_of(shard_requests.at(id).attempts, &Attempt::never_ran); };
     bool once = cls.effect == Effect::kNonIdempotent;
-    bool harmless = !once || (query.step == 1 && std::ranges::all_of(query.parts, unrun));
+    bool harmless = !once || (query.step == 1 && std::ranges::all_of(query.shard_requests, unrun));
     if (harmless && now < query.deadline_us) {
       auto wait = static_cast<Micros>(min_latency_objective_us * (kRetryAfter + refusal));
       out->push_back(
-          Refuse{query.id, s.retry_after_allowed ? std::min(s.max_retry_after_us, wait) : 0, reason});
+          Reject{query.id, s.retry_after_allowed ? std::min(s.max_retry_after_us, wait) : 0, reason});
     } else {
       out->push_back(Fail{query.id, reason});
     }
@@ -987,13 +987,13 @@
   }
 
   void ReleaseParts(Query& query) {
-    for (Id id : query.parts) {
-      Part& part = parts.at(id);
-      part.query = 0;
-      CancelOut(part, CancelReason::kQueryOver);
-      if (part.Out() == 0) parts.erase(id);
+    for (Id id : query.shard_requests) {
+      ShardRequest& shard_request = shard_requests.at(id);
+      shard_request.query = 0;
+      CancelOut(shard_request, CancelReason::kQueryOver);
+      if (shard_request.Out() == 0) shard_requests.erase(id);
     }
-    query.parts.clear();
+    query.shard_requests.clear();
   }
 
   void Forget(Query& query) {
@@ -1020,7 +1020,7 @@
               std::vector<PendingShardRequest>* holds) {
     now = at;
     out = &actions;
-    held = holds;
+    pending = holds;
     for (const Event& event : events) {
       const auto* query = std::get_if<QueryReceived>(&event);
       if (valid) std::visit(*this, event);
@@ -1030,7 +1030,7 @@
     if (!valid) return;
     UpdateView();
     for (auto& [id, query] : queries)
-      if (!query.dispatched && !query.parts.empty()) Dispatch(query);
+      if (!query.dispatched && !query.shard_requests.empty()) Dispatch(query);
     for (auto& [id, query] : queries)
       if (!ended.contains(id)) Review(query);
     for (Id id : ended) queries.erase(id);
@@ -1047,14 +1047,14 @@
   std::uint64_t random_state;
   Micros now = 0;
   std::vector<Action>* out = nullptr;
-  std::vector<PendingShardRequest>* held = nullptr;
+  std::vector<PendingShardRequest>* pending = nullptr;
   double min_latency_objective_us = 0;
   Micros answer_margin_us = 0, copy_span_us = 0;
   std::map<EndpointId, Server> servers;
   std::vector<std::vector<Server*>> endpoints;  // by cell, those usable or not
   double warm_weight = 0, warm_sent = 0;  // of all warm replicas; sent to one of weight 1 since the start
   std::map<Id, Query> queries;
-  std::map<Id, Part> parts;
+  std::map<Id, ShardRequest> shard_requests;
   std::map<std::int64_t, Id> numbers;
   std::set<Id> ended;
   double histogram[kBuckets] = {};
@@ -1086,8 +1086,8 @@
 
 int Router::Avoided() const { return static_cast<int>(state_->avoided); }
 void Router::Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
-                    std::vector<PendingShardRequest>* held) {
-  state_->Handle(now, events, actions, held);
+                    std::vector<PendingShardRequest>* pending) {
+  state_->Handle(now, events, actions, pending);
 }
 
 }  // namespace liftrudder::routing
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -26,7 +26,7 @@
   // All events happen at `now`; the actions appended take effect at `now`, in order. `held`, where given,
   // gets a line for each part that is not sent, or not sent again, whenever the reason changes.
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
-              std::vector<PendingShardRequest>* held = nullptr);
+              std::vector<PendingShardRequest>* pending = nullptr);
   // Replicas listed that got nothing new of their own accord in the last round: they drain, look sick or are
   // far.
   int Avoided() const;
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -43,7 +43,7 @@
   }
   int Parts() const {
     int sum = 0;
-    for (int i = 0; i < kMaxEndpoints; ++i) sum += field.parts(i);
+    for (int i = 0; i < kMaxEndpoints; ++i) sum += field.shard_requests(i);
     return sum;
   }
   test_support::TestFleet field;
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -42,7 +42,7 @@
 
 // What the outside saw.
 struct Outside {
-  std::map<std::string, std::vector<test_support::LoggedPart>> endpoints;  // by holder id
+  std::map<std::string, std::vector<test_support::LoggedRequest>> endpoints;  // by holder id
   std::map<std::string, Given> clients;                                    // by call id
 };
 
@@ -55,12 +55,12 @@
                                  const Outside& outside) {
   std::vector<std::string> wrong;
   // Holder by holder and part by part, in their order.
-  std::map<std::pair<std::string, std::string>, std::vector<const test_support::LoggedPart*>> logged;
+  std::map<std::pair<std::string, std::string>, std::vector<const test_support::LoggedRequest*>> logged;
   std::map<std::string, std::vector<std::string>> parts_of;  // part ids logged, by call id
   for (const auto& [endpoint, log] : outside.endpoints) {
-    for (const test_support::LoggedPart& one : log) {
-      logged[{endpoint, one.part}].push_back(&one);
-      parts_of[one.part.substr(0, one.part.rfind('.'))].push_back(endpoint + " " + one.part);
+    for (const test_support::LoggedRequest& one : log) {
+      logged[{endpoint, one.shard_request}].push_back(&one);
+      parts_of[one.shard_request.substr(0, one.shard_request.rfind('.'))].push_back(endpoint + " " + one.shard_request);
     }
   }
   for (const decision_log::QueryTrace& trace : traces) {
@@ -79,19 +79,19 @@
       bool answered = trace.verdict == Verdict::kComplete || trace.verdict == Verdict::kPartial;
       if ((given.status == 200) != answered) bad("another verdict");
       if (given.status == 200 && given.full != (trace.verdict == Verdict::kComplete)) bad("whole or not");
-      if (given.status == 429 && trace.verdict != Verdict::kRefused) bad("not refused");
+      if (given.status == 429 && trace.verdict != Verdict::kRejected) bad("not refused");
     }
     std::size_t explained = 0;
-    int pieces = 0;
-    for (const decision_log::ShardRequestTrace& part : trace.parts) {
-      std::string id = fmt::format("{}.{}", trace.call_id, part.shard);
+    int shard_responses = 0;
+    for (const decision_log::ShardRequestTrace& shard_request : trace.shard_requests) {
+      std::string id = fmt::format("{}.{}", trace.call_id, shard_request.shard);
       std::map<std::string, std::vector<const decision_log::AttemptTrace*>> sent;
       bool in = false;
-      for (const decision_log::AttemptTrace& one : part.attempts) {
+      for (const decision_log::AttemptTrace& one : shard_request.attempts) {
         if (!one.ended_us) bad(id + ": an attempt without an end");
         // A frame cut short is not in a holder's log; one that was withdrawn while it was written is.
         bool withdrawn = one.ended_us && one.progress == Progress::kPartlyWritten &&
-                         (one.cause == Cause::kWithdrawn || one.cause == Cause::kExpired);
+                         (one.cause == Cause::kCancelled || one.cause == Cause::kExpired);
         if (Reached(one) || withdrawn) sent[one.endpoint.id].push_back(&one);
         in = in || (one.ended_us && one.cause == Cause::kServed && *one.ended_us <= trace.ended_us);
         bool chosen = false;
@@ -101,11 +101,11 @@
         if (one.number > 0 && one.kind == liftrudder::routing::DispatchKind::kFirst)
           bad(id + ": a second first try");
         if (one.kind == liftrudder::routing::DispatchKind::kRetry) {
-          const decision_log::AttemptTrace& before = part.attempts[static_cast<std::size_t>(one.number) - 1];
+          const decision_log::AttemptTrace& before = shard_request.attempts[static_cast<std::size_t>(one.number) - 1];
           if (before.outcome != one.after) bad(id + ": sent again after another outcome");
         }
       }
-      pieces += in ? 1 : 0;
+      shard_responses += in ? 1 : 0;
       for (auto& [endpoint, attempts] : sent) {
         auto found = logged.find({endpoint, id});
         std::size_t count = found == logged.end() ? 0 : found->second.size();
@@ -124,13 +124,13 @@
           bool fits = true;
           if (one.cause == Cause::kServed) fits = act == Act::kServe && one.outcome == AttemptOutcome::kOk;
           if (one.cause == Cause::kBroke) fits = act == Act::kBreak && one.outcome == AttemptOutcome::kError;
-          if (one.cause == Cause::kSkipped) fits = act == Act::kSkip && one.outcome == AttemptOutcome::kFull;
+          if (one.cause == Cause::kSkipped) fits = act == Act::kSkip && one.outcome == AttemptOutcome::kOverloaded;
           // On a shared connection another part's end is the end of all.
           if (one.cause == Cause::kConnectionLost) fits = one.outcome == AttemptOutcome::kReset;
           if (one.cause == Cause::kSpoilt) fits = one.outcome == AttemptOutcome::kError;
           if (!fits) bad(fmt::format("{}: at {} it ended otherwise", id, endpoint));
           // Silence ends by our own doing alone.
-          if (act == Act::kSilent && one.cause != Cause::kWithdrawn && one.cause != Cause::kExpired &&
+          if (act == Act::kSilent && one.cause != Cause::kCancelled && one.cause != Cause::kExpired &&
               one.cause != Cause::kConnectionLost && one.cause != Cause::kSpoilt)
             bad(fmt::format("{}: {} said nothing", id, endpoint));
           net::Micros sent_us = trace.arrived_us + one.at_us;
@@ -138,7 +138,7 @@
         }
       }
     }
-    if (given.status == 200 && pieces != trace.pieces) bad("another number of pieces");
+    if (given.status == 200 && shard_responses != trace.shard_responses) bad("another number of pieces");
     auto seen = parts_of.find(trace.call_id);
     std::size_t all = seen == parts_of.end() ? 0 : seen->second.size();
     if (all != explained) bad(fmt::format("the holders saw {} attempts, {} are explained", all, explained));
@@ -166,11 +166,11 @@
 
 std::string Request(const std::string& id, int kind, std::uint64_t dice) {
   static const char* const kNames[] = {"search", "report", "booking"};
-  int parts = kind == 0 ? 6 : kind == 1 ? 3 : 1 + static_cast<int>(dice % 2);
+  int shard_requests = kind == 0 ? 6 : kind == 1 ? 3 : 1 + static_cast<int>(dice % 2);
   std::string tablets;
   double sum = 0;
-  for (int i = 0; i < parts; ++i) sum += 1.0 / (i + 1);
-  for (int i = 0; i < parts; ++i) {
+  for (int i = 0; i < shard_requests; ++i) sum += 1.0 / (i + 1);
+  for (int i = 0; i < shard_requests; ++i) {
     tablets +=
         fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "",
                     (static_cast<int>(dice / 8 % kMaxEndpoints) + i) % kMaxEndpoints, 1.0 / (i + 1) / sum);
@@ -224,8 +224,8 @@
   test_support::FakeDiscovery discovery;
   for (int cell = 0; cell < kMaxEndpoints; ++cell) {
     endpoints.push_back(std::make_unique<test_support::FakeEndpoint>(
-        [cell, &silence](const std::string& part, std::size_t nth) {
-          std::uint64_t dice = decision_log::HashId(part + std::to_string(cell) + (nth % 2 == 0 ? "a" : "b"));
+        [cell, &silence](const std::string& shard_request, std::size_t nth) {
+          std::uint64_t dice = decision_log::HashId(shard_request + std::to_string(cell) + (nth % 2 == 0 ? "a" : "b"));
           test_support::Behaviour how;
           how.delay_us = 1'000 + static_cast<net::Micros>(dice >> 40) % 14'000;
           std::uint64_t hundred = dice % 200;
@@ -256,13 +256,13 @@
     clients.emplace_back(
         [&, who] { Ask(coordinator_process.addr(), who, kEach, seen[static_cast<std::size_t>(who)]); });
   // Events follow the clients' progress as the holders see it, not a clock.
-  auto served = [&] {
+  auto answered_queries = [&] {
     std::size_t all = 0;
     for (const auto& endpoint : endpoints) all += endpoint->Log().size();
     return all;
   };
-  auto until = [&](std::size_t parts) {
-    for (int i = 0; i < 2000 && served() < parts; ++i)
+  auto until = [&](std::size_t shard_requests) {
+    for (int i = 0; i < 2000 && answered_queries() < shard_requests; ++i)
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
   };
   until(800);
@@ -284,8 +284,8 @@
     decision_log::RecordFile record = decision_log::RecordFile::Open(directory + "/why.record");
     for (const decision_log::QueryTrace& trace : tests::ReadAll(record, all).traces) {
       if (trace.verdict == Verdict::kOpen) return false;
-      for (const decision_log::ShardRequestTrace& part : trace.parts) {
-        for (const decision_log::AttemptTrace& one : part.attempts) {
+      for (const decision_log::ShardRequestTrace& shard_request : trace.shard_requests) {
+        for (const decision_log::AttemptTrace& one : shard_request.attempts) {
           if (!one.ended_us) return false;
         }
       }
@@ -312,11 +312,11 @@
   std::map<liftrudder::routing::DispatchKind, int> kinds;
   for (decision_log::QueryTrace& trace : found.traces) {
     ++verdicts[trace.verdict];
-    if (trace.verdict == Verdict::kRejected) continue;
+    if (trace.verdict == Verdict::kRejectedAtIntake) continue;
     CHECK_FALSE(trace.torn);
     CHECK_FALSE(trace.events_cut);
-    for (const auto& part : trace.parts) {
-      for (const auto& one : part.attempts) ++kinds[one.kind];
+    for (const auto& shard_request : trace.shard_requests) {
+      for (const auto& one : shard_request.attempts) ++kinds[one.kind];
     }
     traces.push_back(std::move(trace));
   }
@@ -351,27 +351,27 @@
 
   // One field changed anywhere is found out.
   std::size_t place = 0;
-  while (traces[place].verdict != Verdict::kComplete || traces[place].parts[0].attempts.size() != 1) ++place;
+  while (traces[place].verdict != Verdict::kComplete || traces[place].shard_requests[0].attempts.size() != 1) ++place;
   auto sabotaged = [&](const std::function<void(decision_log::QueryTrace&)>& harm) {
     std::vector<decision_log::QueryTrace> harmed = traces;
     harm(harmed[place]);
     return !Compare(harmed, outside).empty();
   };
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].endpoint.id = "s-9"; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].cause = Cause::kBroke; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts[0].endpoint.id = "s-9"; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts[0].cause = Cause::kBroke; }));
   CHECK(
-      sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].outcome = AttemptOutcome::kFull; }));
+      sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts[0].outcome = AttemptOutcome::kOverloaded; }));
   CHECK(sabotaged(
-      [](decision_log::QueryTrace& s) { s.parts[0].attempts[0].progress = Progress::kNotConnected; }));
+      [](decision_log::QueryTrace& s) { s.shard_requests[0].attempts[0].progress = Progress::kNotConnected; }));
   CHECK(
-      sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.push_back(s.parts[0].attempts[0]); }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts.clear(); }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].shard += kMaxEndpoints; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.parts[0].attempts[0].at_us += 60'000'000; }));
+      sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts.push_back(s.shard_requests[0].attempts[0]); }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts.clear(); }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].shard += kMaxEndpoints; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_requests[0].attempts[0].at_us += 60'000'000; }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.verdict = Verdict::kPartial; }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.given[0].status = 503; }));
   CHECK(sabotaged([](decision_log::QueryTrace& s) { s.class_name = "other"; }));
-  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.pieces += 1; }));
+  CHECK(sabotaged([](decision_log::QueryTrace& s) { s.shard_responses += 1; }));
 }
 
 TEST_CASE("what the last client was given is written down before a planned end") {
--- a/tests/app/key_rotation_test.cpp
+++ b/tests/app/key_rotation_test.cpp
@@ -40,7 +40,7 @@
   }
   net::HttpResponse Malformed(int) override { return {}; }
   net::HttpResponse Overloaded(const net::HttpMessage*) override { return {}; }
-  void Wrote(const std::vector<net::Served>&, int, std::size_t, bool) override {}
+  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
   bool Saw(const std::string& mark) {
     std::lock_guard lock(mutex_);
     return seen_.contains(mark);
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -107,7 +107,7 @@
   for (int i = 0; i < kMaxEndpoints; i += 2) leaving.push_back({Name(i), field.addr(i), i, "draining"});
   discovery.Tell(leaving);
   WaitLog(coordinator_process, fmt::format("{} entries", leaving.size()));
-  for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(field.parts(i));
+  for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(field.shard_requests(i));
   for (int round = 0; round < 3; ++round) {
     net::HttpMessage answer = AskAll(coordinator_process.addr(), fmt::format("left-{}", round));
     REQUIRE(answer.status == 200);
@@ -115,7 +115,7 @@
     CHECK(Descriptors(coordinator_process.pid()) <= kSockets);
   }
   int late = 0;
-  for (int i = 0; i < kMaxEndpoints; i += 2) late += field.parts(i) - before[static_cast<std::size_t>(i / 2)];
+  for (int i = 0; i < kMaxEndpoints; i += 2) late += field.shard_requests(i) - before[static_cast<std::size_t>(i / 2)];
   CHECK(late == 0);
 
   // What can be asked of the record covers them all.
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -40,28 +40,28 @@
       : record(bytes, path, kAbout, 7) {
     record.Now(now);
     for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint)
-      record.Holder(endpoint, "s-" + std::to_string(endpoint),
+      record.Endpoint(endpoint, "s-" + std::to_string(endpoint),
                     "127.0.0.1:" + std::to_string(9000 + endpoint));
   }
 
-  std::uint32_t Open(const std::string& id, int class_index, int parts = 2, const std::string& label = "") {
+  std::uint32_t Open(const std::string& id, int class_index, int shard_requests = 2, const std::string& label = "") {
     std::uint32_t query = next;
-    next += static_cast<std::uint32_t>(parts) + 1;
-    std::vector<decision_log::OpenedPart> told(static_cast<std::size_t>(parts), {3, 1.0 / parts, 0});
+    next += static_cast<std::uint32_t>(shard_requests) + 1;
+    std::vector<decision_log::RecordedShardRequest> told(static_cast<std::size_t>(shard_requests), {3, 1.0 / shard_requests, 0});
     record.Open(
         {query, now, now + 4 * kSecond, class_index, decision_log::FrontKind::kPlatform, false, id, label},
         told);
     return query;
   }
-  void Send(std::uint32_t query, int part, int attempt, std::uint32_t endpoint,
+  void Send(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
             liftrudder::routing::DispatchKind kind = liftrudder::routing::DispatchKind::kFirst,
             AttemptOutcome after = AttemptOutcome::kOk) {
     liftrudder::routing::Send send{0, {endpoint, 1}, kSecond, {kind, after, {}}};
     send.reason.choice.count = 2;
-    send.reason.choice.replicas[0] = {{endpoint, 1}, 1, liftrudder::routing::Eligibility::kEligible, true};
-    send.reason.choice.replicas[1] = {
+    send.reason.choice.endpoints[0] = {{endpoint, 1}, 1, liftrudder::routing::Eligibility::kEligible, true};
+    send.reason.choice.endpoints[1] = {
         {endpoint % 3 + 1, 1}, 0, liftrudder::routing::Eligibility::kOutlier, false};
-    record.Sent(query, part, attempt, send);
+    record.Sent(query, shard_request, attempt, send);
   }
   void End(std::uint32_t query, Verdict verdict, CompletionCause cause = CompletionCause::kComplete) {
     record.Final(query, verdict, {cause, 1, 1, {}}, IntakeResult::kNone, 0, 2);
@@ -69,9 +69,9 @@
   void Whole(const std::string& id, int class_index, Verdict verdict = Verdict::kComplete,
              CompletionCause cause = CompletionCause::kComplete) {
     std::uint32_t query = Open(id, class_index);
-    for (int part = 0; part < 2; ++part) {
-      Send(query, part, 0, 1);
-      record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+    for (int shard_request = 0; shard_request < 2; ++shard_request) {
+      Send(query, shard_request, 0, 1);
+      record.Ended(query, shard_request, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
                    decision_log::Cause::kServed);
     }
     End(query, verdict, cause);
@@ -111,9 +111,9 @@
   f.Send(query, 0, 0, 1);
   f.Send(query, 1, 0, 2);
   f.now += 10'000, f.record.Now(f.now);
-  f.record.Ended(query, 0, 0, 1, AttemptOutcome::kFull, decision_log::Progress::kAnswering,
+  f.record.Ended(query, 0, 0, 1, AttemptOutcome::kOverloaded, decision_log::Progress::kAnswering,
                  decision_log::Cause::kSkipped);
-  f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kFull);
+  f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kOverloaded);
   f.now += 10'000, f.record.Now(f.now);
   f.record.Ended(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kConnectionLost);
@@ -127,19 +127,19 @@
   f.End(query, Verdict::kComplete);
   f.now += 10'000, f.record.Now(f.now);
   f.record.Ended(query, 1, 0, 2, AttemptOutcome::kCancelled, decision_log::Progress::kWhollyWritten,
-                 decision_log::Cause::kWithdrawn);
+                 decision_log::Cause::kCancelled);
   auto found = f.Find("q-1");
   REQUIRE(found.traces.size() == 1);
   const decision_log::QueryTrace& trace = found.traces[0];
   CHECK(trace.class_name == "term-report");
-  REQUIRE(trace.parts.size() == 2);
-  REQUIRE(trace.parts[0].attempts.size() == 3);
-  REQUIRE(trace.parts[1].attempts.size() == 2);
-  CHECK(trace.parts[0].attempts[1].endpoint.id == "s-2");
-  CHECK(trace.parts[0].attempts[1].outcome == AttemptOutcome::kReset);
-  CHECK(trace.parts[0].attempts[2].after == AttemptOutcome::kReset);
-  CHECK(trace.parts[1].attempts[0].ended_us == 30'000);
-  CHECK(trace.parts[1].attempts[0].cause == decision_log::Cause::kWithdrawn);
+  REQUIRE(trace.shard_requests.size() == 2);
+  REQUIRE(trace.shard_requests[0].attempts.size() == 3);
+  REQUIRE(trace.shard_requests[1].attempts.size() == 2);
+  CHECK(trace.shard_requests[0].attempts[1].endpoint.id == "s-2");
+  CHECK(trace.shard_requests[0].attempts[1].outcome == AttemptOutcome::kReset);
+  CHECK(trace.shard_requests[0].attempts[2].after == AttemptOutcome::kReset);
+  CHECK(trace.shard_requests[1].attempts[0].ended_us == 30'000);
+  CHECK(trace.shard_requests[1].attempts[0].cause == decision_log::Cause::kCancelled);
   std::string text = decision_log::TextOf(trace);
   CHECK(text.find("was sent again, since the attempt before lost its connection, to s-3") !=
         std::string::npos);
@@ -188,7 +188,7 @@
 TEST_CASE("a reading holds one query at a time, however many fit") {
   Fixture f(4 * 1024 * 1024);
   std::uint32_t wide = f.Open("wide", 0, 1000);
-  for (int part = 0; part < 1000; ++part) f.Send(wide, part, 0, 1);
+  for (int shard_request = 0; shard_request < 1000; ++shard_request) f.Send(wide, shard_request, 0, 1);
   f.End(wide, Verdict::kPartial, CompletionCause::kLatencyObjective);
   for (int i = 0; i < 8000; ++i) f.Whole("q-" + std::to_string(i), i % 3);
   f.record.Flush();
@@ -241,7 +241,7 @@
 TEST_CASE("one query of very many parts holds its share and no more, and says that events are missing") {
   Fixture f;
   std::uint32_t query = f.Open("wide", 0, 1000);
-  for (int part = 0; part < 1000; ++part) f.Send(query, part, 0, 1);
+  for (int shard_request = 0; shard_request < 1000; ++shard_request) f.Send(query, shard_request, 0, 1);
   f.End(query, Verdict::kPartial, CompletionCause::kLatencyObjective);
   auto found = f.Find("wide");
   REQUIRE(found.traces.size() == 1);
@@ -255,7 +255,7 @@
   Fixture f;
   std::vector<std::string> ids;
   for (int i = 0; i < 20'000; ++i) ids.push_back("query-" + std::to_string(i));
-  std::vector<decision_log::OpenedPart> parts(6, {1, 0.1, 100});
+  std::vector<decision_log::RecordedShardRequest> shard_requests(6, {1, 0.1, 100});
   std::size_t claimed = f.record.Claimed();
   std::size_t before = test_support::Allocations();
   for (int i = 0; i < 20'000; ++i) {
@@ -265,12 +265,12 @@
     f.next += 7;
     f.record.Open({query, f.now, f.now + kSecond, i % 3, decision_log::FrontKind::kPlatform, false,
                    ids[static_cast<std::size_t>(i)], ""},
-                  parts);
-    for (int part = 0; part < 6; ++part) f.Send(query, part, 0, 1);
-    for (int part = 0; part < 6; ++part)
-      f.record.Ended(query, part, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                  shard_requests);
+    for (int shard_request = 0; shard_request < 6; ++shard_request) f.Send(query, shard_request, 0, 1);
+    for (int shard_request = 0; shard_request < 6; ++shard_request)
+      f.record.Ended(query, shard_request, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
                      decision_log::Cause::kServed);
-    f.End(query, i % 50 == 0 ? Verdict::kRefused : Verdict::kComplete);
+    f.End(query, i % 50 == 0 ? Verdict::kRejected : Verdict::kComplete);
     f.record.Flush();
   }
   if (test_support::kCounted) {
@@ -292,7 +292,7 @@
     f.record.Now(f.now);
     std::string id = "before-" + std::to_string(i);
     if (i % 80 == 0) {
-      f.Whole(id, 1, i % 160 == 0 ? Verdict::kRefused : Verdict::kPartial, CompletionCause::kLoad);
+      f.Whole(id, 1, i % 160 == 0 ? Verdict::kRejected : Verdict::kPartial, CompletionCause::kLoad);
       reports.insert(id);
     } else {
       f.Whole(id, i % 3);
@@ -308,7 +308,7 @@
       f.record.Now(f.now);
       bool refused = i % 2 == 0;
       f.Whole("burst-" + std::to_string(burst) + "-" + std::to_string(i), i % 3,
-              refused ? Verdict::kRefused : Verdict::kComplete,
+              refused ? Verdict::kRejected : Verdict::kComplete,
               refused ? CompletionCause::kLoad : CompletionCause::kComplete);
       f.record.Flush();
     }
@@ -362,7 +362,7 @@
 
 TEST_CASE("a flood at the door is counted, and only so much of it is kept") {
   Fixture f;
-  f.Whole("mine", 1, Verdict::kRefused, CompletionCause::kLoad);
+  f.Whole("mine", 1, Verdict::kRejected, CompletionCause::kLoad);
   decision_log::Note note;
   note.intake = IntakeResult::kMalformed;
   note.status = 400;
@@ -453,8 +453,8 @@
         for (const decision_log::QueryTrace& trace : ReadAll(f.record.record_file(), filter).traces) {
           ++read;
           bool ended = trace.verdict == Verdict::kComplete;
-          bool all = trace.parts.size() == 2 && trace.parts[0].attempts.size() == 1 &&
-                     trace.parts[1].attempts.size() == 1;
+          bool all = trace.shard_requests.size() == 2 && trace.shard_requests[0].attempts.size() == 1 &&
+                     trace.shard_requests[1].attempts.size() == 1;
           if (!trace.torn && ended && !all) ++wrong;
         }
       }
@@ -556,13 +556,13 @@
 TEST_CASE("the desk bounds how often it reads") {
   Fixture f;
   std::int64_t now = kStart;
-  int freshened = 0;
+  int refreshed = 0;
   decision_log::ExplainService explain_service(
-      f.record.record_file(), [&] { ++freshened; }, [&] { return now; });
+      f.record.record_file(), [&] { ++refreshed; }, [&] { return now; });
   int answered = 0;
   for (int i = 0; i < 50; ++i) answered += explain_service.Ask({{"summary", "1"}}).status == 200 ? 1 : 0;
   CHECK(answered == 10);
-  CHECK(freshened == 10);
+  CHECK(refreshed == 10);
   CHECK(explain_service.Ask({}).retry_after_us > 0);
   now += kSecond;
   CHECK(explain_service.Ask({}).status == 200);
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -20,11 +20,11 @@
     Micros first = *rc::gen::inRange<Micros>(1, 1'000'000);
     Micros most = first * *rc::gen::inRange<Micros>(1, 100);
     Backoff backoff(first, most, *rc::gen::arbitrary<std::uint64_t>());
-    Micros bound = first;
+    Micros threshold = first;
     for (int i = 0; i < 20; ++i) {
       Micros wait = backoff.Next();
-      RC_ASSERT(wait >= 0 && wait < std::min(bound, most));
-      bound = std::min(bound * 2, most);
+      RC_ASSERT(wait >= 0 && wait < std::min(threshold, most));
+      threshold = std::min(threshold * 2, most);
     }
     RC_ASSERT(backoff.failures() == 20);
     backoff.Reset();
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -15,7 +15,7 @@
 using namespace liftrudder;
 using coordinator::Cause;
 using tests::LinksUnderTest;
-using tests::Served;
+using tests::AnsweredQuery;
 
 namespace {
 
@@ -43,7 +43,7 @@
     return out;
   }
   net::HttpResponse Overloaded(const net::HttpMessage*) override { return Malformed(503); }
-  void Wrote(const std::vector<net::Served>&, int, std::size_t, bool) override {}
+  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
 
   void HoldIntake() {
     std::lock_guard lock(mutex_);
@@ -127,7 +127,7 @@
   Say(client, Request("/held"));
   one.handler.AwaitInside(1);
   auto here = one.handler.reply_waiter()->client();
-  CHECK_FALSE(here->Gone());
+  CHECK_FALSE(here->Disconnected());
   SECTION("by closing") { client = net::Fd(); }
   SECTION("by a reset") { Reset(client); }
   SECTION("with bytes behind its request") {
@@ -142,7 +142,7 @@
     CHECK(Answer(other) == 200);
     client = net::Fd();
   }
-  Until([&] { return here->Gone(); });
+  Until([&] { return here->Disconnected(); });
 }
 
 TEST_CASE("a connection's next request does not inherit that an earlier client seemed to leave") {
@@ -167,8 +167,8 @@
     all.Send(0);
     net::Fd endpoint = all.Take(0);
     all.Send(0, client);
-    client->Leave();
-    net::WriteAll(endpoint, Served(1), kPatience);
+    client->MarkDisconnected();
+    net::WriteAll(endpoint, AnsweredQuery(1), kPatience);
     CHECK(all.Ended(0).cause == Cause::kServed);
     coordinator::AttemptResult second = all.Ended(1);
     CHECK(second.cause == Cause::kLeft);
@@ -179,7 +179,7 @@
     CHECK(more.empty());
   }
   SECTION("as it is handed over") {
-    client->Leave();
+    client->MarkDisconnected();
     all.Send(0, client);
     CHECK(all.Ended(0).cause == Cause::kLeft);
   }
@@ -194,17 +194,17 @@
   all.Send(0);
   all.Send(0, client);
   all.Send(0);
-  client->Leave();
+  client->MarkDisconnected();
   all.links->EndRound();
   net::Fd endpoint = all.Take(0);
-  auto line = [](int part) { return "q." + std::to_string(part) + " " + std::to_string(part) + " d="; };
+  auto line = [](int shard_request) { return "q." + std::to_string(shard_request) + " " + std::to_string(shard_request) + " d="; };
   std::size_t size = static_cast<unsigned char>(all.got[0]);
   REQUIRE(all.got.size() == size + 4);  // one frame
   CHECK(all.got.find(line(1)) != std::string::npos);
   CHECK(all.got.find(line(2)) == std::string::npos);
   CHECK(all.got.find(line(3)) != std::string::npos);
   CHECK(all.Ended(0).cause == Cause::kLeft);
-  net::WriteAll(endpoint, Served(3) + Served(1), kPatience);
+  net::WriteAll(endpoint, AnsweredQuery(3) + AnsweredQuery(1), kPatience);
   CHECK(all.Ended(1).cause == Cause::kServed);
   CHECK(all.Ended(2).cause == Cause::kServed);
 }
@@ -213,14 +213,14 @@
   LinksUnderTest all(1, {});
   all.Send(0);
   net::Fd endpoint = all.Take(0);
-  all.links->CallOff({1, 0});
-  all.links->CallOff({1, 0});
+  all.links->RequestCancellation({1, 0});
+  all.links->RequestCancellation({1, 0});
   std::string word;
   REQUIRE(net::ReadSome(endpoint, word, kPatience) == net::Io::kOk);
   CHECK(word == std::string{4, 0, 0, 0} + "cq.1");  // once
   CHECK(all.Results() == 0);
   SECTION("answered") {
-    net::WriteAll(endpoint, Served(1), kPatience);
+    net::WriteAll(endpoint, AnsweredQuery(1), kPatience);
     CHECK(all.Ended(0).cause == Cause::kServed);
   }
   SECTION("reset") {
@@ -228,8 +228,8 @@
     CHECK(all.Ended(0).cause == Cause::kConnectionLost);
   }
   SECTION("its query is over") {
-    all.links->Withdraw({1, 0}, all.news->replicas[0].id, Cause::kWithdrawn);
-    CHECK(all.Ended(0).cause == Cause::kWithdrawn);
+    all.links->CancelAttempt({1, 0}, all.update->endpoints[0].id, Cause::kCancelled);
+    CHECK(all.Ended(0).cause == Cause::kCancelled);
     all.links.reset();
     word.clear();
     CHECK(net::ReadSome(endpoint, word, kPatience) == net::Io::kEnd);
@@ -304,7 +304,7 @@
   Until([&] { return !net::Connect(one.addr, kPatience).Valid(); });
   auto here = one.handler.reply_waiter()->client();
   client = net::Fd();
-  Until([&] { return here->Gone(); });
+  Until([&] { return here->Disconnected(); });
 }
 
 TEST_CASE("the end waits for clients that have not taken their answers in") {
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -63,7 +63,7 @@
   }
   net::HttpResponse Malformed(int status) override { return Of(status); }
   net::HttpResponse Overloaded(const net::HttpMessage*) override { return Of(503); }
-  void Wrote(const std::vector<net::Served>&, int, std::size_t, bool) override {}
+  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
 
  private:
   static net::HttpResponse Of(int status) {
