--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -54,7 +54,7 @@
   Group(int endpoints, double load, std::uint64_t seed) : s(Shared(endpoints)), random(seed), load_(load) {
     EndpointListUpdate all{EndpointListKind::kFull, 1, {}};
     // Neighbours by number are none by cell, so that the first few share no shard.
-    for (int i = 0; i < endpoints; ++i) all.replicas.push_back(Add(i * 7 % endpoints).told);
+    for (int i = 0; i < endpoints; ++i) all.endpoints.push_back(Add(i * 7 % endpoints).told);
     for (int g = 0; g < kCoordinators; ++g) {
       modules_.emplace_back(s, seed * 1000 + g);
       Tell(g, 0, all);
@@ -139,11 +139,11 @@
   void Take(int g, const Action& action) {
     if (const auto* timer = std::get_if<SetTimer>(&action))
       Tell(g, now + timer->span_us, TimerFired{timer->label});
-    if (const auto* answer = std::get_if<Answer>(&action)) whole += answer->full;
+    if (const auto* answer = std::get_if<Answer>(&action)) whole += answer->complete;
     if (const auto* send = std::get_if<Send>(&action)) {
-      Holder& endpoint = endpoints.at(send->replica);
+      Holder& endpoint = endpoints.at(send->endpoint);
       at_send(endpoint);
-      int attempt = attempts_[send->part]++;
+      int attempt = attempts_[send->shard_request]++;
       Micros spent = kRound;
       AttemptOutcome code = AttemptOutcome::kConnectFailed;
       if (endpoint.up) {
@@ -156,7 +156,7 @@
         if (spent > send->timeout_us) spent = send->timeout_us, code = AttemptOutcome::kTimeout;
       }
       Tell(g, now + spent,
-           AttemptFinished{send->part, attempt, send->replica, code, spent, code == AttemptOutcome::kOk, {}});
+           AttemptFinished{send->shard_request, attempt, send->endpoint, code, spent, code == AttemptOutcome::kOk, {}});
     }
   }
 
@@ -266,7 +266,7 @@
       good += came[id.address] / (group.s.cells - kBad);
       fewest = std::min(fewest, came[id.address]);
     }
-    for (auto& [address, parts] : came) parts /= good;
+    for (auto& [address, shard_requests] : came) shard_requests /= good;
     least_good = fewest / good;
   }
   std::map<std::uint32_t, double> came;
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -48,9 +48,9 @@
 class Bench {
  public:
   explicit Bench(Settings s = BaseSettings(), std::uint64_t seed = 7) : module(s, seed) {
-    EndpointListUpdate news{EndpointListKind::kCached, 1, {}};
-    for (int cell = 0; cell < s.cells; ++cell) news.replicas.push_back(Member(cell));
-    Do(news);
+    EndpointListUpdate update{EndpointListKind::kCached, 1, {}};
+    for (int cell = 0; cell < s.cells; ++cell) update.endpoints.push_back(Member(cell));
+    Do(update);
   }
 
   static Endpoint Member(int cell, Availability how = Availability::kReady, Micros launched = 0) {
@@ -62,9 +62,9 @@
     module.Handle(now, events, last);
     for (const Action& action : last) {
       if (const auto* send = std::get_if<Send>(&action)) {
-        int attempt = attempts[send->part]++;
+        int attempt = attempts[send->shard_request]++;
         sent.push_back({*send, attempt});
-        out[{send->part, attempt}] = {send->replica, now};
+        out[{send->shard_request, attempt}] = {send->endpoint, now};
       }
     }
     return last;
@@ -88,10 +88,10 @@
     return Do(events);
   }
 
-  std::vector<Action> End(Id part, int attempt, AttemptOutcome code = AttemptOutcome::kOk) {
-    auto [replica, since] = out.at({part, attempt});
-    out.erase({part, attempt});
-    return Do(AttemptFinished{part, attempt, replica, code, now - since, code == AttemptOutcome::kOk, {}});
+  std::vector<Action> End(Id shard_request, int attempt, AttemptOutcome code = AttemptOutcome::kOk) {
+    auto [endpoint, since] = out.at({shard_request, attempt});
+    out.erase({shard_request, attempt});
+    return Do(AttemptFinished{shard_request, attempt, endpoint, code, now - since, code == AttemptOutcome::kOk, {}});
   }
 
   // Brings in everything that is out.
@@ -119,14 +119,14 @@
     }
     return found;
   }
-  EndpointId Where(Id part, int attempt = 0) const {
+  EndpointId Where(Id shard_request, int attempt = 0) const {
     for (const auto& [send, number] : sent) {
-      if (send.part == part && number == attempt) return send.replica;
+      if (send.shard_request == shard_request && number == attempt) return send.endpoint;
     }
-    ADD_FAILURE() << "part " << part << " attempt " << attempt << " was not sent";
+    ADD_FAILURE() << "part " << shard_request << " attempt " << attempt << " was not sent";
     return {};
   }
-  int Sends(Id part) const { return attempts.contains(part) ? attempts.at(part) : 0; }
+  int Sends(Id shard_request) const { return attempts.contains(shard_request) ? attempts.at(shard_request) : 0; }
   // Fills the fleet: queries whose parts stay out.
   void Load(int queries) {
     for (int i = 0; i < queries; ++i)
@@ -174,7 +174,7 @@
   Bench bench;
   for (Id id = 1; id <= 4; ++id) bench.Ask(id, kComplete, {1});
   std::set<EndpointId> used;
-  for (const auto& [send, attempt] : bench.sent) used.insert(send.replica);
+  for (const auto& [send, attempt] : bench.sent) used.insert(send.endpoint);
   EXPECT_EQ(used.size(), 4u);
 }
 
@@ -183,7 +183,7 @@
   s.reach = 1;
   Bench bench(s);
   bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25});
-  for (Id part = 100; part < 104; ++part) EXPECT_EQ(bench.Where(part).address, part - 100);
+  for (Id shard_request = 100; shard_request < 104; ++shard_request) EXPECT_EQ(bench.Where(shard_request).address, shard_request - 100);
 }
 
 TEST(Module, SameEventsSameActions) {
@@ -193,7 +193,7 @@
     bench->Load(5);
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].first.replica, b.sent[i].first.replica);
+  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].first.endpoint, b.sent[i].first.endpoint);
 }
 
 // ---- Rule 1: no query is lost ----
@@ -205,7 +205,7 @@
   for (Micros t = 0; t < 2 * kLatencyObjective; t += 5 * kMs) {
     std::size_t sends = bench.sent.size();
     bench.Tick(5 * kMs);
-    auto count = bench.Last<Refuse>().size() + bench.Last<Fail>().size() + bench.Last<Answer>().size();
+    auto count = bench.Last<Reject>().size() + bench.Last<Fail>().size() + bench.Last<Answer>().size();
     if (ends > 0) {
       EXPECT_EQ(bench.sent.size(), sends);
     }
@@ -242,13 +242,13 @@
   s.classes[0].effect = Effect::kNonIdempotent;
   Bench bench(s);
   bench.Ask(1, kComplete, {1});
-  bench.End(100, 0, AttemptOutcome::kFull);
+  bench.End(100, 0, AttemptOutcome::kOverloaded);
   EXPECT_EQ(bench.Sends(100), 2);
   bench.now += 20 * kMs;
   bench.End(100, 1, AttemptOutcome::kError);
   EXPECT_EQ(bench.Sends(100), 2);
   EXPECT_EQ(bench.Last<Fail>().size(), 1u);
-  EXPECT_TRUE(bench.Last<Refuse>().empty());
+  EXPECT_TRUE(bench.Last<Reject>().empty());
 }
 
 TEST(Effect, KeyedPartsAreResentOnlyInsideTheWindow) {
@@ -276,7 +276,7 @@
                          2,
                          {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kGone)}});
   for (Id id = 1; id <= 20; ++id) bench.Ask(id, kComplete, {1});
-  for (const auto& [send, attempt] : bench.sent) EXPECT_GE(send.replica.address, 2u);
+  for (const auto& [send, attempt] : bench.sent) EXPECT_GE(send.endpoint.address, 2u);
 }
 
 // ---- Rule 4: cold replicas ----
@@ -289,7 +289,7 @@
   int to_cold = 0, to_others = 0;
   for (int i = 0; i < 60; ++i) {
     bench.Ask(bench.next_id++, kComplete, {1});
-    (bench.sent.back().first.replica.address == 0 ? to_cold : to_others)++;
+    (bench.sent.back().first.endpoint.address == 0 ? to_cold : to_others)++;
     bench.now += 20 * kMs;
     bench.EndAll();
   }
@@ -299,10 +299,10 @@
 
 TEST(Cold, AllStartedTogetherStillHoldTheBudget) {
   Bench bench;
-  EndpointListUpdate news{EndpointListKind::kDelta, 2, {}};
+  EndpointListUpdate update{EndpointListKind::kDelta, 2, {}};
   for (int cell = 0; cell < 4; ++cell)
-    news.replicas.push_back(Bench::Member(cell, Availability::kReady, bench.now));
-  bench.Do(news);
+    update.endpoints.push_back(Bench::Member(cell, Availability::kReady, bench.now));
+  bench.Do(update);
   for (int i = 0; i < 50; ++i) bench.Ask(bench.next_id++, kComplete, {1});
   EXPECT_LE(bench.sent.size(), 4u);
 }
@@ -319,7 +319,7 @@
   EXPECT_TRUE(bench.Last<Answer>().empty());  // 0.3 is under the floor of 0.4
   bench.End(100, 0);
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
-  EXPECT_FALSE(bench.Last<Answer>()[0].full);
+  EXPECT_FALSE(bench.Last<Answer>()[0].complete);
 }
 
 TEST(Honest, BothStepsMustBeWhole) {
@@ -328,14 +328,14 @@
   bench.now += 50 * kMs;
   bench.EndAll();
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
-  EXPECT_TRUE(bench.Last<Answer>()[0].full);
+  EXPECT_TRUE(bench.Last<Answer>()[0].complete);
   bench.Do({ShardRequestReceived{201, 1, 0, 0.5, 0, 0}, ShardRequestReceived{202, 1, 1, 0.5, 0, 0}});
   bench.now += 50 * kMs;
   bench.End(201, 0);
   EXPECT_TRUE(bench.Last<Answer>().empty());
   bench.End(202, 0);
   ASSERT_EQ(bench.Last<Answer>().size(), 1u);
-  EXPECT_TRUE(bench.Last<Answer>()[0].full);
+  EXPECT_TRUE(bench.Last<Answer>()[0].complete);
 }
 
 // ---- Rule 6: the retry budget ----
@@ -349,7 +349,7 @@
   Bench bench(s);
   for (Id id = 1; id <= 6; ++id) bench.Ask(id, kComplete, {1});
   auto keys = bench.out;
-  for (const auto& [key, value] : keys) bench.End(key.first, key.second, AttemptOutcome::kFull);
+  for (const auto& [key, value] : keys) bench.End(key.first, key.second, AttemptOutcome::kOverloaded);
   EXPECT_EQ(bench.sent.size(), 8u);
 }
 
@@ -375,7 +375,7 @@
   int to_hung = 0;
   for (int i = 0; i < 200; ++i) {
     bench.Ask(bench.next_id++, kComplete, {1});
-    to_hung += bench.sent.back().first.replica == hung;
+    to_hung += bench.sent.back().first.endpoint == hung;
     bench.now += 10 * kMs;
     auto keys = bench.out;
     for (const auto& [key, value] : keys) {
@@ -460,7 +460,7 @@
   bench.Ask(1, kComplete, {1}, 2 * kLatencyObjective);
   bench.Ask(2, kComplete, {1}, 300 * kMs);
   EXPECT_EQ(bench.Sends(200), 1);
-  EXPECT_TRUE(bench.Last<Refuse>().empty());
+  EXPECT_TRUE(bench.Last<Reject>().empty());
 }
 
 TEST(Hurry, AMarkedRepeatPastItsAimIsRefusedWhereLateIsWorthNothing) {
@@ -470,7 +470,7 @@
   bench.Ask(1, kComplete, {1}, 2 * kLatencyObjective);
   bench.Ask(2, kComplete, {1}, 500 * kMs, 0, true);
   EXPECT_EQ(bench.Sends(200), 0);
-  EXPECT_EQ(bench.Last<Refuse>().size(), 1u);
+  EXPECT_EQ(bench.Last<Reject>().size(), 1u);
 }
 
 // Incident ia37c4d: refusals swung between all and nothing. They begin with the parts out and end with them.
@@ -479,8 +479,8 @@
   bench.Calm(40);
   bench.Load(60);
   bench.Ask(1, kComplete, {0.5, 0.5});
-  ASSERT_EQ(bench.Last<Refuse>().size(), 1u);
-  EXPECT_GT(bench.Last<Refuse>()[0].retry_after_us, 0);
+  ASSERT_EQ(bench.Last<Reject>().size(), 1u);
+  EXPECT_GT(bench.Last<Reject>()[0].retry_after_us, 0);
   bench.now += 50 * kMs;
   bench.EndAll();
   bench.Ask(2, kComplete, {0.5, 0.5});
@@ -536,7 +536,7 @@
     bench.Do(
         EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(0, Availability::kReady, bench.now)}});
     for (int i = 0; i < 4; ++i) bench.Ask(bench.next_id++, kComplete, {1});
-    for (const auto& [send, attempt] : bench.sent) to_cold += send.replica.address == 0;
+    for (const auto& [send, attempt] : bench.sent) to_cold += send.endpoint.address == 0;
   }
   EXPECT_GE(to_cold, 1);
   EXPECT_LE(to_cold, 18);  // each at least one would be 30
@@ -585,7 +585,7 @@
   bench.Ask(2, kPartial, {0.4, 0.3, 0.3});
   bench.now += 50 * kMs;
   bench.End(200, 0, AttemptOutcome::kReset);
-  EXPECT_EQ(bench.Last<Refuse>().size(), 1u);
+  EXPECT_EQ(bench.Last<Reject>().size(), 1u);
   EXPECT_EQ(bench.Sends(201) + bench.Sends(202), 0);
 }
 
@@ -623,7 +623,7 @@
   for (int i = 0; i < 12; ++i) bench.Tick(5 * kMs);
   EXPECT_GE(bench.sent.size(), 2u);
   EXPECT_LE(bench.sent.size(), 4u);
-  bench.End(bench.sent[0].first.part, 0);
+  bench.End(bench.sent[0].first.shard_request, 0);
   EXPECT_EQ(bench.sent.size(), 10u);
 }
 
@@ -665,7 +665,7 @@
   bench.now += 2000 * kMs;
   bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   bench.now += 100 * kMs;
-  for (Id part : {100, 102, 103}) bench.End(part, 0);  // unused for 2 s and well; the fourth replica pauses
+  for (Id shard_request : {100, 102, 103}) bench.End(shard_request, 0);  // unused for 2 s and well; the fourth replica pauses
   for (int i = 0; i < 300; ++i) {
     bench.Tick(5 * kMs);
     for (const Cancel& cancel : bench.Last<Cancel>()) EXPECT_NE(cancel.reason, CancelReason::kDeadConnection);
@@ -704,7 +704,7 @@
     }
     bench.Ask(1, cls, {0.2, 0.2, 0.2, 0.2, 0.2});
     bench.now += 100 * kMs;
-    for (Id part = 101; part <= 104; ++part) bench.End(part, 0);
+    for (Id shard_request = 101; shard_request <= 104; ++shard_request) bench.End(shard_request, 0);
     for (int i = 0; i < 50; ++i) bench.Tick(5 * kMs);
     EXPECT_EQ(bench.Sends(100), cls == kComplete ? 2 : 1);
   }
@@ -731,7 +731,7 @@
   bench.sent.clear();
   for (Id id = 10; id <= 12; ++id) bench.Ask(id, kComplete, {1}, 3 * kLatencyObjective);
   int to_hung = 0;
-  for (const auto& [send, attempt] : bench.sent) to_hung += send.replica.address == 0;
+  for (const auto& [send, attempt] : bench.sent) to_hung += send.endpoint.address == 0;
   EXPECT_LE(to_hung, 1);
 }
 
@@ -776,7 +776,7 @@
   }
   int unsent = 0;
   for (Id id = 1; id <= 8; ++id) {
-    for (Id part = 0; part < 8; ++part) unsent += bench.Sends(id * 100 + part) == 0;
+    for (Id shard_request = 0; shard_request < 8; ++shard_request) unsent += bench.Sends(id * 100 + shard_request) == 0;
   }
   EXPECT_GT(unsent, 0);
 }
@@ -784,7 +784,7 @@
 // catania iaf07db: full replicas turn parts away in a millisecond, so the fleet looked quick while it
 // drowned.
 TEST(Pressure, PartsTurnedAwayByFullReplicasRaiseIt) {
-  for (AttemptOutcome code : {AttemptOutcome::kFull, AttemptOutcome::kOk}) {
+  for (AttemptOutcome code : {AttemptOutcome::kOverloaded, AttemptOutcome::kOk}) {
     Bench bench;
     bench.Calm(10);
     for (Id id = 1; id <= 8; ++id) {
@@ -805,17 +805,17 @@
 
 // Replicas of even cells are in zone 0, the others in zone 1.
 void PutInTwoZones(Bench& bench) {
-  EndpointListUpdate news{EndpointListKind::kFull, 2, {}};
+  EndpointListUpdate update{EndpointListKind::kFull, 2, {}};
   for (int cell = 0; cell < 8; ++cell) {
-    news.replicas.push_back(Bench::Member(cell));
-    news.replicas.back().zone = cell % 2;
+    update.endpoints.push_back(Bench::Member(cell));
+    update.endpoints.back().zone = cell % 2;
   }
-  bench.Do(news);
+  bench.Do(update);
 }
 
 int SentToOdd(const Bench& bench) {
   int count = 0;
-  for (const auto& [send, attempt] : bench.sent) count += send.replica.address % 2;
+  for (const auto& [send, attempt] : bench.sent) count += send.endpoint.address % 2;
   return count;
 }
 
@@ -846,7 +846,7 @@
   bench.sent.clear();
   for (Id id = 240; id < 244; ++id) bench.Ask(id, kPartial, {1}, 3 * kLatencyObjective);
   int trials = 0;
-  for (const auto& [send, attempt] : bench.sent) trials += attempt == 0 && send.replica.address % 2;
+  for (const auto& [send, attempt] : bench.sent) trials += attempt == 0 && send.endpoint.address % 2;
   EXPECT_GE(trials, 1);
 }
 
@@ -875,7 +875,7 @@
     cancels = bench.Last<Cancel>();
   }
   ASSERT_FALSE(cancels.empty());
-  EXPECT_EQ(cancels[0].part, 100u);
+  EXPECT_EQ(cancels[0].shard_request, 100u);
   EXPECT_EQ(bench.Sends(100), 1);
   bench.Tick(5 * kMs);
   EXPECT_TRUE(bench.Last<Cancel>().empty());
@@ -922,17 +922,17 @@
   int widest = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Bench bench(s, seed);
-    EndpointListUpdate news{EndpointListKind::kFull, 2, {Bench::Member(0), Bench::Member(0)}};
-    news.replicas[1].id.address = 9;
-    bench.Do(news);
+    EndpointListUpdate update{EndpointListKind::kFull, 2, {Bench::Member(0), Bench::Member(0)}};
+    update.endpoints[1].id.address = 9;
+    bench.Do(update);
     // One goes to each holder, one call each; the others join these calls, either of the two.
     std::vector<Event> events{QueryReceived{1, 1, 5, kComplete, 0, false, 0, 3 * kLatencyObjective, 0}};
-    for (Id part = 100; part < 105; ++part) events.push_back(ShardRequestReceived{part, 1, 0, 0.2, 0, 0});
+    for (Id shard_request = 100; shard_request < 105; ++shard_request) events.push_back(ShardRequestReceived{shard_request, 1, 0, 0.2, 0, 0});
     bench.Do(events);
-    std::map<EndpointId, int> parts;
-    for (const auto& [send, attempt] : bench.sent) ++parts[send.replica];
-    ASSERT_EQ(parts.size(), 2u);
-    widest = std::max(widest, std::abs(parts.begin()->second - parts.rbegin()->second));
+    std::map<EndpointId, int> shard_requests;
+    for (const auto& [send, attempt] : bench.sent) ++shard_requests[send.endpoint];
+    ASSERT_EQ(shard_requests.size(), 2u);
+    widest = std::max(widest, std::abs(shard_requests.begin()->second - shard_requests.rbegin()->second));
   }
   EXPECT_GT(widest, 1);
 }
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -165,7 +165,7 @@
     if (verb == "set") {
       config_[Json::json_pointer(who)] = Json::parse(rest);
     } else if (verb == "holder") {
-      Holder(who, words);
+      Endpoint(who, words);
     } else if (verb == "start") {
       Start(who);
     } else if (verb == "query") {
@@ -269,7 +269,7 @@
     return endpoint == endpoints_.end() ? clients_[who] : endpoint->second;
   }
 
-  void Holder(const std::string& name, std::istringstream& words) {
+  void Endpoint(const std::string& name, std::istringstream& words) {
     Peer& peer = endpoints_[name];
     std::string state;
     words >> peer.cell >> state;
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -84,20 +84,20 @@
 }
 
 TEST(Decode, PartOfAQuery) {
-  auto part = Only<ShardRequestReceived>(
+  auto shard_request = Only<ShardRequestReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 3e000000 0000 0000 00000000 01 91f03b7c55d20a64 0003a980");
-  EXPECT_EQ(part.id, 0x5d3a91c4u);
-  EXPECT_EQ(part.number, 214);
-  EXPECT_EQ(part.work_us, 12000);
-  EXPECT_DOUBLE_EQ(part.weight, 0.125);
-  EXPECT_EQ(part.shard, 0);
-  EXPECT_EQ(part.key, 0x91f03b7c55d20a64u);
+  EXPECT_EQ(shard_request.id, 0x5d3a91c4u);
+  EXPECT_EQ(shard_request.number, 214);
+  EXPECT_EQ(shard_request.work_us, 12000);
+  EXPECT_DOUBLE_EQ(shard_request.weight, 0.125);
+  EXPECT_EQ(shard_request.shard, 0);
+  EXPECT_EQ(shard_request.key, 0x91f03b7c55d20a64u);
 }
 
 TEST(Decode, QueryHasNegativeShardAndRepeatFlag) {
   auto query = Only<QueryReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 40800000 0002 0001 bf800000 02 0000000000000000 0003a980");
-  EXPECT_EQ(query.parts, 4);
+  EXPECT_EQ(query.shard_requests, 4);
   EXPECT_EQ(query.class_index, 2);
   EXPECT_EQ(query.tenant, 1);
   EXPECT_TRUE(query.is_retry);
@@ -107,9 +107,9 @@
 TEST(Decode, Reply) {
   auto ended = Only<AttemptFinished>(
       "6e 0000001f 5d3a91c4 00 0a124a07 138b 00c8 00004844 01 03 4040000040e00000430c0000");
-  EXPECT_EQ(ended.part, 0x5d3a91c4u);
+  EXPECT_EQ(ended.shard_request, 0x5d3a91c4u);
   EXPECT_EQ(ended.attempt, 0);
-  EXPECT_EQ(ended.replica, (EndpointId{0x0a124a07, 0x138b}));
+  EXPECT_EQ(ended.endpoint, (EndpointId{0x0a124a07, 0x138b}));
   EXPECT_EQ(ended.code, AttemptOutcome::kOk);
   EXPECT_EQ(ended.spent_us, 18500);
   EXPECT_TRUE(ended.part_done);
@@ -133,16 +133,16 @@
                   "0a9011f2 13b4 0000 00 0000 01 3fc00000 00000000005d1420"
                   "28 0000000b 0000000000000029 02 0000"));
   ASSERT_EQ(batch.events.size(), 1u);
-  auto news = std::get<EndpointListUpdate>(std::get<Event>(batch.events[0].what));
-  EXPECT_EQ(news.kind, EndpointListKind::kCached);
-  EXPECT_EQ(news.version, 0x29u);
-  ASSERT_EQ(news.replicas.size(), 2u);
-  EXPECT_EQ(news.replicas[1].started_us, 0x5d1420);
-  EXPECT_DOUBLE_EQ(news.replicas[1].weight, 1.5);
-  EXPECT_EQ(news.replicas[0].availability, Availability::kReady);
+  auto update = std::get<EndpointListUpdate>(std::get<Event>(batch.events[0].what));
+  EXPECT_EQ(update.kind, EndpointListKind::kCached);
+  EXPECT_EQ(update.version, 0x29u);
+  ASSERT_EQ(update.endpoints.size(), 2u);
+  EXPECT_EQ(update.endpoints[1].started_us, 0x5d1420);
+  EXPECT_DOUBLE_EQ(update.endpoints[1].weight, 1.5);
+  EXPECT_EQ(update.endpoints[0].availability, Availability::kReady);
   // The numbered list outlives its batch.
   Batch later = decoder.Decode(Body(2, std::string(kAbout) + "28 0000000b 000000000000002a 01 0000"));
-  EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).replicas.size(), 2u);
+  EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).endpoints.size(), 2u);
 }
 
 TEST(Encode, ExamplesOfThePage) {
@@ -152,7 +152,7 @@
   EXPECT_EQ(Hex(encoder.Finish()),
             Plain("0000002f 00000003 8c 00000002 0003 0a 0000000e 5d3a91c4 00013880 0a124a07 138b"
                   "32 0000000c 0007a120 000000000000004d"));
-  encoder.Add(3, {Answer{0x0e6f2b19, true}, Refuse{0x0e6f2b19, 250000}, Fail{0x5d3a91c4},
+  encoder.Add(3, {Answer{0x0e6f2b19, true}, Reject{0x0e6f2b19, 250000}, Fail{0x5d3a91c4},
                   Cancel{0x5d3a91c4, 0}, Close{{0x0a9011f2, 0x13b4}}, Subscribe{}});
   EXPECT_EQ(Hex(encoder.Finish()).substr(16),
             Plain("8c 00000002 0003 82 00000005 0e6f2b19 01 14 00000008 0e6f2b19 0003d090"
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -19,14 +19,14 @@
 // Links to so many listening holders; parts go out and their ends come back.
 class LinksUnderTest {
  public:
-  LinksUnderTest(int endpoints, const net::ConnectionLimits& limits) : dialect(load_names) {
+  LinksUnderTest(int endpoints, const net::ConnectionLimits& limits) : protocol(load_names) {
     coordinator::EndpointList list{1, liftrudder::routing::EndpointListKind::kFull, {}};
     for (int i = 0; i < endpoints; ++i) {
       listeners.push_back(net::Listen("127.0.0.1:0"));
       list.entries.push_back({"h" + std::to_string(i), net::LocalAddress(listeners.back()), {}});
     }
-    news = endpoint_registry.Apply(list, 1);
-    links.emplace(dialect, endpoint_registry, clock, limits, counters, figures,
+    update = endpoint_registry.Apply(list, 1);
+    links.emplace(protocol, endpoint_registry, clock, limits, counters, figures,
                   [this](coordinator::AttemptResult result) {
                     std::lock_guard lock(mutex);
                     results.push_back(std::move(result));
@@ -35,9 +35,9 @@
   }
   void Send(int endpoint, std::shared_ptr<const coordinator::ClientPresence> client = nullptr) {
     coordinator::AttemptRequest order;
-    order.key = {++parts, 0};
-    order.endpoint = news->replicas[static_cast<std::size_t>(endpoint)].id;
-    order.shard = static_cast<int>(parts);
+    order.key = {++shard_requests, 0};
+    order.endpoint = update->endpoints[static_cast<std::size_t>(endpoint)].id;
+    order.shard = static_cast<int>(shard_requests);
     order.attempt_deadline_us = clock.Now() + 60'000'000;
     order.payload =
         std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
@@ -64,22 +64,22 @@
   std::string got;  // by the last Take
   std::vector<net::Fd> listeners;
   coordinator::EndpointRegistry endpoint_registry;
-  std::optional<liftrudder::routing::EndpointListUpdate> news;
+  std::optional<liftrudder::routing::EndpointListUpdate> update;
   net::SteadyClock clock;
   metrics::Counters counters;
   metrics::Figures figures{{"search"}};
   const std::vector<std::string> load_names;
-  platform::FrameDialect dialect;
+  platform::FrameProtocol protocol;
   std::mutex mutex;
   std::condition_variable wake;
   std::vector<coordinator::AttemptResult> results;
-  coordinator::Id parts = 0;
+  coordinator::Id shard_requests = 0;
   bool ends_round = true;  // each part goes in a round of its own
   std::optional<net::EndpointConnectionPool> links;
 };
 
-inline std::string Served(coordinator::Id part) {
-  std::string text = "aq." + std::to_string(part) + " served 1 -\nv";
+inline std::string AnsweredQuery(coordinator::Id shard_request) {
+  std::string text = "aq." + std::to_string(shard_request) + " served 1 -\nv";
   return std::string{static_cast<char>(text.size()), 0, 0, 0} + text;
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -19,7 +19,7 @@
 using coordinator::Progress;
 using net::HttpParser;
 using tests::LinksUnderTest;
-using tests::Served;
+using tests::AnsweredQuery;
 
 TEST_CASE("whether an attempt may have run follows from how far it had come") {
   CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) ==
@@ -28,8 +28,8 @@
         AttemptOutcome::kConnectFailed);
   CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kConnectionLost) == AttemptOutcome::kReset);
   CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kSpoilt) == AttemptOutcome::kError);
-  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kWithdrawn) == AttemptOutcome::kNotSent);
-  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kWithdrawn) == AttemptOutcome::kCancelled);
+  CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kCancelled) == AttemptOutcome::kNotSent);
+  CHECK(coordinator::OutcomeOf(Progress::kPartlyWritten, Cause::kCancelled) == AttemptOutcome::kCancelled);
   CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kExpired) == AttemptOutcome::kNotSent);
   CHECK(coordinator::OutcomeOf(Progress::kWhollyWritten, Cause::kExpired) == AttemptOutcome::kTimeout);
 }
@@ -37,9 +37,9 @@
 TEST_CASE("an attempt ends once") {
   coordinator::InFlightTable permission_table;
   coordinator::QueryRequest request;
-  request.parts = {{0, 1, 0, 0}};
+  request.shard_requests = {{0, 1, 0, 0}};
   permission_table.Open(5, request, nullptr);
-  CHECK(permission_table.Begin(6, *permission_table.Part(6), {{1, 1}, 10, 100, true}) == 0);
+  CHECK(permission_table.Begin(6, *permission_table.ShardRequest(6), {{1, 1}, 10, 100, true}) == 0);
   CHECK(permission_table.NextExpiry() == 100);
   auto ended = permission_table.End({{6, 0}, Progress::kAnswering, Cause::kServed, {}, "v"}, 30);
   REQUIRE(ended);
@@ -48,7 +48,7 @@
   CHECK_FALSE(permission_table.End({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
   CHECK(permission_table.Expired(1000).empty());
   CHECK(permission_table.Close(5).at(0).value == "v");
-  CHECK(permission_table.Part(6) == nullptr);
+  CHECK(permission_table.ShardRequest(6) == nullptr);
 }
 
 TEST_CASE("the holder list takes versions in order and remembers when a drain was told") {
@@ -56,7 +56,7 @@
   coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, b{"b", "127.0.0.1:2", {}};
   auto known = endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kCached, {a, b}}, 10);
   REQUIRE(known);
-  auto id = known->replicas[0].id;
+  auto id = known->endpoints[0].id;
   a.told.availability = liftrudder::routing::Availability::kDraining;
   CHECK_FALSE(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 20));
   REQUIRE(endpoint_registry.Apply({5, liftrudder::routing::EndpointListKind::kDelta, {a}}, 30));
@@ -69,10 +69,10 @@
   a.addr = "127.0.0.1:9";
   a.told.availability = liftrudder::routing::Availability::kReady;
   CHECK(endpoint_registry.Apply({7, liftrudder::routing::EndpointListKind::kFull, {a}}, 600'000)
-            ->replicas[0]
+            ->endpoints[0]
             .id == id);
   CHECK(endpoint_registry.Find(id).addr == "127.0.0.1:9");
-  CHECK(endpoint_registry.Find(known->replicas[1].id).drain_deadline_us >
+  CHECK(endpoint_registry.Find(known->endpoints[1].id).drain_deadline_us >
         0);  // left out of a whole list: gone
 }
 
@@ -93,14 +93,14 @@
   coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, gone = a;
   gone.told.availability = liftrudder::routing::Availability::kGone;
   auto id =
-      endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->replicas[0].id;
+      endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->endpoints[0].id;
   endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {gone}}, 20);
   CHECK(endpoint_registry.Find(id).id == "a");
   endpoint_registry.Apply({3, liftrudder::routing::EndpointListKind::kDelta, {}}, 60'000'000);
   CHECK(endpoint_registry.Find(id).id.empty());
   CHECK_FALSE(endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'001));
   CHECK(endpoint_registry.Apply({4, liftrudder::routing::EndpointListKind::kDelta, {a}}, 60'000'002)
-            ->replicas[0]
+            ->endpoints[0]
             .id != id);
 }
 
@@ -133,10 +133,10 @@
   for (int i = 0; i < kMost; ++i) connections.push_back(all.Take(i));
   CHECK(all.Results() == 0);
   // One answer is in: its connection makes room for the next in turn.
-  net::WriteAll(connections[2], Served(3), 1'000'000);
+  net::WriteAll(connections[2], AnsweredQuery(3), 1'000'000);
   CHECK(all.Ended(0).cause == Cause::kServed);
   connections.push_back(all.Take(kMost));
-  net::WriteAll(connections[0], Served(1), 1'000'000);
+  net::WriteAll(connections[0], AnsweredQuery(1), 1'000'000);
   CHECK(all.Ended(1).cause == Cause::kServed);
   connections.push_back(all.Take(kMost + 1));
   CHECK(all.Results() == 2);
@@ -150,7 +150,7 @@
   std::vector<net::Fd> connections;
   for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   for (int i = 0; i < kMaxEndpoints; ++i) connections.push_back(all.Take(i));
-  net::WriteAll(connections[7], Served(8), 1'000'000);
+  net::WriteAll(connections[7], AnsweredQuery(8), 1'000'000);
   all.Ended(0);
   // A second part for each of the others shares its connection.
   for (int i = 0; i < kMaxEndpoints - 1; ++i) all.Send(i);
@@ -181,12 +181,12 @@
 }
 
 TEST_CASE("a load report that cannot be read says nothing") {
-  platform::FrameDialect dialect({"q", "rif"});
-  auto load = [&dialect](const std::string& report) {
+  platform::FrameProtocol protocol({"q", "rif"});
+  auto load = [&protocol](const std::string& report) {
     std::string rest = "ax.1 served 7 " + report + "\nv", in{static_cast<char>(rest.size()), 0, 0, 0};
     in += rest;
-    std::vector<net::EndpointAnswer> out;
-    CHECK(dialect.Reader()->Take(in, "", out));
+    std::vector<net::EndpointResponse> out;
+    CHECK(protocol.Reader()->Take(in, "", out));
     return out.at(0).load;
   };
   CHECK(load("queue=3,inflight=2,other=1") == std::vector<double>{3, 2});
@@ -230,26 +230,26 @@
 }
 
 TEST_CASE("only a sound answer counts as served") {
-  CHECK(opensearch::Served(R"({"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}})", false));
-  CHECK(opensearch::Served(R"({"count":0})", true));
+  CHECK(opensearch::AnsweredQuery(R"({"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}})", false));
+  CHECK(opensearch::AnsweredQuery(R"({"count":0})", true));
   for (const char* bad :
        {"", "{}", "[]", R"({"hits":{}})", R"({"hits":[]})", R"({"error":{},"hits":{"hits":[]}})",
         R"({"timed_out":true,"hits":{"hits":[]}})", R"({"_shards":{"failed":1},"hits":{"hits":[]}})",
         R"({"count":3})", R"({"hits":{"hits":[]})"}) {
     INFO(bad);
-    CHECK_FALSE(opensearch::Served(bad, false));
+    CHECK_FALSE(opensearch::AnsweredQuery(bad, false));
   }
 }
 
 TEST_CASE("hits merge by key, missing values where asked, ties by shard") {
   opensearch::Search search;
   search.sort = {{"", true, false}};
-  auto piece = [](int shard, std::string hits) {
-    return coordinator::Piece{shard, R"({"hits":{"total":2,"hits":[)" + hits + "]}}"};
+  auto shard_response = [](int shard, std::string hits) {
+    return coordinator::ShardResponse{shard, R"({"hits":{"total":2,"hits":[)" + hits + "]}}"};
   };
   coordinator::FinalAnswer answer;
-  answer.pieces = {piece(1, R"({"n":"b","sort":[9007199254740993]},{"n":"d","sort":[null]})"),
-                   piece(0, R"({"n":"a","sort":[9007199254740993]},{"n":"c","sort":[9007199254740992]})")};
+  answer.shard_responses = {shard_response(1, R"({"n":"b","sort":[9007199254740993]},{"n":"d","sort":[null]})"),
+                   shard_response(0, R"({"n":"a","sort":[9007199254740993]},{"n":"c","sort":[9007199254740992]})")};
   std::vector<coordinator::ShardRequest> asked(2);
   auto merged = opensearch::MergeHits(search, answer, {0, false, &asked});
   REQUIRE(merged);
@@ -258,7 +258,7 @@
     order += merged->body[at + 6];
   CHECK(order == "abcd");
   CHECK(merged->body.find(R"("total":{"value":4,"relation":"eq"})") != std::string::npos);
-  answer.pieces[0] = piece(1, R"({"n":"b"})");
+  answer.shard_responses[0] = shard_response(1, R"({"n":"b"})");
   CHECK_FALSE(opensearch::MergeHits(search, answer, {0, false, &asked}));
 }
 
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -44,7 +44,7 @@
   for (const auto& connection : connections_) connection->reader.Join();
 }
 
-std::vector<LoggedPart> FakeEndpoint::Log() const {
+std::vector<LoggedRequest> FakeEndpoint::Log() const {
   std::lock_guard lock(mutex_);
   return log_;
 }
@@ -84,9 +84,9 @@
   std::lock_guard lock(mutex_);
   if (frame.empty()) return;
   if (frame[0] == 'c') {
-    std::string part(frame.substr(1));
+    std::string shard_request(frame.substr(1));
     auto last =
-        std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedPart& one) { return one.part == part; });
+        std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
     if (last != log_.rend()) last->given_up = true;
     return;
   }
@@ -94,14 +94,14 @@
   frame.remove_prefix(1);
   while (!frame.empty()) {
     std::istringstream line{std::string(frame.substr(0, frame.find('\n')))};
-    std::string part, shard, list;
+    std::string shard_request, shard, list;
     std::size_t length = 0;
-    line >> part >> shard >> list >> length;
+    line >> shard_request >> shard >> list >> length;
     frame.remove_prefix(std::min(frame.size(), frame.find('\n') + 1 + length));
-    Behaviour how = script_(part, log_.size());
-    log_.push_back({part, clock_.Now(), how.act, false});
+    Behaviour how = script_(shard_request, log_.size());
+    log_.push_back({shard_request, clock_.Now(), how.act, false});
     if (how.act == Act::kSilent) continue;
-    replies_.emplace(clock_.Now() + how.delay_us, Reply{connection, part, how.act});
+    replies_.emplace(clock_.Now() + how.delay_us, Reply{connection, shard_request, how.act});
     due_.notify_one();
   }
 }
@@ -132,7 +132,7 @@
         break;
       default:
         net::WriteAll(reply.to->fd,
-                      Frame("a" + reply.part + " " + end + " 1 queue=0,inflight=1\nv-" + reply.part),
+                      Frame("a" + reply.shard_request + " " + end + " 1 queue=0,inflight=1\nv-" + reply.shard_request),
                       kWriteWait);
     }
     lock.lock();
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -24,8 +24,8 @@
   net::Micros delay_us = 0;
 };
 
-struct LoggedPart {
-  std::string part;  // the call id, a dot, the shard
+struct LoggedRequest {
+  std::string shard_request;  // the call id, a dot, the shard
   net::Micros at_us = 0;
   Act act = Act::kServe;  // what was done about it
   bool given_up = false;  // a frame `c` came for it
@@ -34,13 +34,13 @@
 class FakeEndpoint {
  public:
   // Asked for each part, on the connection's thread; `nth`: how many parts came before it.
-  using Script = std::function<Behaviour(const std::string& part, std::size_t nth)>;
+  using Script = std::function<Behaviour(const std::string& shard_request, std::size_t nth)>;
 
   explicit FakeEndpoint(Script script);
   ~FakeEndpoint();
 
   const std::string& addr() const { return addr_; }
-  std::vector<LoggedPart> Log() const;
+  std::vector<LoggedRequest> Log() const;
 
  private:
   struct Connection {
@@ -50,7 +50,7 @@
   };
   struct Reply {
     std::shared_ptr<Connection> to;
-    std::string part;
+    std::string shard_request;
     Act act = Act::kServe;
   };
 
@@ -66,7 +66,7 @@
   mutable std::mutex mutex_;
   std::condition_variable due_;
   bool stopping_ = false;
-  std::vector<LoggedPart> log_;
+  std::vector<LoggedRequest> log_;
   std::multimap<net::Micros, Reply> replies_;
   std::list<std::shared_ptr<Connection>> connections_;
   net::Thread acceptor_, answerer_;
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -16,7 +16,7 @@
 
 TestFleet::TestFleet(int endpoints, net::Micros delay_us)
     : delay_us_(delay_us),
-      parts_(static_cast<std::size_t>(endpoints)),
+      shard_requests_(static_cast<std::size_t>(endpoints)),
       newest_us_(static_cast<std::size_t>(endpoints)),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   for (int i = 0; i < endpoints; ++i) {
@@ -35,9 +35,9 @@
   thread_.Join();
 }
 
-int TestFleet::parts(int endpoint) const {
+int TestFleet::shard_requests(int endpoint) const {
   std::lock_guard lock(mutex_);
-  return parts_[static_cast<std::size_t>(endpoint)];
+  return shard_requests_[static_cast<std::size_t>(endpoint)];
 }
 
 net::Micros TestFleet::newest_us(int endpoint) const {
@@ -89,13 +89,13 @@
     std::istringstream frame(line.in.substr(4, size));
     line.in.erase(0, 4 + size);
     if (frame.get() != 'q') continue;
-    std::string part;
-    frame >> part;
-    std::string answer = "a" + part + " served 1 queue=0,inflight=1\nv";
+    std::string shard_request;
+    frame >> shard_request;
+    std::string answer = "a" + shard_request + " served 1 queue=0,inflight=1\nv";
     std::string text{static_cast<char>(answer.size()), static_cast<char>(answer.size() >> 8), 0, 0};
     replies_.push_back({now + delay_us_, line.fd.Get(), text + answer});
     std::lock_guard lock(mutex_);
-    ++parts_[static_cast<std::size_t>(line.endpoint)];
+    ++shard_requests_[static_cast<std::size_t>(line.endpoint)];
     newest_us_[static_cast<std::size_t>(line.endpoint)] = now;
   }
   return true;
--- a/tools/test_support/test_fleet.h
+++ b/tools/test_support/test_fleet.h
@@ -21,7 +21,7 @@
   ~TestFleet();
 
   const std::string& addr(int endpoint) const { return addrs_[static_cast<std::size_t>(endpoint)]; }
-  int parts(int endpoint) const;
+  int shard_requests(int endpoint) const;
   // When the newest part came there, by the steady clock; 0: none has.
   net::Micros newest_us(int endpoint) const;
   // Connections taken in so far, and open now.
@@ -48,7 +48,7 @@
   std::map<int, Line> lines_;  // by descriptor; the thread's, as are the replies
   std::deque<Reply> replies_;
   mutable std::mutex mutex_;
-  std::vector<int> parts_;
+  std::vector<int> shard_requests_;
   std::vector<net::Micros> newest_us_;
   std::atomic<int> taken_{0};
   std::atomic<bool> stopping_{false};
