--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -4,6 +4,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "routing/settings_validation.h"
+
 namespace liftrudder::config {
 namespace {
 
@@ -121,7 +123,7 @@
   } catch (const Json::exception& error) {
     throw SettingsError(std::string("settings: ") + error.what());
   }
-  if (auto problem = CheckSettings(settings)) throw SettingsError("settings: " + *problem);
+  if (auto problem = CheckSettings(settings)) throw SettingsError("settings: " + Describe(*problem));
   return settings;
 }
 
--- /dev/null
+++ b/src/routing/admission.cpp
@@ -0,0 +1,108 @@
+#include "routing/admission.h"
+
+#include <algorithm>
+
+#include "routing/coverage_cutoff.h"
+
+namespace liftrudder::routing {
+namespace {
+
+constexpr double kQuotaBurstSeconds = 2;   // of its quota that a tenant may send at once
+constexpr double kRequestCountGain = 0.3;  // weight of the newest query in the usual number of requests
+constexpr double kUsPerSecond = 1e6;
+// The expected latency of the slowest shard request, over the time to the objective, from which on queries
+// that need it are shed. All of them are from kHopelessLatencyRatio on.
+constexpr double kSheddingStartLatencyRatio = 0.6;
+
+}  // namespace
+
+Admission::Admission(const Settings& settings)
+    : settings_(settings),
+      answer_margin_us_(AnswerMarginUs(settings)),
+      first_timeout_us_(settings.classes.size(), 0),
+      requests_per_query_(settings.classes.size(), 0) {
+  for (std::size_t tenant = 0; tenant < settings.tenants.size(); ++tenant)
+    quota_tokens_.push_back(QuotaPerSecond(tenant) * kQuotaBurstSeconds);
+}
+
+Query Admission::MakeQuery(const QueryReceived& event, Micros now) {
+  Query query;
+  query.id = event.id;
+  query.number = event.number;
+  query.class_index = static_cast<std::size_t>(event.class_index);
+  query.deadline_us = now + event.timeout_remaining_us;
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  Micros passed_us = PassedBeforeArrivalUs(event, cls);
+  auto work_us = static_cast<Micros>(cls.objective_per_work * static_cast<double>(event.work_us));
+  query.objective_at_us = std::min(now + cls.latency_objective_us + work_us - passed_us, query.deadline_us);
+  if (query.objective_at_us <= now) query.value_factor *= cls.late_value_fraction;
+  if (!TakeQuota(event.tenant)) query.value_factor *= settings_.over_quota_value_factor;
+  return query;
+}
+
+// What a client's retry lacks of the timeout of a first query has passed already. A short timeout of a query
+// that is no retry, or of a retry where first queries have one as short, only shows a client in a hurry.
+Micros Admission::PassedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls) {
+  Micros& first_us = first_timeout_us_[static_cast<std::size_t>(event.class_index)];
+  if (!event.is_retry) first_us = event.timeout_remaining_us;
+  bool shortened = event.is_retry && event.timeout_remaining_us + answer_margin_us_ < first_us;
+  return shortened ? cls.client_timeout_us - event.timeout_remaining_us : 0;
+}
+
+// False when the tenant is over its quota. Tenants without one are never.
+bool Admission::TakeQuota(int tenant) {
+  auto index = static_cast<std::size_t>(tenant);
+  if (index >= quota_tokens_.size()) return true;
+  bool within = quota_tokens_[index] >= 1;
+  quota_tokens_[index] = std::max(quota_tokens_[index] - 1, 0.0);
+  return within;
+}
+
+void Admission::RefillQuotas(double elapsed_us) {
+  for (std::size_t tenant = 0; tenant < quota_tokens_.size(); ++tenant) {
+    double rate = QuotaPerSecond(tenant);
+    double tokens = quota_tokens_[tenant] + rate * elapsed_us / kUsPerSecond;
+    quota_tokens_[tenant] = std::min(tokens, rate * kQuotaBurstSeconds);
+  }
+}
+
+void Admission::RecordRequestCount(std::size_t class_index, std::size_t count) {
+  double& usual = requests_per_query_[class_index];
+  auto newest = static_cast<double>(count);
+  usual = usual == 0 ? newest : usual + kRequestCountGain * (newest - usual);
+}
+
+std::optional<CompletionReason> Admission::Shed(const Query& query, double slowest_latency_ratio,
+                                                const LoadEstimator& load, Random& random) const {
+  if (query.value_factor <= 0) return MakeReason(CompletionCause::kNoRemainingValue, query.value_factor, 0);
+  double range = kHopelessLatencyRatio - kSheddingStartLatencyRatio;
+  double by_endpoint = std::clamp((slowest_latency_ratio - kSheddingStartLatencyRatio) / range, 0.0, 1.0);
+  double by_load = load.SheddingProbability();
+  // The class with the least value for its work goes first when not all can be done.
+  double density = ValueDensity(query.class_index) * query.value_factor;
+  double probability = std::max(by_load, by_endpoint) * LeastValueDensity() / density;
+  if (random.NextUnit() >= probability) return std::nullopt;
+  if (by_endpoint > by_load)
+    return MakeReason(CompletionCause::kEndpointLoad, slowest_latency_ratio, kSheddingStartLatencyRatio);
+  return MakeReason(CompletionCause::kLoad, load.Load(), kSheddingStartLoad);
+}
+
+// This coordinator's part of the tenant's quota, which is stated for the fleet.
+double Admission::QuotaPerSecond(std::size_t tenant) const {
+  return settings_.tenants[tenant].quota_per_s / settings_.fleet_size;
+}
+
+// Priority weight for each shard request that a query of the class takes.
+double Admission::ValueDensity(std::size_t class_index) const {
+  return settings_.classes[class_index].worth / std::max(requests_per_query_[class_index], 1.0);
+}
+
+double Admission::LeastValueDensity() const {
+  double least = 1e300;
+  for (std::size_t index = 0; index < settings_.classes.size(); ++index) {
+    if (requests_per_query_[index] > 0) least = std::min(least, ValueDensity(index));
+  }
+  return least;
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/admission.h
@@ -0,0 +1,55 @@
+// Admission control: the objective and deadline of a query at its arrival, tenant quotas, and which queries
+// are shed. Owned by one router; not thread-safe.
+#ifndef LIFTRUDDER_ROUTING_ADMISSION_H_
+#define LIFTRUDDER_ROUTING_ADMISSION_H_
+
+#include <cstddef>
+#include <optional>
+#include <vector>
+
+#include "routing/events.h"
+#include "routing/load_estimator.h"
+#include "routing/query_table.h"
+#include "routing/random.h"
+#include "routing/reasons.h"
+#include "routing/settings.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+class Admission {
+ public:
+  // `settings` must outlive it.
+  explicit Admission(const Settings& settings);
+
+  // The query that arrives with `event`, whose class must exist; uses up its tenant's quota.
+  Query MakeQuery(const QueryReceived& event, Micros now);
+
+  // Once a round.
+  void RefillQuotas(double elapsed_us);
+
+  // Queries of the class have so many shard requests of late.
+  void RecordRequestCount(std::size_t class_index, std::size_t count);
+
+  // Why the query is shed; none when it is admitted. `slowest_latency_ratio`: the expected latency of its
+  // slowest shard request over the time to its objective, 0 when it can do without any.
+  std::optional<CompletionReason> Shed(const Query& query, double slowest_latency_ratio,
+                                       const LoadEstimator& load, Random& random) const;
+
+ private:
+  double QuotaPerSecond(std::size_t tenant) const;
+  double ValueDensity(std::size_t class_index) const;
+  double LeastValueDensity() const;
+  Micros PassedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls);
+  bool TakeQuota(int tenant);
+
+  const Settings& settings_;
+  Micros answer_margin_us_;
+  std::vector<Micros> first_timeout_us_;    // by class: timeout of the newest query that was no retry
+  std::vector<double> requests_per_query_;  // by class, of late; 0: none seen
+  std::vector<double> quota_tokens_;        // by tenant: queries that it may send now
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_ADMISSION_H_
--- /dev/null
+++ b/src/routing/completion_policy.cpp
@@ -0,0 +1,106 @@
+#include "routing/completion_policy.h"
+
+#include <algorithm>
+
+namespace liftrudder::routing {
+namespace {
+
+constexpr double kWeightTolerance = 5e-5;  // received weights are 32-bit and sum to 1 only roughly
+constexpr double kWeightRounding = 1e-12;
+constexpr double kAnswerLeadObjectives = 0.03;  // latency objectives before an objective: writes take time
+constexpr double kMostlyAnsweredShare = 0.8;
+constexpr double kRetryAfterObjectives = 0.5;  // of a rejected client when there is no load
+constexpr double kUsPerSecond = 1e6;
+
+Completion Abandon(CompletionCause cause, double observed, double threshold) {
+  return {CompletionKind::kAbandon, false, MakeReason(cause, observed, threshold)};
+}
+
+double Seconds(Micros span_us) { return static_cast<double>(span_us) / kUsPerSecond; }
+
+}  // namespace
+
+CompletionPolicy::CompletionPolicy(const Settings& settings)
+    : settings_(settings),
+      min_latency_objective_us_(MinLatencyObjectiveUs(settings)),
+      answer_margin_us_(AnswerMarginUs(settings)) {}
+
+std::optional<Completion> CompletionPolicy::Decide(const Query& query, const CompletionInputs& inputs) const {
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  // Endpoints were lost under it and none has answered: the query may have crashed them.
+  int tolerated_losses = inputs.losses_elevated ? 0 : 1;
+  if (!query.cleared && query.endpoint_losses > tolerated_losses)
+    return Abandon(CompletionCause::kEndpointsLost, query.endpoint_losses, tolerated_losses);
+  if (query.shard_requests.empty() && query.phase == 2) {  // the fetch phase's requests have yet to come
+    if (!Expired(query, inputs.now)) return std::nullopt;
+    return ExpiredCompletion(query, inputs.now);
+  }
+  bool covered = query.coverage >= cls.complete_coverage - kWeightTolerance;
+  if (covered && (query.phase == 1 || inputs.all_answered)) {
+    return Completion{CompletionKind::kAnswer, query.phase == 1 || query.first_phase_complete,
+                      MakeReason(CompletionCause::kComplete, query.coverage, cls.complete_coverage)};
+  }
+  if (auto partial = Partial(query, inputs)) return partial;
+  return Hopeless(query, inputs);
+}
+
+std::optional<Completion> CompletionPolicy::Partial(const Query& query,
+                                                    const CompletionInputs& inputs) const {
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  bool enough = query.coverage >= cls.floor - kWeightTolerance && query.coverage > 0 &&
+                cls.floor < cls.complete_coverage;
+  if (!enough) return std::nullopt;
+  bool nothing_pending = inputs.reachable_coverage <= query.coverage + kWeightRounding;
+  bool due = inputs.now >= PartialAnswerAtUs(query, inputs.p90_latency_us);
+  if (!nothing_pending && !due) return std::nullopt;
+  auto cause = nothing_pending ? CompletionCause::kNoPendingRequests : CompletionCause::kLatencyObjective;
+  return Completion{CompletionKind::kAnswer, false, MakeReason(cause, query.coverage, cls.floor)};
+}
+
+Micros CompletionPolicy::PartialAnswerAtUs(const Query& query, double p90_latency_us) const {
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  Micros at_us = query.objective_at_us - answer_margin_us_ -
+                 static_cast<Micros>(kAnswerLeadObjectives * min_latency_objective_us_);
+  // The fetch phase is still to come within the same objective.
+  if (query.phase == 1 && cls.fetch_phase_requests > 0) at_us -= static_cast<Micros>(p90_latency_us);
+  return std::min(at_us, query.deadline_us - answer_margin_us_);
+}
+
+std::optional<Completion> CompletionPolicy::Hopeless(const Query& query,
+                                                     const CompletionInputs& inputs) const {
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  double least = std::min(cls.floor, cls.complete_coverage);
+  if (inputs.reachable_coverage < least - kWeightTolerance)
+    return Abandon(CompletionCause::kCoverageUnreachable, inputs.reachable_coverage, least);
+  if (Expired(query, inputs.now)) return ExpiredCompletion(query, inputs.now);
+  bool late = inputs.now >= query.objective_at_us - answer_margin_us_;
+  if (late && cls.late_value_fraction <= 0)
+    return Abandon(CompletionCause::kNoLateValue, Seconds(inputs.now - query.objective_at_us), 0);
+  return std::nullopt;
+}
+
+Completion CompletionPolicy::ExpiredCompletion(const Query& query, Micros now) const {
+  return Abandon(CompletionCause::kExpired, Seconds(query.deadline_us - now), Seconds(answer_margin_us_));
+}
+
+bool CompletionPolicy::MayReject(const Query& query, const QueryTable& queries, Micros now) const {
+  if (now >= query.deadline_us) return false;
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  if (cls.effect != Effect::kNonIdempotent) return true;
+  return query.phase == 1 && std::ranges::all_of(query.shard_requests, [&](Id id) {
+           return std::ranges::all_of(queries.ShardRequestAt(id).attempts, &Attempt::never_ran);
+         });
+}
+
+Micros CompletionPolicy::RetryAfterUs(double shedding_probability) const {
+  if (!settings_.retry_after_allowed) return 0;
+  auto wait_us =
+      static_cast<Micros>(min_latency_objective_us_ * (kRetryAfterObjectives + shedding_probability));
+  return std::min(settings_.max_retry_after_us, wait_us);
+}
+
+bool CompletionPolicy::MostlyAnswered(const Query& query) {
+  return query.answered >= kMostlyAnsweredShare * query.sent;
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/coverage_cutoff.cpp
@@ -0,0 +1,39 @@
+#include "routing/coverage_cutoff.h"
+
+namespace liftrudder::routing {
+namespace {
+
+constexpr double kWeightRounding = 1e-12;
+
+}  // namespace
+
+SlowestRequest ApplyCoverageCutoff(const QueryClassSettings& cls, double cutoff_level,
+                                   std::vector<CutoffCandidate>& by_weight) {
+  bool may_skip = cls.floor < cls.complete_coverage;
+  double max_skipped = may_skip ? 1 - cls.floor : 0;
+  double skipped = 0;
+  for (CutoffCandidate& candidate : by_weight) {
+    double weight = candidate.shard_request->weight;
+    candidate.shard_request->selected =
+        !may_skip || skipped + weight > cutoff_level * max_skipped + kWeightRounding;
+    if (candidate.shard_request->selected) continue;
+    skipped += weight;
+    candidate.skipped = PendingReason::kCutoff;
+  }
+  // Beyond the cutoff: what cannot arrive in time from any replica only delays the requests that can.
+  SlowestRequest slowest;
+  for (CutoffCandidate& candidate : by_weight) {
+    if (!candidate.shard_request->selected) continue;
+    double weight = candidate.shard_request->weight;
+    if (candidate.latency_ratio > kHopelessLatencyRatio && skipped + weight <= max_skipped) {
+      candidate.shard_request->selected = false;
+      skipped += weight;
+      candidate.skipped = PendingReason::kEndpointLoad;
+    } else if (!may_skip && candidate.latency_ratio > slowest.latency_ratio) {
+      slowest = {candidate.latency_ratio, candidate.endpoint};
+    }
+  }
+  return slowest;
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/coverage_cutoff.h
@@ -0,0 +1,38 @@
+// The coverage cutoff: which shard requests of a query are sent at all. Under load the lightest ones are
+// dropped, as far as the class's minimum coverage permits. Plain functions without state.
+#ifndef LIFTRUDDER_ROUTING_COVERAGE_CUTOFF_H_
+#define LIFTRUDDER_ROUTING_COVERAGE_CUTOFF_H_
+
+#include <vector>
+
+#include "routing/query_table.h"
+#include "routing/reasons.h"
+#include "routing/settings.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+// A shard request with a higher expected latency, over the time to the objective, cannot arrive in time.
+constexpr double kHopelessLatencyRatio = 1.2;
+
+struct CutoffCandidate {
+  ShardRequest* shard_request = nullptr;
+  double latency_ratio = 0;                      // expected latency over the time to the objective
+  EndpointId endpoint;                           // the one that latency is expected of
+  PendingReason skipped = PendingReason::kNone;  // set by ApplyCoverageCutoff: kCutoff, kEndpointLoad
+};
+
+// The slowest shard request of a query that needs all of them. Its ratio is 0 for any other query.
+struct SlowestRequest {
+  double latency_ratio = 0;
+  EndpointId endpoint;
+};
+
+// Sets ShardRequest::selected and CutoffCandidate::skipped. `by_weight` is in ascending order of weight;
+// `cutoff_level` is the share dropped of the weight that the class allows to drop.
+SlowestRequest ApplyCoverageCutoff(const QueryClassSettings& cls, double cutoff_level,
+                                   std::vector<CutoffCandidate>& by_weight);
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_COVERAGE_CUTOFF_H_
--- /dev/null
+++ b/src/routing/endpoint_list_poller.cpp
@@ -0,0 +1,33 @@
+#include "routing/endpoint_list_poller.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace liftrudder::routing {
+namespace {
+
+// Shares of the time within which the list must be polled: the first wait at most, and any wait.
+constexpr double kFirstWaitShare = 1.0 / 8;
+constexpr double kMaxWaitShare = 1.0 / 2;
+constexpr double kJitterFloor = 0.5;  // a wait is between 1/3 and 1 of its backoff
+
+}  // namespace
+
+PollDecision EndpointListPoller::OnUpdate(EndpointListKind kind, Random& random) {
+  bool subscribes = settings_.subscription_required;
+  // A cached list does not come from the service.
+  if (kind == EndpointListKind::kCached) return {.subscribe_now = subscribes, .poll_after_us = std::nullopt};
+  if (kind != EndpointListKind::kFailed) {
+    failures_ = 0;
+    return {};
+  }
+  if (!subscribes) return {};
+  auto deadline_us = static_cast<double>(settings_.poll_deadline_us);
+  double backoff_us =
+      std::min(deadline_us * kMaxWaitShare, kFirstWaitShare * deadline_us * std::exp2(failures_));
+  ++failures_;
+  double wait_us = backoff_us * (kJitterFloor + random.NextUnit()) / (kJitterFloor + 1);
+  return {.subscribe_now = false, .poll_after_us = static_cast<Micros>(wait_us) + 1};
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/endpoint_selector.h
@@ -0,0 +1,92 @@
+// Endpoint selection: which replica of its shard gets a shard request. Owned by one router; not thread-safe.
+// It sends nothing; that a probe request was chosen is recorded here.
+#ifndef LIFTRUDDER_ROUTING_ENDPOINT_SELECTOR_H_
+#define LIFTRUDDER_ROUTING_ENDPOINT_SELECTOR_H_
+
+#include <vector>
+
+#include "routing/endpoint_table.h"
+#include "routing/latency_tracker.h"
+#include "routing/outlier_detector.h"
+#include "routing/query_table.h"
+#include "routing/random.h"
+#include "routing/reasons.h"
+#include "routing/settings.h"
+#include "routing/slow_start.h"
+#include "routing/types.h"
+#include "routing/zone_health.h"
+
+namespace liftrudder::routing {
+
+// What the best replica of a shard would take for one more request.
+struct ExpectedLatency {
+  double latency_us = 0;  // 0: no usable replica
+  EndpointId endpoint;
+};
+
+struct Selection {
+  EndpointState* endpoint = nullptr;  // null: none may get the request now
+  Choice choice;                      // what the replicas were, for people
+};
+
+class EndpointSelector {
+ public:
+  // All must outlive it.
+  EndpointSelector(const Settings& settings, EndpointTable& endpoints, ZoneHealth& zones,
+                   const OutlierDetector& outliers, const SlowStart& slow_start,
+                   const LatencyTracker& latency, Random& random)
+      : settings_(settings),
+        endpoints_(endpoints),
+        zones_(zones),
+        outliers_(outliers),
+        slow_start_(slow_start),
+        latency_(latency),
+        random_(random) {}
+
+  // Of a replica that is not ejected, where there is one. In a calm fleet the last replica of one shard may
+  // be overloaded.
+  ExpectedLatency Expect(int shard) const;
+
+  // Chooses, in this order of preference: an ejected endpoint that is due a probe request; untried healthy
+  // ones; those in slow start beyond their share; ejected ones; ones tried before. A hedged request goes to
+  // the first groups only.
+  Selection Select(const ShardRequest& shard_request, bool is_hedge, Micros now);
+
+ private:
+  // Replicas by preference. Kept between calls, as a round selects often.
+  struct Groups {
+    std::vector<EndpointState*> healthy;
+    std::vector<EndpointState*> over_slow_start_share;
+    std::vector<EndpointState*> outliers;
+    std::vector<EndpointState*> unresponsive;
+    std::vector<EndpointState*> tried;
+    EndpointState* probe = nullptr;
+    void Clear();
+  };
+
+  // Puts the replica into its group and says why it stands where it does.
+  Eligibility Classify(EndpointState& replica, const ShardRequest& shard_request, Micros now);
+  Eligibility ClassifyAvoided(EndpointState& replica, const ShardRequest& shard_request, bool was_tried,
+                              Micros now);
+  const std::vector<EndpointState*>* PreferredGroup(const ShardRequest& shard_request, bool is_hedge,
+                                                    Micros now) const;
+  void RecordProbe(EndpointState& replica, Micros now);
+  EndpointState* FewestInFlight(const ShardRequest& shard_request, const std::vector<EndpointState*>& among,
+                                Micros now);
+  EndpointState* BreakTie(const ShardRequest& shard_request, const std::vector<EndpointState*>& tied);
+  int CallsWithOneMore(const EndpointState& endpoint, Micros now) const;
+  ProbeClock Clock(Micros now) const { return {now, slow_start_.WarmRequests()}; }
+
+  const Settings& settings_;
+  EndpointTable& endpoints_;
+  ZoneHealth& zones_;
+  const OutlierDetector& outliers_;
+  const SlowStart& slow_start_;
+  const LatencyTracker& latency_;
+  Random& random_;
+  Groups groups_;
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_ENDPOINT_SELECTOR_H_
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -40,7 +40,16 @@
   Micros work_us = 0;  // 0: not told
 };
 
-enum class AttemptOutcome { kOk, kError, kOverloaded, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
+enum class AttemptOutcome {
+  kOk,
+  kError,
+  kOverloaded,
+  kTimeout,
+  kConnectFailed,
+  kReset,
+  kCancelled,
+  kNotSent
+};
 
 struct AttemptFinished {
   Id shard_request = 0;
--- /dev/null
+++ b/src/routing/hedging_policy.cpp
@@ -0,0 +1,76 @@
+#include "routing/hedging_policy.h"
+
+#include <algorithm>
+
+namespace liftrudder::routing {
+namespace {
+
+constexpr double kSuspectMedians = 1.5;  // median latencies in flight at a suspect endpoint that suffice
+constexpr double kMaxLoad = 0.6;         // above this load only requests at suspect endpoints are hedged
+// Hedges for each request received. As long as kWinsForAll of them answer first; below kWinsForNone next to
+// none, as slow requests are then work that waits, and a hedge adds to it.
+constexpr double kBudgetRatio = 0.10;
+constexpr double kWinsForAll = 0.9;
+constexpr double kWinsForNone = 0.5;
+constexpr double kRetention = 0.9;       // what a hedge counts after each newer one
+constexpr double kAssumedWins = 2;       // hedges assumed to have won
+constexpr double kWindowObjectives = 2;  // latency objectives in the budget's window
+constexpr double kStragglerRatio = 1.4;  // age over what most requests of the query took
+constexpr double kStragglerP90sToObjective =
+    2;  // hedged when no more 0.9 quantiles are left to the objective
+// Up to this load: a fleet that is slow as a whole is slow for all of a query's requests.
+constexpr double kMaxStragglerLoad = 1.0;
+
+}  // namespace
+
+HedgingPolicy::HedgingPolicy(const Settings& settings, const EndpointTable& endpoints,
+                             const ZoneHealth& zones, const LatencyTracker& latency)
+    : settings_(settings),
+      endpoints_(endpoints),
+      zones_(zones),
+      latency_(latency),
+      window_us_(static_cast<Micros>(kWindowObjectives * MinLatencyObjectiveUs(settings))) {}
+
+bool HedgingPolicy::IsDue(const Query& query, const Attempt& attempt, double load, Micros now) const {
+  if (!settings_.hedging_allowed && !settings_.cancellation_allowed) return false;
+  if (static_cast<double>(query.deadline_us - now) < latency_.MedianUs()) return false;
+  double age_us = static_cast<double>(now - attempt.sent_us);
+  if (EndpointSuspect(attempt)) return age_us > kSuspectMedians * latency_.MedianUs();
+  if (load < kMaxLoad && age_us > latency_.HedgeDelayUs()) return true;
+  return load < kMaxStragglerLoad && IsStraggler(query, attempt, now);
+}
+
+// A query that needs all of its requests waits for the last one, be the fleet calm or not.
+bool HedgingPolicy::IsStraggler(const Query& query, const Attempt& attempt, Micros now) const {
+  const QueryClassSettings& cls = settings_.classes[query.class_index];
+  if (query.mostly_answered_us <= 0 || cls.floor < cls.complete_coverage) return false;
+  double age_us = static_cast<double>(now - attempt.sent_us);
+  double most_took_us = static_cast<double>(query.mostly_answered_us - attempt.sent_us);
+  double left_us = static_cast<double>(query.objective_at_us - now);
+  return age_us > kStragglerRatio * most_took_us && age_us > latency_.MedianUs() &&
+         left_us < kStragglerP90sToObjective * latency_.P90Us();
+}
+
+bool HedgingPolicy::EndpointSuspect(const Attempt& attempt) const {
+  const EndpointState* endpoint = endpoints_.Find(attempt.endpoint);
+  if (endpoint == nullptr || !endpoint->usable || zones_.IsAvoided(*endpoint)) return true;
+  double overtaken_by_us = static_cast<double>(endpoint->outlier.answered_us - attempt.sent_us);
+  return overtaken_by_us > latency_.HedgeDelayUs();
+}
+
+bool HedgingPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
+  straggler_hedges_.DropBefore(now - window_us_);
+  double won_share = (won_ + kAssumedWins) / (sent_ + kAssumedWins);
+  double ratio =
+      kBudgetRatio * std::clamp((won_share - kWinsForNone) / (kWinsForAll - kWinsForNone), 0.0, 1.0);
+  auto received = static_cast<double>(arrivals.CountFrom(now - window_us_));
+  return static_cast<double>(straggler_hedges_.Size()) < 1 + ratio * received;
+}
+
+void HedgingPolicy::RecordHedge(bool endpoint_suspect, Micros now) {
+  sent_ = kRetention * sent_ + 1;
+  won_ *= kRetention;
+  if (!endpoint_suspect) straggler_hedges_.Add(now);
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/hedging_policy.h
@@ -0,0 +1,58 @@
+// Hedged requests: when a second attempt of a shard request is due while the first is in flight, and how many
+// there may be. Owned by one router; not thread-safe. Where two attempts at once are not permitted the router
+// cancels the first instead and retries.
+#ifndef LIFTRUDDER_ROUTING_HEDGING_POLICY_H_
+#define LIFTRUDDER_ROUTING_HEDGING_POLICY_H_
+
+#include "routing/endpoint_table.h"
+#include "routing/latency_tracker.h"
+#include "routing/query_table.h"
+#include "routing/settings.h"
+#include "routing/sliding_window.h"
+#include "routing/types.h"
+#include "routing/zone_health.h"
+
+namespace liftrudder::routing {
+
+class HedgingPolicy {
+ public:
+  // All must outlive it.
+  HedgingPolicy(const Settings& settings, const EndpointTable& endpoints, const ZoneHealth& zones,
+                const LatencyTracker& latency);
+
+  // Whether a hedge for this attempt, the only one of its request in flight, is due. `load`:
+  // LoadEstimator::Load().
+  bool IsDue(const Query& query, const Attempt& attempt, double load, Micros now) const;
+
+  // The attempt's endpoint is removed, ejected, or has answered requests that were sent well after this one,
+  // which is then lost.
+  bool EndpointSuspect(const Attempt& attempt) const;
+
+  // Whether there may be one more hedge of a straggler. Hedges for suspect endpoints need no budget.
+  // `arrivals`: queries and shard requests received.
+  bool WithinBudget(const SlidingWindow& arrivals, Micros now);
+
+  // A hedge is sent; `endpoint_suspect`: as EndpointSuspect said of the first attempt.
+  void RecordHedge(bool endpoint_suspect, Micros now);
+  // A hedge answered before the first attempt.
+  void RecordWin() { ++won_; }
+
+  // Length of the budget's window.
+  Micros WindowUs() const { return window_us_; }
+
+ private:
+  bool IsStraggler(const Query& query, const Attempt& attempt, Micros now) const;
+
+  const Settings& settings_;
+  const EndpointTable& endpoints_;
+  const ZoneHealth& zones_;
+  const LatencyTracker& latency_;
+  Micros window_us_;
+  SlidingWindow straggler_hedges_;
+  double sent_ = 0;  // decayed counts
+  double won_ = 0;
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_HEDGING_POLICY_H_
--- /dev/null
+++ b/src/routing/outlier_detector.h
@@ -0,0 +1,83 @@
+// Outlier detection: ejects endpoints that are slow, fail or do not reply, and readmits them through probe
+// requests. Owned by one router; not thread-safe. Does not choose endpoints; whole zones: zone_health.h.
+#ifndef LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
+#define LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
+
+#include "routing/events.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+// An answer that took longer than this multiple of the fleet's median is slow.
+constexpr double kSlowLatencyRatio = 2.5;
+
+// What was observed of one endpoint.
+struct OutlierState {
+  double log_latency_ratio_sum = 0;  // log of latency over the fleet's median, decayed
+  double latency_samples = 0;        // decayed count
+  double failure_evidence = 0;       // Page's test: log-likelihood that it fails more than the fleet does
+  Micros replied_us = 0;             // last sign of life
+  Micros answered_us = 0;            // send time of the newest request that it answered
+  bool ejected = false;
+  bool unresponsive = false;  // ejected, and not for being slow: it answers nothing of use
+  Micros probe_at_us = 0;     // a probe request is due from then on,
+  double probe_at_warm_requests =
+      0;  // and once a healthy endpoint was sent so many (SlowStart::WarmRequests)
+  double probe_backoff = 1;
+
+  // The endpoint's process is a new one: what the old one did says nothing. The backoff of probes stays.
+  void Restart() {
+    log_latency_ratio_sum = latency_samples = failure_evidence = 0;
+    ejected = unresponsive = false;
+  }
+};
+
+// What probe requests are spaced by: time, and the traffic of a healthy endpoint. In a large fleet the probes
+// of all coordinators add up, so time alone would not bound their share.
+struct ProbeClock {
+  Micros now = 0;
+  double warm_requests = 0;  // SlowStart::WarmRequests()
+};
+
+// One finished attempt.
+struct EndpointOutcome {
+  AttemptOutcome code = AttemptOutcome::kOk;
+  Micros latency_us = 0;
+  bool endpoint_warm = true;  // an endpoint in slow start is slow by nature
+};
+
+class OutlierDetector {
+ public:
+  explicit OutlierDetector(double min_latency_objective_us)
+      : min_latency_objective_us_(min_latency_objective_us) {}
+
+  // Updates the endpoint's observations; ejects or readmits it.
+  void RecordOutcome(OutlierState& state, const EndpointOutcome& outcome, double median_latency_us,
+                     const ProbeClock& clock);
+
+  // Ejects an endpoint that has not replied for long since its oldest request in flight was sent. True while
+  // it is unresponsive in that sense, be it ejected before or not.
+  bool CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
+                       const ProbeClock& clock) const;
+
+  // A probe request to the ejected endpoint may be sent.
+  static bool ProbeDue(const OutlierState& state, const ProbeClock& clock);
+  // A probe request is being sent: the next one waits as long as this one did.
+  void RecordProbe(OutlierState& state, const ProbeClock& clock) const { ScheduleProbe(state, 1, clock); }
+  // The next request to the endpoint may be a probe: only its connection is in doubt.
+  static void AllowProbeNow(OutlierState& state);
+
+ private:
+  void RecordFailureEvidence(OutlierState& state, bool failed);
+  void RecordAnswer(OutlierState& state, const EndpointOutcome& outcome, double median_latency_us,
+                    const ProbeClock& clock) const;
+  void Eject(OutlierState& state, bool unresponsive, const ProbeClock& clock) const;
+  void ScheduleProbe(OutlierState& state, double backoff_growth, const ProbeClock& clock) const;
+
+  double min_latency_objective_us_;
+  double fleet_failure_rate_ = 0;  // recent share of failed outcomes, over all endpoints
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
--- /dev/null
+++ b/src/routing/query_table.h
@@ -0,0 +1,99 @@
+// Queries in flight with their shard requests and attempts. A container: it decides nothing.
+// Owned by one router; not thread-safe.
+#ifndef LIFTRUDDER_ROUTING_QUERY_TABLE_H_
+#define LIFTRUDDER_ROUTING_QUERY_TABLE_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <vector>
+
+#include "routing/events.h"
+#include "routing/reasons.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+// One send of a shard request to an endpoint.
+struct Attempt {
+  EndpointId endpoint;
+  Micros sent_us = 0;
+  int in_flight_at_endpoint = 1;  // this coordinator's requests there, this one included
+  bool in_flight = true;
+  bool never_ran = false;  // proved by its outcome
+  bool cancellation_requested = false;
+  bool endpoint_lost = false;                    // the connection was reset under it
+  AttemptOutcome outcome = AttemptOutcome::kOk;  // once it is not in flight
+};
+
+struct ShardRequest {
+  Id id = 0;
+  Id query = 0;  // 0: the query has ended, attempts may still be in flight
+  int shard = 0;
+  double weight = 0;  // coverage that its answer adds
+  std::uint64_t key = 0;
+  bool answered = false;
+  bool selected = false;                         // not cut off
+  PendingReason pending = PendingReason::kNone;  // as last reported
+  Micros idle_since_us = 0;                      // nothing in flight since then
+  std::vector<Attempt> attempts;
+
+  int InFlight() const;
+};
+
+struct Query {
+  Id id = 0;
+  std::int64_t number = 0;
+  std::size_t class_index = 0;
+  Micros objective_at_us = 0;  // the latency objective ends
+  Micros deadline_us = 0;      // the client's patience ends
+  double value_factor = 1;     // late, or over its tenant's quota: worth less
+  int phase = 1;               // 2: fetch phase
+  bool first_phase_complete = true;
+  bool cleared = false;     // an endpoint answered one of its shard requests and lives: no poison query
+  int endpoint_losses = 0;  // shard requests that were in flight at an endpoint when it was lost
+
+  // Of this phase:
+  bool dispatched = false;
+  int sent = 0;                      // shard requests
+  int answered = 0;                  // shard requests
+  double coverage = 0;               // weight answered
+  Micros last_first_attempt_us = 0;  // 0: none sent
+  Micros mostly_answered_us = 0;     // 0: not yet
+  std::vector<Id> shard_requests;
+};
+
+class QueryTable {
+ public:
+  Query& Add(Query query);
+  // Adds the request to its query (`query.id`).
+  void AddShardRequest(Query& query, ShardRequest shard_request);
+
+  Query* Find(Id id);
+  const Query* Find(Id id) const;
+  Query* FindByNumber(std::int64_t number);
+  ShardRequest* FindShardRequest(Id id);
+  ShardRequest& ShardRequestAt(Id id) { return shard_requests_.at(id); }
+  const ShardRequest& ShardRequestAt(Id id) const { return shard_requests_.at(id); }
+  void EraseShardRequest(Id id) { shard_requests_.erase(id); }
+
+  // Queries by id, those that ended in this round included.
+  std::map<Id, Query>& All() { return queries_; }
+  bool Empty() const { return queries_.empty(); }
+
+  // The query has ended. Its entry stays until EraseEnded, as callers still hold it.
+  void MarkEnded(const Query& query);
+  bool HasEnded(Id id) const { return ended_.contains(id); }
+  void EraseEnded();
+
+ private:
+  std::map<Id, Query> queries_;
+  std::map<Id, ShardRequest> shard_requests_;
+  std::map<std::int64_t, Id> ids_by_number_;
+  std::set<Id> ended_;
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_QUERY_TABLE_H_
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -73,6 +73,9 @@
   float observed = 0, threshold = 0;
   EndpointId endpoint;  // of kEndpointLoad: the one whose queue decided; else none
 };
+constexpr CompletionReason MakeReason(CompletionCause cause, double observed, double threshold) {
+  return {cause, static_cast<float>(observed), static_cast<float>(threshold), {}};
+}
 
 enum class CancelReason : std::uint8_t { kAnswered, kQueryOver, kEndpointOutlier, kDeadConnection };
 enum class CloseReason : std::uint8_t { kDeadConnection, kIdleTimeout };
--- /dev/null
+++ b/src/routing/retry_policy.cpp
@@ -0,0 +1,45 @@
+#include "routing/retry_policy.h"
+
+#include <algorithm>
+
+namespace liftrudder::routing {
+
+bool ProvesNotRun(AttemptOutcome outcome) {
+  return outcome == AttemptOutcome::kOverloaded || outcome == AttemptOutcome::kConnectFailed ||
+         outcome == AttemptOutcome::kNotSent;
+}
+
+PendingReason RetryPolicy::Forbids(const QueryClassSettings& cls, const ShardRequest& shard_request,
+                                   bool query_cleared, Micros now) const {
+  // A request that was in flight at an endpoint that crashed may have crashed it. Sent again freely, a few
+  // such requests take down all replicas of their shards.
+  bool endpoint_lost = std::ranges::any_of(shard_request.attempts, &Attempt::endpoint_lost);
+  if (endpoint_lost && !query_cleared) return PendingReason::kPoisonQuery;
+  if (static_cast<int>(shard_request.attempts.size()) >= settings_.max_attempts)
+    return PendingReason::kAttemptLimit;
+  return MayRepeat(cls, shard_request, now) ? PendingReason::kNone : PendingReason::kNotRepeatable;
+}
+
+bool RetryPolicy::MayRepeat(const QueryClassSettings& cls, const ShardRequest& shard_request,
+                            Micros now) const {
+  for (const Attempt& attempt : shard_request.attempts) {
+    if (attempt.never_ran) continue;
+    if (cls.effect == Effect::kNonIdempotent) return false;
+    bool outside_window = now + answer_margin_us_ - attempt.sent_us > cls.deduplication_window_us;
+    if (cls.effect == Effect::kIdempotencyKey && outside_window) return false;
+  }
+  return true;
+}
+
+bool RetryPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
+  if (!settings_.has_retry_budget) return true;
+  // One round more for retries and one less for arrivals, so that the budget holds wherever the window of
+  // whoever checks it begins.
+  Micros window_us = settings_.retry_budget_window_us;
+  retries_.DropBefore(now - (window_us + settings_.decision_interval_us));
+  auto received = static_cast<double>(arrivals.CountFrom(now - window_us + settings_.decision_interval_us));
+  double budget = settings_.retry_budget_floor + settings_.retry_budget_ratio * received;
+  return static_cast<double>(retries_.Size()) + 1 <= budget;
+}
+
+}  // namespace liftrudder::routing
--- /dev/null
+++ b/src/routing/retry_policy.h
@@ -0,0 +1,45 @@
+// Whether a shard request may be sent once more: idempotency, attempt limit, retry budget, poison queries.
+// Owned by one router; not thread-safe. It chooses neither time nor endpoint.
+#ifndef LIFTRUDDER_ROUTING_RETRY_POLICY_H_
+#define LIFTRUDDER_ROUTING_RETRY_POLICY_H_
+
+#include "routing/events.h"
+#include "routing/query_table.h"
+#include "routing/reasons.h"
+#include "routing/settings.h"
+#include "routing/sliding_window.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+// The outcome proves that the endpoint did not begin to work on the attempt.
+bool ProvesNotRun(AttemptOutcome outcome);
+
+class RetryPolicy {
+ public:
+  // `settings` must outlive it.
+  explicit RetryPolicy(const Settings& settings)
+      : settings_(settings), answer_margin_us_(AnswerMarginUs(settings)) {}
+
+  // Why the request must not be sent again, be there budget or not: kPoisonQuery, kAttemptLimit or
+  // kNotRepeatable; else kNone. `query_cleared`: Query::cleared, false for a query that has ended.
+  PendingReason Forbids(const QueryClassSettings& cls, const ShardRequest& shard_request, bool query_cleared,
+                        Micros now) const;
+
+  // Whether the retry budget has room for one more attempt. `arrivals`: queries and shard requests received.
+  bool WithinBudget(const SlidingWindow& arrivals, Micros now);
+
+  // A second or later attempt of a shard request is sent.
+  void RecordAttempt(Micros now) { retries_.Add(now); }
+
+ private:
+  bool MayRepeat(const QueryClassSettings& cls, const ShardRequest& shard_request, Micros now) const;
+
+  const Settings& settings_;
+  Micros answer_margin_us_;
+  SlidingWindow retries_;  // hedged requests included
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_RETRY_POLICY_H_
--- a/src/routing/settings.h
+++ b/src/routing/settings.h
@@ -66,8 +66,12 @@
   Micros retry_budget_window_us = 0;
 };
 
-// Says what is impossible in the settings; nothing when they can be used.
-std::optional<std::string> CheckSettings(const Settings& settings);
+// The shortest time within which an answer of any class has its full value; a class with two phases counts
+// with half its objective. The unit of most of the decision modules' time constants. There must be a class.
+double MinLatencyObjectiveUs(const Settings& settings);
+
+// Time kept back before a deadline for the way of the answer.
+Micros AnswerMarginUs(const Settings& settings);
 
 }  // namespace liftrudder::routing
 
--- /dev/null
+++ b/src/routing/zone_health.h
@@ -0,0 +1,55 @@
+// Zone outlier detection: the way to a whole zone may be slow or lossy while each endpoint there is well, and
+// to learn that endpoint by endpoint costs a request or two for each. Owned by one router; not thread-safe.
+#ifndef LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
+#define LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
+
+#include <cstddef>
+#include <vector>
+
+#include "routing/endpoint_table.h"
+#include "routing/types.h"
+
+namespace liftrudder::routing {
+
+class ZoneHealth {
+ public:
+  explicit ZoneHealth(double min_latency_objective_us)
+      : min_latency_objective_us_(min_latency_objective_us) {}
+
+  // Makes place for all zones of the table. Must follow each change of its list.
+  void CoverZones(const EndpointTable& endpoints);
+
+  // Ages the observations and ejects or readmits zones: a zone is ejected when most of its requests fail, or
+  // are late or overdue, while another zone is well. With two zones that doubles the other's load, so that
+  // one must be seen to be well, and probe requests go on.
+  void Update(const EndpointTable& endpoints, double elapsed_us, double median_latency_us, Micros now);
+
+  // An attempt at an endpoint of the zone ended; `in_time`: answered, and not slowly.
+  void RecordOutcome(std::size_t zone, bool in_time);
+
+  bool IsEjected(std::size_t zone) const { return zones_[zone].ejected; }
+  bool ProbeTimeDue(std::size_t zone, Micros now) const { return now >= zones_[zone].probe_at_us; }
+  // A probe request to the zone is being sent.
+  void RecordProbe(std::size_t zone, Micros now);
+
+  // The endpoint is ejected, by itself or with its zone.
+  bool IsAvoided(const EndpointState& state) const { return state.outlier.ejected || IsEjected(state.zone); }
+
+ private:
+  struct Zone {
+    double in_time = 0;  // decayed counts
+    double late_or_failed = 0;
+    double overdue = 0;  // requests in flight for too long now
+    bool ejected = false;
+    Micros probe_at_us = 0;
+  };
+
+  Micros NextProbeUs(Micros now) const;
+
+  double min_latency_objective_us_;
+  std::vector<Zone> zones_;
+};
+
+}  // namespace liftrudder::routing
+
+#endif  // LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -8,6 +8,8 @@
 #include <map>
 #include <set>
 
+#include "routing/settings_validation.h"
+
 namespace liftrudder::routing {
 namespace {
 
@@ -91,7 +93,8 @@
   std::vector<Action> End(Id shard_request, int attempt, AttemptOutcome code = AttemptOutcome::kOk) {
     auto [endpoint, since] = out.at({shard_request, attempt});
     out.erase({shard_request, attempt});
-    return Do(AttemptFinished{shard_request, attempt, endpoint, code, now - since, code == AttemptOutcome::kOk, {}});
+    return Do(AttemptFinished{
+        shard_request, attempt, endpoint, code, now - since, code == AttemptOutcome::kOk, {}});
   }
 
   // Brings in everything that is out.
@@ -126,7 +129,9 @@
     ADD_FAILURE() << "part " << shard_request << " attempt " << attempt << " was not sent";
     return {};
   }
-  int Sends(Id shard_request) const { return attempts.contains(shard_request) ? attempts.at(shard_request) : 0; }
+  int Sends(Id shard_request) const {
+    return attempts.contains(shard_request) ? attempts.at(shard_request) : 0;
+  }
   // Fills the fleet: queries whose parts stay out.
   void Load(int queries) {
     for (int i = 0; i < queries; ++i)
@@ -183,7 +188,8 @@
   s.reach = 1;
   Bench bench(s);
   bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25});
-  for (Id shard_request = 100; shard_request < 104; ++shard_request) EXPECT_EQ(bench.Where(shard_request).address, shard_request - 100);
+  for (Id shard_request = 100; shard_request < 104; ++shard_request)
+    EXPECT_EQ(bench.Where(shard_request).address, shard_request - 100);
 }
 
 TEST(Module, SameEventsSameActions) {
@@ -193,7 +199,8 @@
     bench->Load(5);
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].first.endpoint, b.sent[i].first.endpoint);
+  for (std::size_t i = 0; i < a.sent.size(); ++i)
+    EXPECT_EQ(a.sent[i].first.endpoint, b.sent[i].first.endpoint);
 }
 
 // ---- Rule 1: no query is lost ----
@@ -665,7 +672,8 @@
   bench.now += 2000 * kMs;
   bench.Ask(1, kComplete, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   bench.now += 100 * kMs;
-  for (Id shard_request : {100, 102, 103}) bench.End(shard_request, 0);  // unused for 2 s and well; the fourth replica pauses
+  for (Id shard_request : {100, 102, 103})
+    bench.End(shard_request, 0);  // unused for 2 s and well; the fourth replica pauses
   for (int i = 0; i < 300; ++i) {
     bench.Tick(5 * kMs);
     for (const Cancel& cancel : bench.Last<Cancel>()) EXPECT_NE(cancel.reason, CancelReason::kDeadConnection);
@@ -776,7 +784,8 @@
   }
   int unsent = 0;
   for (Id id = 1; id <= 8; ++id) {
-    for (Id shard_request = 0; shard_request < 8; ++shard_request) unsent += bench.Sends(id * 100 + shard_request) == 0;
+    for (Id shard_request = 0; shard_request < 8; ++shard_request)
+      unsent += bench.Sends(id * 100 + shard_request) == 0;
   }
   EXPECT_GT(unsent, 0);
 }
@@ -927,7 +936,8 @@
     bench.Do(update);
     // One goes to each holder, one call each; the others join these calls, either of the two.
     std::vector<Event> events{QueryReceived{1, 1, 5, kComplete, 0, false, 0, 3 * kLatencyObjective, 0}};
-    for (Id shard_request = 100; shard_request < 105; ++shard_request) events.push_back(ShardRequestReceived{shard_request, 1, 0, 0.2, 0, 0});
+    for (Id shard_request = 100; shard_request < 105; ++shard_request)
+      events.push_back(ShardRequestReceived{shard_request, 1, 0, 0.2, 0, 0});
     bench.Do(events);
     std::map<EndpointId, int> shard_requests;
     for (const auto& [send, attempt] : bench.sent) ++shard_requests[send.endpoint];
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_NE(complaint(warm).find("'warmKeys' has the wrong type"), std::string::npos);
   std::string calls = conf;
   calls.replace(calls.find("\"perCall\":8"), 11, "\"perCall\":0");
-  EXPECT_NE(complaint(calls).find("parts of a call"), std::string::npos);
+  EXPECT_NE(complaint(calls).find("'max_requests_per_call' is 0; it must be 1 or more"), std::string::npos);
   EXPECT_NE(complaint("{").find("not a JSON object"), std::string::npos);
   EXPECT_NE(complaint(std::string(conf).replace(conf.find("cells"), 5, "celts")).find("'cells' is missing"),
             std::string::npos);
