--- a/simulator/codec.cpp
+++ b/simulator/codec.cpp
@@ -144,7 +144,7 @@
   ended.endpoint = in.Address("replica");
   ended.code = Disposition(in);
   ended.spent_us = in.U32("spentUs");
-  ended.part_done = in.U8("noMore") != 0;
+  ended.shard_request_done = in.U8("noMore") != 0;
   ended.load = in.Load("feedback");
   return ended;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -46,7 +46,7 @@
   std::string_view state = json::RawString(value).value_or("");
   if (state == "ready") return routing::Availability::kReady;
   if (state == "draining") return routing::Availability::kDraining;
-  if (state == "gone") return routing::Availability::kGone;
+  if (state == "gone") return routing::Availability::kRemoved;
   throw std::runtime_error(fmt::format("unknown state {}", value));
 }
 
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -61,12 +61,12 @@
     cls.latency_objective_us = Get<Micros>(grade, "aimUs");
     cls.client_timeout_us = Get<Micros>(grade, "giveUpUs");
     cls.late_value_fraction = Get<double>(grade, "lateShare");
-    cls.worth = Get<double>(grade, "value");
+    cls.priority_weight = Get<double>(grade, "value");
     cls.effect = ParseEffect(Get<std::string>(grade, "effect"));
     cls.deduplication_window_us = GetOr<Micros>(grade, "repeatWindowUs", 0);
     cls.objective_per_work = GetOr<double>(grade, "aimStretch", 0);
     cls.fetch_phase_requests = fetches[i];
-    cls.floor = floors[i];
+    cls.min_coverage = floors[i];
     cls.complete_coverage = wholes[i];
     cls.partial_value_factor = incomplete[i];
     out.classes.push_back(cls);
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -42,7 +42,7 @@
     } else {
       StopSending(endpoint, told_us);
     }
-    if (entry.told.availability != routing::Availability::kGone) {
+    if (entry.told.availability != routing::Availability::kRemoved) {
       disconnected_.erase(place->second);
     } else {
       disconnected_.try_emplace(place->second, told_us);
--- a/src/coordinator/in_flight_table.cpp
+++ b/src/coordinator/in_flight_table.cpp
@@ -78,7 +78,7 @@
   ended.load = std::move(result.load);
   if (ended.code == AttemptOutcome::kOk && !shard_request->second.value && !shard_request->second.over)
     shard_request->second.value = std::move(result.value);
-  ended.part_done = shard_request->second.over || shard_request->second.value.has_value();
+  ended.shard_request_done = shard_request->second.over || shard_request->second.value.has_value();
   DropIfDone(shard_request);
   return ended;
 }
--- a/src/decision_log/explain_text.cpp
+++ b/src/decision_log/explain_text.cpp
@@ -35,7 +35,7 @@
       return "its zone is out of reach";
     case Eligibility::kDraining:
       return "draining";
-    case Eligibility::kGone:
+    case Eligibility::kRemoved:
       return "gone";
   }
   return "in a state this program does not know";
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -265,8 +265,8 @@
   for (std::size_t i = 0; i < choice.count; ++i) {
     const routing::Candidate& one = choice.endpoints[i];
     words[count++] =
-        Pair(one.endpoint.address, std::uint32_t{one.out} |
-                                      std::uint32_t{static_cast<std::uint8_t>(one.standing)} << 16 |
+        Pair(one.endpoint.address, std::uint32_t{one.in_flight} |
+                                      std::uint32_t{static_cast<std::uint8_t>(one.eligibility)} << 16 |
                                       std::uint32_t{one.eligible} << 24);
   }
 }
--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -1,4 +1,4 @@
-// What the router decides, each action with its reason. Plain data.
+// What the router decides, each action with its reason. Plain data; the caller performs the actions in order.
 #ifndef LIFTRUDDER_ROUTING_ACTIONS_H_
 #define LIFTRUDDER_ROUTING_ACTIONS_H_
 
@@ -10,39 +10,52 @@
 
 namespace liftrudder::routing {
 
+// Send one attempt of a shard request. Attempts of a request are numbered from 0 in the order of their Sends.
 struct Send {
   Id shard_request = 0;
   EndpointId endpoint;
-  Micros timeout_us = 0;
+  Micros timeout_us = 0;  // from now
   DispatchReason reason = {};
 };
+
+// Answer a query, or its first phase, with the shard requests answered so far.
 struct Answer {
   Id query = 0;
-  bool complete = false;
+  bool complete = false;  // else a partial result
   CompletionReason reason = {};
 };
+
+// End a query that its client may safely repeat.
 struct Reject {
   Id query = 0;
-  Micros retry_after_us = 0;
+  Micros retry_after_us = 0;  // 0: not stated
   CompletionReason reason = {};
 };
+
+// End a query that may have had an effect, or that cannot succeed.
 struct Fail {
   Id query = 0;
   CompletionReason reason = {};
 };
+
 struct Cancel {
   Id shard_request = 0;
   int attempt = 0;
   CancelReason reason = CancelReason::kAnswered;
 };
-struct Close {  // the idle connections to a replica
+
+// Close the idle connections to an endpoint.
+struct Close {
   EndpointId endpoint;
   CloseReason reason = CloseReason::kDeadConnection;
 };
+
 struct SetTimer {
-  Micros span_us = 0;
-  std::uint64_t label = 0;
+  Micros span_us = 0;       // from now
+  std::uint64_t label = 0;  // returned by TimerFired
 };
+
+// Ask the list service for the endpoint list and its changes.
 struct Subscribe {};
 
 using Action = std::variant<Send, Answer, Reject, Fail, Cancel, Close, SetTimer, Subscribe>;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -21,8 +21,9 @@
       answer_margin_us_(AnswerMarginUs(settings)),
       first_timeout_us_(settings.classes.size(), 0),
       requests_per_query_(settings.classes.size(), 0) {
-  for (std::size_t tenant = 0; tenant < settings.tenants.size(); ++tenant)
+  for (std::size_t tenant = 0; tenant < settings.tenants.size(); ++tenant) {
     quota_tokens_.push_back(QuotaPerSecond(tenant) * kQuotaBurstSeconds);
+  }
 }
 
 Query Admission::MakeQuery(const QueryReceived& event, Micros now) {
@@ -82,8 +83,9 @@
   double density = ValueDensity(query.class_index) * query.value_factor;
   double probability = std::max(by_load, by_endpoint) * LeastValueDensity() / density;
   if (random.NextUnit() >= probability) return std::nullopt;
-  if (by_endpoint > by_load)
+  if (by_endpoint > by_load) {
     return MakeReason(CompletionCause::kEndpointLoad, slowest_latency_ratio, kSheddingStartLatencyRatio);
+  }
   return MakeReason(CompletionCause::kLoad, load.Load(), kSheddingStartLoad);
 }
 
@@ -94,7 +96,7 @@
 
 // Priority weight for each shard request that a query of the class takes.
 double Admission::ValueDensity(std::size_t class_index) const {
-  return settings_.classes[class_index].worth / std::max(requests_per_query_[class_index], 1.0);
+  return settings_.classes[class_index].priority_weight / std::max(requests_per_query_[class_index], 1.0);
 }
 
 double Admission::LeastValueDensity() const {
--- a/src/routing/canary_policy.cpp
+++ b/src/routing/canary_policy.cpp
@@ -23,7 +23,7 @@
 bool NeedsCanary(const Query& query, const CanaryInputs& inputs) {
   if (query.cleared || query.phase > 1) return false;
   if (inputs.losses_elevated) return true;
-  double left_us = static_cast<double>(query.objective_at_us - inputs.now);
+  auto left_us = static_cast<double>(query.objective_at_us - inputs.now);
   bool hurried = left_us < kHurriedQueryMedians * inputs.median_latency_us;
   return IsWide(query, inputs) && !hurried && inputs.load <= kSheddingStartLoad;
 }
@@ -36,7 +36,7 @@
 
 bool WaitsForCanary(const Query& query, const CanaryInputs& inputs) {
   if (query.last_first_attempt_us <= 0 || !NeedsCanary(query, inputs)) return false;
-  double waited_us = static_cast<double>(inputs.now - query.last_first_attempt_us);
+  auto waited_us = static_cast<double>(inputs.now - query.last_first_attempt_us);
   return inputs.losses_elevated || waited_us < kCanaryWaitMedians * inputs.median_latency_us;
 }
 
--- a/src/routing/completion_policy.cpp
+++ b/src/routing/completion_policy.cpp
@@ -29,8 +29,9 @@
   const QueryClassSettings& cls = settings_.classes[query.class_index];
   // Endpoints were lost under it and none has answered: the query may have crashed them.
   int tolerated_losses = inputs.losses_elevated ? 0 : 1;
-  if (!query.cleared && query.endpoint_losses > tolerated_losses)
+  if (!query.cleared && query.endpoint_losses > tolerated_losses) {
     return Abandon(CompletionCause::kEndpointsLost, query.endpoint_losses, tolerated_losses);
+  }
   if (query.shard_requests.empty() && query.phase == 2) {  // the fetch phase's requests have yet to come
     if (!Expired(query, inputs.now)) return std::nullopt;
     return ExpiredCompletion(query, inputs.now);
@@ -47,14 +48,14 @@
 std::optional<Completion> CompletionPolicy::Partial(const Query& query,
                                                     const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  bool enough = query.coverage >= cls.floor - kWeightTolerance && query.coverage > 0 &&
-                cls.floor < cls.complete_coverage;
+  bool enough = query.coverage >= cls.min_coverage - kWeightTolerance && query.coverage > 0 &&
+                cls.min_coverage < cls.complete_coverage;
   if (!enough) return std::nullopt;
   bool nothing_pending = inputs.reachable_coverage <= query.coverage + kWeightRounding;
   bool due = inputs.now >= PartialAnswerAtUs(query, inputs.p90_latency_us);
   if (!nothing_pending && !due) return std::nullopt;
   auto cause = nothing_pending ? CompletionCause::kNoPendingRequests : CompletionCause::kLatencyObjective;
-  return Completion{CompletionKind::kAnswer, false, MakeReason(cause, query.coverage, cls.floor)};
+  return Completion{CompletionKind::kAnswer, false, MakeReason(cause, query.coverage, cls.min_coverage)};
 }
 
 Micros CompletionPolicy::PartialAnswerAtUs(const Query& query, double p90_latency_us) const {
@@ -69,13 +70,15 @@
 std::optional<Completion> CompletionPolicy::Hopeless(const Query& query,
                                                      const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  double least = std::min(cls.floor, cls.complete_coverage);
-  if (inputs.reachable_coverage < least - kWeightTolerance)
+  double least = std::min(cls.min_coverage, cls.complete_coverage);
+  if (inputs.reachable_coverage < least - kWeightTolerance) {
     return Abandon(CompletionCause::kCoverageUnreachable, inputs.reachable_coverage, least);
+  }
   if (Expired(query, inputs.now)) return ExpiredCompletion(query, inputs.now);
   bool late = inputs.now >= query.objective_at_us - answer_margin_us_;
-  if (late && cls.late_value_fraction <= 0)
+  if (late && cls.late_value_fraction <= 0) {
     return Abandon(CompletionCause::kNoLateValue, Seconds(inputs.now - query.objective_at_us), 0);
+  }
   return std::nullopt;
 }
 
--- a/src/routing/connection_reuse.cpp
+++ b/src/routing/connection_reuse.cpp
@@ -39,8 +39,9 @@
                                     Micros now) {
   // A timeout is this side's own clock and no sign of life.
   if (outcome != AttemptOutcome::kTimeout) state.used_us = now;
-  if (outcome == AttemptOutcome::kOk && sent_us == state.idle_sent_us)
+  if (outcome == AttemptOutcome::kOk && sent_us == state.idle_sent_us) {
     proven_idle_us_ = std::max(proven_idle_us_, state.idle_us);
+  }
 }
 
 bool ConnectionReuse::SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us) {
--- a/src/routing/coverage_cutoff.cpp
+++ b/src/routing/coverage_cutoff.cpp
@@ -9,8 +9,8 @@
 
 SlowestRequest ApplyCoverageCutoff(const QueryClassSettings& cls, double cutoff_level,
                                    std::vector<CutoffCandidate>& by_weight) {
-  bool may_skip = cls.floor < cls.complete_coverage;
-  double max_skipped = may_skip ? 1 - cls.floor : 0;
+  bool may_skip = cls.min_coverage < cls.complete_coverage;
+  double max_skipped = may_skip ? 1 - cls.min_coverage : 0;
   double skipped = 0;
   for (CutoffCandidate& candidate : by_weight) {
     double weight = candidate.shard_request->weight;
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -73,7 +73,7 @@
                                        Micros now) {
   if (!replica.usable) {
     bool draining = replica.endpoint.availability == Availability::kDraining;
-    return draining ? Eligibility::kDraining : Eligibility::kGone;
+    return draining ? Eligibility::kDraining : Eligibility::kRemoved;
   }
   SlowStartAllowance allowance =
       slow_start_.Refill(replica.slow_start, replica.endpoint, latency_.MedianUs(), now);
@@ -144,8 +144,9 @@
 // on elsewhere.
 EndpointState* EndpointSelector::BreakTie(const ShardRequest& shard_request,
                                           const std::vector<EndpointState*>& tied) {
-  if (!settings_.key_affinity || shard_request.key == 0)
+  if (!settings_.key_affinity || shard_request.key == 0) {
     return tied[static_cast<std::size_t>(random_.NextUnit() * static_cast<double>(tied.size()))];
+  }
   auto cell = static_cast<std::uint64_t>(shard_request.shard % settings_.cells);
   auto rank = [&](const EndpointState* endpoint) {
     return AffinityRank(shard_request.key, cell, endpoint->endpoint.id);
@@ -158,8 +159,9 @@
   std::map<Micros, int> requests_by_round{{now, 1}};
   for (const auto& [key, sent_us] : endpoint.in_flight) ++requests_by_round[sent_us];
   int calls = 0;
-  for (const auto& [sent_us, count] : requests_by_round)
+  for (const auto& [sent_us, count] : requests_by_round) {
     calls += (count + settings_.max_requests_per_call - 1) / settings_.max_requests_per_call;
+  }
   return calls;
 }
 
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -12,7 +12,7 @@
 
 // Removed from the list, and nothing is in flight there any more.
 bool IsForgettable(const EndpointState& state) {
-  return state.endpoint.availability == Availability::kGone && state.in_flight.empty();
+  return state.endpoint.availability == Availability::kRemoved && state.in_flight.empty();
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
     for (const Endpoint& endpoint : update.endpoints) listed.insert(endpoint.id);
     for (auto& [id, state] : endpoints_) {
       if (listed.contains(id)) continue;
-      state.endpoint.availability = Availability::kGone;
+      state.endpoint.availability = Availability::kRemoved;
       state.usable = false;
     }
   }
@@ -45,7 +45,7 @@
   EndpointState& state = endpoints_[endpoint.id];
   bool restarted = endpoint.started_us != state.endpoint.started_us;
   bool was_ready = state.endpoint.availability == Availability::kReady;
-  bool ended = restarted || endpoint.availability == Availability::kGone;
+  bool ended = restarted || endpoint.availability == Availability::kRemoved;
   if (known && was_ready && ended) RecordLoss(state);
   state.endpoint = endpoint;
   state.zone = static_cast<std::size_t>(std::max(endpoint.zone, 0));
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -23,6 +23,7 @@
 struct AttemptKey {
   Id shard_request = 0;
   int attempt = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
   auto operator<=>(const AttemptKey&) const = default;
 };
 
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -1,4 +1,4 @@
-// What the router is told: endpoint lists, queries, outcomes, timers. Plain data.
+// What the router is notified of: endpoint lists, queries, outcomes, timers. Plain data; decides nothing.
 #ifndef LIFTRUDDER_ROUTING_EVENTS_H_
 #define LIFTRUDDER_ROUTING_EVENTS_H_
 
@@ -11,54 +11,61 @@
 
 namespace liftrudder::routing {
 
-enum class EndpointListKind { kDelta, kFull, kCached, kFailed };
+enum class EndpointListKind {
+  kDelta,   // entries that changed
+  kFull,    // all entries; what is missing was removed
+  kCached,  // all entries as retained from before, not fresh from the list service
+  kFailed,  // the list service did not answer, or a subscription broke; no entries
+};
+
 struct EndpointListUpdate {
   EndpointListKind kind = EndpointListKind::kFull;
   std::uint64_t version = 0;
   std::vector<Endpoint> endpoints;
 };
 
-// A query; its parts follow in the same span of events. Parts of a second step come later, alone.
+// A query. Its shard requests follow among the same events; those of its fetch phase come later, alone.
 struct QueryReceived {
   Id id = 0;
-  std::int64_t number = 0;  // its parts carry the same
-  int shard_requests = 0;
-  int class_index = 0;
-  int tenant = 0;
-  bool is_retry = false;  // the client marks it as a further try
-  std::uint64_t key = 0;
+  std::int64_t number = 0;  // its shard requests carry the same
+  int shard_requests = 0;   // how many follow
+  int class_index = 0;      // into Settings::classes
+  int tenant = 0;           // into Settings::tenants
+  bool is_retry = false;    // the client marked it as one
+  std::uint64_t key = 0;    // 0: none
   Micros timeout_remaining_us = 0;
-  Micros work_us = 0;  // 0: not told
+  Micros work_us = 0;  // the client's estimate; 0: unknown
 };
 
 struct ShardRequestReceived {
   Id id = 0;
   std::int64_t number = 0;  // of its query
   int shard = 0;
-  double weight = 0;
-  std::uint64_t key = 0;
-  Micros work_us = 0;  // 0: not told
+  double weight = 0;      // coverage that its answer adds, within 0 and 1
+  std::uint64_t key = 0;  // for key affinity; 0: none
+  Micros work_us = 0;     // the client's estimate; 0: unknown
 };
 
 enum class AttemptOutcome {
   kOk,
   kError,
-  kOverloaded,
-  kTimeout,
+  kOverloaded,  // the endpoint rejected it before it ran
+  kTimeout,     // by this side's clock
   kConnectFailed,
-  kReset,
+  kReset,  // the connection was lost under it
   kCancelled,
-  kNotSent
+  kNotSent,  // cancelled before its first byte
 };
 
+// The outcome of one Send.
 struct AttemptFinished {
   Id shard_request = 0;
-  int attempt = 0;
+  int attempt = 0;  // 0 is the first
   EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
-  Micros spent_us = 0;
-  bool part_done = false;
-  std::vector<double> load;  // as the settings of the site name them; empty: none
+  Micros spent_us = 0;              // since its Send
+  bool shard_request_done = false;  // it gets no further outcomes
+  std::vector<double> load;         // load report of the endpoint; empty: none
 };
 
 struct HealthCheckFinished {
@@ -68,12 +75,16 @@
   std::vector<double> load;
 };
 
+// No answer to the query can be delivered any more.
 struct ClientDisconnected {
   Id id = 0;
 };
+
+// A SetTimer has run out.
 struct TimerFired {
   std::uint64_t label = 0;
 };
+
 struct GossipMessage {
   std::uint32_t from = 0;
   std::string text;
--- a/src/routing/hedging_policy.cpp
+++ b/src/routing/hedging_policy.cpp
@@ -34,7 +34,7 @@
 bool HedgingPolicy::IsDue(const Query& query, const Attempt& attempt, double load, Micros now) const {
   if (!settings_.hedging_allowed && !settings_.cancellation_allowed) return false;
   if (static_cast<double>(query.deadline_us - now) < latency_.MedianUs()) return false;
-  double age_us = static_cast<double>(now - attempt.sent_us);
+  auto age_us = static_cast<double>(now - attempt.sent_us);
   if (EndpointSuspect(attempt)) return age_us > kSuspectMedians * latency_.MedianUs();
   if (load < kMaxLoad && age_us > latency_.HedgeDelayUs()) return true;
   return load < kMaxStragglerLoad && IsStraggler(query, attempt, now);
@@ -43,10 +43,10 @@
 // A query that needs all of its requests waits for the last one, be the fleet calm or not.
 bool HedgingPolicy::IsStraggler(const Query& query, const Attempt& attempt, Micros now) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  if (query.mostly_answered_us <= 0 || cls.floor < cls.complete_coverage) return false;
-  double age_us = static_cast<double>(now - attempt.sent_us);
-  double most_took_us = static_cast<double>(query.mostly_answered_us - attempt.sent_us);
-  double left_us = static_cast<double>(query.objective_at_us - now);
+  if (query.mostly_answered_us <= 0 || cls.min_coverage < cls.complete_coverage) return false;
+  auto age_us = static_cast<double>(now - attempt.sent_us);
+  auto most_took_us = static_cast<double>(query.mostly_answered_us - attempt.sent_us);
+  auto left_us = static_cast<double>(query.objective_at_us - now);
   return age_us > kStragglerRatio * most_took_us && age_us > latency_.MedianUs() &&
          left_us < kStragglerP90sToObjective * latency_.P90Us();
 }
@@ -54,7 +54,7 @@
 bool HedgingPolicy::EndpointSuspect(const Attempt& attempt) const {
   const EndpointState* endpoint = endpoints_.Find(attempt.endpoint);
   if (endpoint == nullptr || !endpoint->usable || zones_.IsAvoided(*endpoint)) return true;
-  double overtaken_by_us = static_cast<double>(endpoint->outlier.answered_us - attempt.sent_us);
+  auto overtaken_by_us = static_cast<double>(endpoint->outlier.answered_us - attempt.sent_us);
   return overtaken_by_us > latency_.HedgeDelayUs();
 }
 
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -73,7 +73,7 @@
 
 bool OutlierDetector::CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
                                       const ProbeClock& clock) const {
-  double age_us = static_cast<double>(clock.now - oldest_sent_us);
+  auto age_us = static_cast<double>(clock.now - oldest_sent_us);
   if (state.replied_us > oldest_sent_us || age_us <= kSilenceHedgeDelays * hedge_delay_us) return true;
   if (!state.ejected) Eject(state, true, clock);
   return false;
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -1,4 +1,5 @@
-// Reasons: written beside each action, for people to read. No decision reads one. All are of fixed size.
+// Why the router decided as it did, for people to read. No decision depends on a reason. All are plain data
+// of fixed size. docs/design/routing.md names the function that decides each.
 #ifndef LIFTRUDDER_ROUTING_REASONS_H_
 #define LIFTRUDDER_ROUTING_REASONS_H_
 
@@ -11,92 +12,110 @@
 
 namespace liftrudder::routing {
 
-// What a replica of a part's shard was at the moment of a choice.
+// What a replica of a shard was when an endpoint was chosen for a request to it.
 enum class Eligibility : std::uint8_t {
   kEligible,
-  kAlreadyTried,    // an earlier attempt of this part went there
-  kSlowStartShare,  // cold, and its warmth's share of what warm ones get is used up
-  kSlowStartLimit,  // cold, and what it may get at all is used up
-  kOutlier,         // slow or late
-  kUnresponsive,    // answers nothing of use
+  kAlreadyTried,    // an earlier attempt of this shard request went there
+  kSlowStartShare,  // in slow start, and its share of what warm endpoints get is used up
+  kSlowStartLimit,  // in slow start, and more could make it collapse
+  kOutlier,         // ejected: slow
+  kUnresponsive,    // ejected: answers nothing of use
   kZoneEjected,
   kDraining,
-  kGone,
+  kRemoved,
 };
+
 struct Candidate {
   EndpointId endpoint;
-  std::uint16_t out = 0;  // parts of this aggregator out there, capped at the type's most
-  Eligibility standing = Eligibility::kEligible;
-  bool eligible = false;  // among those the choice was made from, ties at random
+  std::uint16_t in_flight = 0;  // this coordinator's requests there, capped at the type's maximum
+  Eligibility eligibility = Eligibility::kEligible;
+  bool eligible = false;  // in the group that the choice was made from
 };
+
 constexpr std::size_t kMaxCandidates = 8;
+
 struct Choice {
-  std::uint8_t count = 0;     // of `replicas`
-  std::uint8_t unlisted = 0;  // beyond them
+  std::uint8_t count = 0;     // of `endpoints` that are set
+  std::uint8_t unlisted = 0;  // replicas beyond kMaxCandidates
   std::array<Candidate, kMaxCandidates> endpoints;
 };
 
 enum class DispatchKind : std::uint8_t {
   kFirst,
-  kCanary,  // one part goes ahead of its query's others: replicas were lost of late, or the query is wide
-  kProbe,   // to see whether a sick replica, or a far zone, is well again
-  kRetry,   // nothing of this part is out; DispatchReason::after tells how the attempt before ended
-  kStragglerHedge,  // the attempt before is out longer than its fellows took
-  kOutlierHedge,    // the attempt before is out at a replica that looks sick or is gone
+  kCanary,          // ahead of its query's other requests: endpoints were lost of late, or the query is wide
+  kProbe,           // to see whether an ejected endpoint or zone has recovered
+  kRetry,           // nothing of this request was in flight; see DispatchReason::after
+  kStragglerHedge,  // the attempt in flight takes longer than others did
+  kOutlierHedge,    // the attempt in flight is at an endpoint that is ejected, removed, or lost the request
 };
+
 struct DispatchReason {
   DispatchKind kind = DispatchKind::kFirst;
-  AttemptOutcome after = AttemptOutcome::kOk;  // of kRetry
+  AttemptOutcome after = AttemptOutcome::kOk;  // of kRetry: the outcome of the attempt before
   Choice choice;
 };
 
-// Why a query ended; figure and bound are what was compared, in the unit that stands beside each.
+// Why a query ended. Beside each: what CompletionReason::observed and threshold are, in which unit.
 enum class CompletionCause : std::uint8_t {
   kUnspecified,
-  kComplete,           // all that a whole answer needs is in: weight in, weight needed
-  kLatencyObjective,   // in part: the aim has come: weight in, least weight
-  kNoPendingRequests,  // in part: no missing part can still come: weight in, least weight
-  kLoad,               // refused at arrival: pressure, where refusals begin
-  kEndpointLoad,  // refused at arrival: slowest part's expected latency, where refusals begin; shares of the
-                  // aim
-  kNoRemainingValue,  // refused at arrival: too late or over its tenant's share to be worth anything: worth
-                      // left, 0
-  kEndpointsLost,     // given up: replicas lost under it with none of its parts answered, most that is borne
-  kCoverageUnreachable,  // given up: weight that can still come in, least weight
-  kNoLateValue,   // given up: its aim has passed and this class earns nothing later: seconds over the aim, 0
-  kExpired,       // given up: its time is over: seconds to the deadline, seconds kept back
-  kUnknownClass,  // no such class
+  kComplete,             // answered: coverage, complete coverage
+  kLatencyObjective,     // answered in part, the objective has come: coverage, minimum coverage
+  kNoPendingRequests,    // answered in part, nothing more can come: coverage, minimum coverage
+  kLoad,                 // shed: load, load at which shedding begins
+  kEndpointLoad,         // shed: expected latency of the slowest request over the time to the objective,
+                         // and the ratio at which shedding begins
+  kNoRemainingValue,     // shed, too late or over quota: value factor, 0
+  kEndpointsLost,        // abandoned as a poison query: endpoints lost under it, how many are tolerated
+  kCoverageUnreachable,  // abandoned: coverage that can still be reached, minimum coverage
+  kNoLateValue,          // abandoned, the class has no value after its objective: seconds past it, 0
+  kExpired,              // abandoned: seconds to the deadline, seconds kept back for the answer
+  kUnknownClass,
   kInvalidSettings,
 };
+
 struct CompletionReason {
   CompletionCause cause = CompletionCause::kUnspecified;
-  float observed = 0, threshold = 0;
+  float observed = 0;
+  float threshold = 0;
   EndpointId endpoint;  // of kEndpointLoad: the one whose queue decided; else none
 };
+
 constexpr CompletionReason MakeReason(CompletionCause cause, double observed, double threshold) {
   return {cause, static_cast<float>(observed), static_cast<float>(threshold), {}};
 }
 
-enum class CancelReason : std::uint8_t { kAnswered, kQueryOver, kEndpointOutlier, kDeadConnection };
-enum class CloseReason : std::uint8_t { kDeadConnection, kIdleTimeout };
+enum class CancelReason : std::uint8_t {
+  kAnswered,  // another attempt of the request was
+  kQueryOver,
+  kEndpointOutlier,  // in place of a hedge, where two attempts at once are not allowed
+  kDeadConnection,   // the connection was probably dropped while it was idle
+};
 
-// Why nothing of a part is out now. Told when it changes.
+enum class CloseReason : std::uint8_t {
+  kDeadConnection,  // an earlier request on it got no reply
+  kIdleTimeout,     // it was idle for longer than connections are known to live
+};
+
+// Why nothing of a shard request is in flight. Beside some: what `observed` and `threshold` are.
 enum class PendingReason : std::uint8_t {
   kNone,
-  kCutoff,         // light, and below the cut: cut level (0 to 1), its weight
-  kEndpointLoad,   // no replica would answer it in time: expected latency, bound; shares of the aim
-  kCanary,         // waits for the part of its query that went ahead
-  kNoEndpoint,     // none that may get it now; the choice says why
-  kRetryBudget,    // the aggregator's budget of further attempts is used up
+  kCutoff,         // below the coverage cutoff: cutoff level (0 to 1), its weight
+  kEndpointLoad,   // no replica would answer in time: expected latency over the time left, limit
+  kCanary,         // waits for its query's canary
+  kNoEndpoint,     // no replica may get it now; see the choice
+  kRetryBudget,    // the coordinator's budget of retries or hedges is used up
   kAttemptLimit,   // attempts so far, most attempts
-  kNotRepeatable,  // an attempt may have run, and the class forbids a repeat, or does by now
-  kPoisonQuery,    // it was out at a replica that died, and no part of its query has been answered
-  kDeadline,       // seconds left, seconds kept back
+  kNotRepeatable,  // an attempt may have run, and the class forbids a repeat now
+  kPoisonQuery,    // it was in flight at an endpoint that was lost, and its query is not cleared
+  kDeadline,       // seconds left, seconds kept back for the answer
 };
+
+// Reported whenever the reason changes.
 struct PendingShardRequest {
   Id shard_request = 0;
   PendingReason reason = PendingReason::kNone;
-  float observed = 0, threshold = 0;
+  float observed = 0;
+  float threshold = 0;
   Choice choice;  // of kNoEndpoint
 };
 
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -15,8 +15,9 @@
   // such requests take down all replicas of their shards.
   bool endpoint_lost = std::ranges::any_of(shard_request.attempts, &Attempt::endpoint_lost);
   if (endpoint_lost && !query_cleared) return PendingReason::kPoisonQuery;
-  if (static_cast<int>(shard_request.attempts.size()) >= settings_.max_attempts)
+  if (static_cast<int>(shard_request.attempts.size()) >= settings_.max_attempts) {
     return PendingReason::kAttemptLimit;
+  }
   return MayRepeat(cls, shard_request, now) ? PendingReason::kNone : PendingReason::kNotRepeatable;
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,7 +1,9 @@
-// The decisions of a query router in front of a sharded, replicated store: events in, actions out.
+// The decisions of a query coordinator in front of a sharded, replicated store: events in, actions out.
+// No I/O, no clock and no global state. Which module decides what: docs/design/routing.md.
 #ifndef LIFTRUDDER_ROUTING_ROUTER_H_
 #define LIFTRUDDER_ROUTING_ROUTER_H_
 
+#include <cstdint>
 #include <memory>
 #include <span>
 #include <vector>
@@ -14,8 +16,9 @@
 
 namespace liftrudder::routing {
 
-// One aggregator. Not thread-safe; instances share nothing. Same settings, seed and events: same actions.
-// With settings that CheckSettings turns down it fails every query at once and does nothing else.
+// The router of one coordinator. Not thread-safe; instances share nothing. The same settings, seed and events
+// give the same actions. With settings that CheckSettings finds impossible it fails every query at once and
+// does nothing else.
 class Router {
  public:
   Router(const Settings& settings, std::uint64_t seed);
@@ -23,12 +26,14 @@
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  // All events happen at `now`; the actions appended take effect at `now`, in order. `held`, where given,
-  // gets a line for each part that is not sent, or not sent again, whenever the reason changes.
+  // Runs one round. All events happen at `now`, which must not go backwards; the actions appended take effect
+  // at `now`, in order. `pending`, where given, gets an entry for each shard request that is not sent, or not
+  // sent again, whenever the reason changes.
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
               std::vector<PendingShardRequest>* pending = nullptr);
-  // Replicas listed that got nothing new of their own accord in the last round: they drain, look sick or are
-  // far.
+
+  // How many listed endpoints got nothing new but probe requests in the last round: draining, ejected, or in
+  // an ejected zone.
   int Avoided() const;
 
  private:
--- a/src/routing/settings_validation.cpp
+++ b/src/routing/settings_validation.cpp
@@ -20,18 +20,23 @@
 Result CheckClass(const QueryClassSettings& cls, std::size_t index) {
   auto objective_us = static_cast<double>(cls.latency_objective_us);
   auto timeout_us = static_cast<double>(cls.client_timeout_us);
-  if (cls.latency_objective_us <= 0)
+  if (cls.latency_objective_us <= 0) {
     return InvalidSetting{SettingsRule::kPositive, "latency_objective_us", objective_us, index};
-  if (cls.client_timeout_us < cls.latency_objective_us)
+  }
+  if (cls.client_timeout_us < cls.latency_objective_us) {
     return InvalidSetting{SettingsRule::kTimeoutCoversObjective, "client_timeout_us", timeout_us, index};
+  }
   // Written so that NaN breaks the rule.
-  if (!(cls.floor >= 0 && cls.floor <= 1))
-    return InvalidSetting{SettingsRule::kFraction, "floor", cls.floor, index};
-  if (!(cls.complete_coverage > 0 && cls.complete_coverage <= 1))
+  if (!(cls.min_coverage >= 0 && cls.min_coverage <= 1)) {
+    return InvalidSetting{SettingsRule::kFraction, "min_coverage", cls.min_coverage, index};
+  }
+  if (!(cls.complete_coverage > 0 && cls.complete_coverage <= 1)) {
     return InvalidSetting{SettingsRule::kPositiveFraction, "complete_coverage", cls.complete_coverage, index};
-  if (cls.fetch_phase_requests < 0)
+  }
+  if (cls.fetch_phase_requests < 0) {
     return InvalidSetting{SettingsRule::kNotNegative, "fetch_phase_requests",
                           static_cast<double>(cls.fetch_phase_requests), index};
+  }
   return std::nullopt;
 }
 
@@ -60,16 +65,18 @@
 }  // namespace
 
 std::optional<InvalidSetting> CheckSettings(const Settings& settings) {
-  if (settings.classes.empty())
+  if (settings.classes.empty()) {
     return InvalidSetting{SettingsRule::kClassRequired, "classes", 0, std::nullopt};
+  }
   for (std::size_t index = 0; index < settings.classes.size(); ++index) {
     if (Result invalid = CheckClass(settings.classes[index], index)) return invalid;
   }
   if (Result invalid = AtLeastOne("cells", settings.cells)) return invalid;
   if (Result invalid = AtLeastOne("reach", settings.reach)) return invalid;
-  if (settings.reach > settings.cells)
+  if (settings.reach > settings.cells) {
     return InvalidSetting{SettingsRule::kReachWithinCells, "reach", static_cast<double>(settings.reach),
                           std::nullopt};
+  }
   if (Result invalid = AtLeastOne("shards", settings.shards)) return invalid;
   if (Result invalid = AtLeastOne("fleet_size", settings.fleet_size)) return invalid;
   if (Result invalid = AtLeastOne("max_requests_per_call", settings.max_requests_per_call)) return invalid;
@@ -77,9 +84,10 @@
   if (Result invalid = NotNegative("decision_interval_us", settings.decision_interval_us)) return invalid;
   if (Result invalid = NotNegative("slow_start_us", settings.slow_start_us)) return invalid;
   if (Result invalid = NotNegative("collapse_window_us", settings.collapse_window_us)) return invalid;
-  if (settings.has_retry_budget && settings.retry_budget_window_us <= 0)
+  if (settings.has_retry_budget && settings.retry_budget_window_us <= 0) {
     return InvalidSetting{SettingsRule::kPositive, "retry_budget_window_us",
                           static_cast<double>(settings.retry_budget_window_us), std::nullopt};
+  }
   return std::nullopt;
 }
 
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -1,4 +1,4 @@
-// Identifiers, times and endpoints, as all of the routing module names them. Plain data.
+// Identifiers, times and endpoints, as all of the routing module names them. Plain data; decides nothing.
 #ifndef LIFTRUDDER_ROUTING_TYPES_H_
 #define LIFTRUDDER_ROUTING_TYPES_H_
 
@@ -7,25 +7,34 @@
 
 namespace liftrudder::routing {
 
-using Micros = std::int64_t;  // times and spans; the clock has no particular origin
-using Id = std::uint32_t;     // a query or a part
+// A point in time or a span, in microseconds. The clock has no particular origin and does not go backwards.
+using Micros = std::int64_t;
+
+// Identifies a query or a shard request, each unique among those in flight.
+using Id = std::uint32_t;
 
 struct EndpointId {
   std::uint32_t address = 0;
   std::uint16_t port = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
   auto operator<=>(const EndpointId&) const = default;
 };
 
-enum class Availability { kGone, kReady, kDraining };
+enum class Availability {
+  kRemoved,  // from the endpoint list
+  kReady,
+  kDraining,  // gets nothing new
+};
 
+// An entry of the endpoint list.
 struct Endpoint {
   EndpointId id;
   int zone = 0;
   int kind = 0;
-  int cell = 0;
+  int cell = 0;  // the shards that it holds, see Settings::cells
   Availability availability = Availability::kReady;
-  double weight = 1;
-  Micros started_us = 0;  // 0: long ago
+  double weight = 1;      // capacity relative to the other endpoints
+  Micros started_us = 0;  // start of its process; 0: long ago
 };
 
 }  // namespace liftrudder::routing
--- a/src/routing/zone_health.cpp
+++ b/src/routing/zone_health.cpp
@@ -29,8 +29,9 @@
   }
   for (const auto& [id, state] : endpoints.All()) {
     for (const auto& [key, sent_us] : state.in_flight) {
-      if (static_cast<double>(now - sent_us) > kSlowLatencyRatio * median_latency_us)
+      if (static_cast<double>(now - sent_us) > kSlowLatencyRatio * median_latency_us) {
         ++zones_[state.zone].overdue;
+      }
     }
   }
   bool any_well = std::ranges::any_of(
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -71,7 +71,7 @@
   void Lose(Holder& endpoint) {
     endpoint.up = false;
     endpoint.lost = now;
-    endpoint.told.availability = Availability::kGone;
+    endpoint.told.availability = Availability::kRemoved;
     TellAll(endpoint);
   }
   void Return(Holder& endpoint) {
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -23,9 +23,9 @@
   whole.client_timeout_us = 3 * kLatencyObjective;
   whole.late_value_fraction = 0.2;
   QueryClassSettings partial = whole;
-  partial.floor = 0.4;
+  partial.min_coverage = 0.4;
   partial.partial_value_factor = 0.9;
-  partial.worth = 3;
+  partial.priority_weight = 3;
   QueryClassSettings fetching = partial;
   fetching.latency_objective_us = 2 * kLatencyObjective;
   fetching.fetch_phase_requests = 2;
@@ -281,7 +281,7 @@
   bench.Do(
       EndpointListUpdate{EndpointListKind::kDelta,
                          2,
-                         {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kGone)}});
+                         {Bench::Member(0, Availability::kDraining), Bench::Member(1, Availability::kRemoved)}});
   for (Id id = 1; id <= 20; ++id) bench.Ask(id, kComplete, {1});
   for (const auto& [send, attempt] : bench.sent) EXPECT_GE(send.endpoint.address, 2u);
 }
@@ -422,7 +422,7 @@
     errors += bad;
     bench.EndAll();
   }
-  for (Availability how : {Availability::kGone, Availability::kReady})
+  for (Availability how : {Availability::kRemoved, Availability::kReady})
     bench.Do(EndpointListUpdate{EndpointListKind::kDelta, 2, {Bench::Member(2, how)}});
   std::set<EndpointId> used;
   for (int i = 0; i < 4; ++i) {
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -112,7 +112,7 @@
   EXPECT_EQ(ended.endpoint, (EndpointId{0x0a124a07, 0x138b}));
   EXPECT_EQ(ended.code, AttemptOutcome::kOk);
   EXPECT_EQ(ended.spent_us, 18500);
-  EXPECT_TRUE(ended.part_done);
+  EXPECT_TRUE(ended.shard_request_done);
   EXPECT_EQ(ended.load, (std::vector<double>{3, 7, 140}));
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -44,7 +44,7 @@
   auto ended = permission_table.End({{6, 0}, Progress::kAnswering, Cause::kServed, {}, "v"}, 30);
   REQUIRE(ended);
   CHECK(ended->spent_us == 20);
-  CHECK(ended->part_done);
+  CHECK(ended->shard_request_done);
   CHECK_FALSE(permission_table.End({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
   CHECK(permission_table.Expired(1000).empty());
   CHECK(permission_table.Close(5).at(0).value == "v");
@@ -63,7 +63,7 @@
   // At once: how long before it was told is not known.
   auto stop = endpoint_registry.Find(id).drain_deadline_us;
   CHECK(stop == 30);
-  a.told.availability = liftrudder::routing::Availability::kGone;
+  a.told.availability = liftrudder::routing::Availability::kRemoved;
   REQUIRE(endpoint_registry.Apply({6, liftrudder::routing::EndpointListKind::kDelta, {a}}, 500'000));
   CHECK(endpoint_registry.Find(id).drain_deadline_us == stop);  // the first telling counts
   a.addr = "127.0.0.1:9";
@@ -91,7 +91,7 @@
 TEST_CASE("a holder that is gone for long is forgotten, and is another one when it comes back") {
   coordinator::EndpointRegistry endpoint_registry;
   coordinator::EndpointEntry a{"a", "127.0.0.1:1", {}}, gone = a;
-  gone.told.availability = liftrudder::routing::Availability::kGone;
+  gone.told.availability = liftrudder::routing::Availability::kRemoved;
   auto id =
       endpoint_registry.Apply({1, liftrudder::routing::EndpointListKind::kFull, {a}}, 10)->endpoints[0].id;
   endpoint_registry.Apply({2, liftrudder::routing::EndpointListKind::kDelta, {gone}}, 20);
