--- /dev/null
+++ b/tests/routing/completion_policy_test.cpp
@@ -0,0 +1,76 @@
+#include <gtest/gtest.h>
+
+#include "routing/router_harness.h"
+
+namespace liftrudder::routing {
+namespace {
+
+TEST(CompletionPolicy, EndsOnceBeforeTheDeadlineAndSendsNothingAfter) {
+  RouterHarness harness;
+  harness.ReceiveQuery(1, kCompleteOnly, {1}, kLatencyObjective);
+  int ends = 0;
+  for (Micros t = 0; t < 2 * kLatencyObjective; t += 5 * kMs) {
+    std::size_t sends = harness.sent.size();
+    harness.Advance(5 * kMs);
+    auto count = harness.LastActions<Reject>().size() + harness.LastActions<Fail>().size() +
+                 harness.LastActions<Answer>().size();
+    if (ends > 0) {
+      EXPECT_EQ(harness.sent.size(), sends);
+    }
+    if (count > 0) {
+      EXPECT_LT(harness.now, 100000 * kMs + kLatencyObjective);
+    }
+    ends += static_cast<int>(count);
+  }
+  EXPECT_EQ(ends, 1);
+}
+
+TEST(CompletionPolicy, AnswersInPartOnlyFromTheMinimumCoverageOn) {
+  RouterHarness harness;
+  harness.ReceiveQuery(1, kPartialAllowed, {0.5, 0.3, 0.2});
+  harness.now += 50 * kMs;
+  harness.Finish(101, 0);
+  harness.now = 100000 * kMs + kLatencyObjective;
+  harness.Advance(0);
+  EXPECT_TRUE(harness.LastActions<Answer>().empty());  // 0.3 is below the minimum coverage of 0.4
+  harness.Finish(100, 0);
+  ASSERT_EQ(harness.LastActions<Answer>().size(), 1u);
+  EXPECT_FALSE(harness.LastActions<Answer>()[0].complete);
+}
+
+TEST(CompletionPolicy, IsCompleteOnlyWhenBothPhasesAre) {
+  RouterHarness harness;
+  harness.ReceiveQuery(1, kTwoPhases, {0.6, 0.4}, 3 * kLatencyObjective);
+  harness.now += 50 * kMs;
+  harness.FinishAll();
+  ASSERT_EQ(harness.LastActions<Answer>().size(), 1u);
+  EXPECT_TRUE(harness.LastActions<Answer>()[0].complete);
+  harness.Handle({ShardRequestReceived{201, 1, 0, 0.5, 0, 0}, ShardRequestReceived{202, 1, 1, 0.5, 0, 0}});
+  harness.now += 50 * kMs;
+  harness.Finish(201, 0);
+  EXPECT_TRUE(harness.LastActions<Answer>().empty());
+  harness.Finish(202, 0);
+  ASSERT_EQ(harness.LastActions<Answer>().size(), 1u);
+  EXPECT_TRUE(harness.LastActions<Answer>()[0].complete);
+}
+
+TEST(CompletionPolicy, AnswersInPartWithTimeLeftForTheWayToTheClient) {
+  Settings settings = BaseSettings();
+  settings.decision_interval_us = 1 * kMs;  // a margin of some rounds alone would be 3 ms
+  RouterHarness harness(settings);
+  harness.RunCalmQueries(60);
+  Micros asked = harness.now;
+  harness.ReceiveQuery(1, kPartialAllowed, {0.5, 0.5}, 2 * kLatencyObjective);
+  harness.now += 100 * kMs;
+  harness.Finish(100, 0);
+  while (harness.LastActions<Answer>().empty() && harness.now < asked + kLatencyObjective) {
+    harness.Advance(1 * kMs);
+  }
+  ASSERT_EQ(harness.LastActions<Answer>().size(), 1u);
+  EXPECT_LE(harness.now, asked + kLatencyObjective * 98 / 100);
+  EXPECT_GE(harness.now,
+            asked + kLatencyObjective * 95 / 100);  // a request answered before that still counts
+}
+
+}  // namespace
+}  // namespace liftrudder::routing
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -156,7 +156,8 @@
         if (spent > send->timeout_us) spent = send->timeout_us, code = AttemptOutcome::kTimeout;
       }
       Tell(g, now + spent,
-           AttemptFinished{send->shard_request, attempt, send->endpoint, code, spent, code == AttemptOutcome::kOk, {}});
+           AttemptFinished{
+               send->shard_request, attempt, send->endpoint, code, spent, code == AttemptOutcome::kOk, {}});
     }
   }
 
