--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -1,16 +1,18 @@
-// Drives the decision module with a random but repeatable world and prints a digest of all its actions, so
-// that two versions of the decision module can be compared: same seeds, same digests, or the decisions
-// differ. The world reacts to the actions (holders queue, fail, fall silent, drain, restart, are replaced),
-// so a single different action shows in all that follows. Only fields that every version has are looked at.
+// Drives the decision module with a random but repeatable world and prints a digest of all its actions, to
+// compare two versions of it: with the same seeds the digests are the same, or the decisions differ. The
+// world reacts to the actions (endpoints queue, fail, stop answering, drain and restart), so a single
+// different action shows in all that follows. Reasons are not part of the digest.
 //
 //   replay_digest SEEDS [SECONDS]      one line a seed: seed, events, actions, digest
+#include <algorithm>
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
 #include <map>
 #include <queue>
 #include <random>
-#include <set>
+#include <variant>
+#include <vector>
 
 #include "routing/router.h"
 
@@ -18,193 +20,297 @@
 
 using namespace liftrudder::routing;
 
-struct World {
-  World(std::uint64_t seed, Micros length)
-      : random(seed), length_us(length), module(Make(seed), seed * 31 + 7) {}
-
-  static Settings Make(std::uint64_t seed) {
-    Settings s;
-    QueryClassSettings search{2'000'000, 4'000'000, 0.3, 5,   Effect::kIdempotent, 5'000'000, 0,
-                              0,         0.4,       1,   0.95};
-    QueryClassSettings report{3'000'000, 10'000'000, 0.1, 3, Effect::kIdempotent, 5'000'000, 0, 0, 1, 1, 0.9};
-    QueryClassSettings permission_table{2'000'000, 5'000'000, 0, 1,  Effect::kIdempotencyKey, 5'000'000, 0,
-                                        0,         1,         1, 0.9};
-    if (seed % 4 == 1) permission_table.effect = Effect::kNonIdempotent;
-    s.classes = {search, report, permission_table};
-    s.fleet_size = 2;
-    s.cells = s.shards = 12;
-    s.reach = 3;
-    s.max_attempts = 3;
-    s.cancellation_allowed = seed % 5 != 4;
-    s.hedging_allowed = seed % 3 != 2;
-    s.retry_after_allowed = s.health_checks_allowed = true;
-    s.max_retry_after_us = 500'000;
-    s.decision_interval_us = 5'000;
-    s.grace_to_answer_us = 20'000;
-    s.drain_grace_us = 1'000'000;
-    s.slow_start_capacity = 0.19;
-    s.slow_start_us = 18'000'000;
-    s.collapse_load_multiple = 4;
-    s.collapse_window_us = 2'000'000;
-    s.has_retry_budget = seed % 7 == 6;
-    s.retry_budget_floor = 5;
-    s.retry_budget_ratio = 0.2;
-    s.retry_budget_window_us = 10'000'000;
-    return s;
-  }
-
-  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random); }
-  void Mix(std::uint64_t value) {
-    digest ^= value + 0x9e3779b97f4a7c15ULL + (digest << 6) + (digest >> 2);
-    digest *= 0xff51afd7ed558ccdULL;
+constexpr int kCells = 12;
+constexpr Micros kRoundUs = 5'000;
+constexpr Micros kSecondUs = 1'000'000;
+constexpr Micros kStartUs = 1'000 * kSecondUs;
+constexpr Micros kFirstFaultUs = 3 * kSecondUs;
+constexpr Micros kFaultIntervalUs = 1'500'000;
+
+QueryClassSettings SearchClass() {
+  QueryClassSettings search;
+  search.latency_objective_us = 2'000'000;
+  search.client_timeout_us = 4'000'000;
+  search.late_value_fraction = 0.3;
+  search.priority_weight = 5;
+  search.effect = Effect::kIdempotent;
+  search.deduplication_window_us = 5'000'000;
+  search.min_coverage = 0.4;
+  search.complete_coverage = 1;
+  search.partial_value_factor = 0.95;
+  return search;
+}
+
+QueryClassSettings ReportClass() {
+  QueryClassSettings report;
+  report.latency_objective_us = 3'000'000;
+  report.client_timeout_us = 10'000'000;
+  report.late_value_fraction = 0.1;
+  report.priority_weight = 3;
+  report.effect = Effect::kIdempotent;
+  report.deduplication_window_us = 5'000'000;
+  report.partial_value_factor = 0.9;
+  return report;
+}
+
+QueryClassSettings WriteClass(std::uint64_t seed) {
+  QueryClassSettings write;
+  write.latency_objective_us = 2'000'000;
+  write.client_timeout_us = 5'000'000;
+  write.late_value_fraction = 0;
+  write.priority_weight = 1;
+  write.effect = seed % 4 == 1 ? Effect::kNonIdempotent : Effect::kIdempotencyKey;
+  write.deduplication_window_us = 5'000'000;
+  write.partial_value_factor = 0.9;
+  return write;
+}
+
+// The seed also picks what is allowed, so that a few seeds meet most combinations.
+Settings SettingsOf(std::uint64_t seed) {
+  Settings settings;
+  settings.classes = {SearchClass(), ReportClass(), WriteClass(seed)};
+  settings.fleet_size = 2;
+  settings.cells = settings.shards = kCells;
+  settings.reach = 3;
+  settings.max_attempts = 3;
+  settings.cancellation_allowed = seed % 5 != 4;
+  settings.hedging_allowed = seed % 3 != 2;
+  settings.retry_after_allowed = settings.health_checks_allowed = true;
+  settings.max_retry_after_us = 500'000;
+  settings.decision_interval_us = kRoundUs;
+  settings.grace_to_answer_us = 20'000;
+  settings.drain_grace_us = 1'000'000;
+  settings.slow_start_capacity = 0.19;
+  settings.slow_start_us = 18'000'000;
+  settings.collapse_load_multiple = 4;
+  settings.collapse_window_us = 2'000'000;
+  settings.has_retry_budget = seed % 7 == 6;
+  settings.retry_budget_floor = 5;
+  settings.retry_budget_ratio = 0.2;
+  settings.retry_budget_window_us = 10'000'000;
+  return settings;
+}
+
+// An order-dependent hash of all actions.
+class ActionDigest {
+ public:
+  void Add(const Action& action) {
+    Mix(action.index());
+    std::visit([this](const auto& what) { AddFields(what); }, action);
+  }
+  std::uint64_t Value() const { return value_; }
+
+ private:
+  void AddFields(const Send& send) {
+    Mix(send.shard_request);
+    Mix(send.endpoint.address);
+    Mix(static_cast<std::uint64_t>(send.timeout_us));
+  }
+  void AddFields(const Answer& answer) {
+    Mix(answer.query);
+    Mix(answer.complete ? 1 : 0);
+  }
+  void AddFields(const Reject& reject) {
+    Mix(reject.query);
+    Mix(static_cast<std::uint64_t>(reject.retry_after_us));
   }
+  void AddFields(const Fail& fail) { Mix(fail.query); }
+  void AddFields(const Cancel& cancel) {
+    Mix(cancel.shard_request);
+    Mix(static_cast<std::uint64_t>(cancel.attempt));
+  }
+  void AddFields(const Close& close) { Mix(close.endpoint.address); }
+  void AddFields(const SetTimer& timer) {
+    Mix(static_cast<std::uint64_t>(timer.span_us));
+    Mix(timer.label);
+  }
+  void AddFields(const Subscribe&) {}
 
-  void Tell(EndpointListKind kind) {
-    EndpointListUpdate update{kind, ++version, {}};
-    for (auto& [id, endpoint] : endpoints) update.endpoints.push_back(endpoint.told);
-    events.push_back(update);
+  void Mix(std::uint64_t value) {
+    value_ ^= value + 0x9e3779b97f4a7c15ULL + (value_ << 6) + (value_ >> 2);
+    value_ *= 0xff51afd7ed558ccdULL;
   }
 
-  void Arrive() {
-    QueryReceived query;
-    query.id = next_id++;
-    query.number = ++number;
-    query.class_index = static_cast<int>(random() % 3);
-    query.shard_requests = query.class_index == 0   ? 12
-                  : query.class_index == 1 ? 6
-                                           : 1 + static_cast<int>(random() % 2);
-    query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
-    events.push_back(query);
-    auto first = static_cast<int>(random() % 12);
-    double sum = 0;
-    for (int i = 0; i < query.shard_requests; ++i) sum += 1.0 / (i + 1);
-    for (int i = 0; i < query.shard_requests; ++i) {
-      events.push_back(ShardRequestReceived{next_id++, number, (first + i) % 12, 1.0 / (i + 1) / sum, 0, 0});
+  std::uint64_t value_ = 0;
+};
+
+// One router, its clients and its endpoints, in virtual time. The order of random draws is part of the
+// digest.
+class World {
+ public:
+  World(std::uint64_t seed, Micros length_us)
+      : random_(seed), length_us_(length_us), router_(SettingsOf(seed), seed * 31 + 7) {}
+
+  void Run() {
+    for (int cell = 0; cell < kCells; ++cell) {
+      EndpointId id{static_cast<std::uint32_t>(cell + 1), 1};
+      endpoints_[id].listed = {id, 0, 0, cell, Availability::kReady, 1, 0};
+    }
+    ListEndpoints(EndpointListKind::kCached);
+    Micros next_fault_us = kFirstFaultUs;
+    while (now_ < kStartUs + length_us_) {
+      now_ += kRoundUs;
+      MaybeReceiveQuery();
+      if (now_ - kStartUs > next_fault_us) {
+        ChangeFaults();
+        next_fault_us += kFaultIntervalUs;
+      }
+      CollectDueEvents();
+      if (!events_.empty()) RunRound();
     }
-    if (Unit() < 0.01) gone.insert({now + 300'000, query.id});
   }
 
-  struct Holder {
-    Endpoint told;
-    Micros free_us = 0;
-    bool silent = false;
-    double errors = 0;
+  std::size_t EventCount() const { return event_count_; }
+  std::size_t ActionCount() const { return action_count_; }
+  std::uint64_t Digest() const { return digest_.Value(); }
+
+ private:
+  struct FakeEndpoint {
+    Endpoint listed;
+    Micros free_us = 0;  // its queue is done then
+    bool unresponsive = false;
+    double error_rate = 0;
   };
-  struct Due {
-    Micros at;
-    AttemptFinished ended;
-    bool operator<(const Due& other) const { return at > other.at; }
+  struct DueOutcome {
+    Micros at_us = 0;
+    AttemptFinished finished;
+    bool operator<(const DueOutcome& other) const { return at_us > other.at_us; }
   };
 
-  void Do(const Send& send) {
-    int attempt = attempts[send.shard_request]++;
-    Holder& endpoint = endpoints[send.endpoint];
-    AttemptFinished ended{send.shard_request, attempt, send.endpoint, AttemptOutcome::kOk, 0, true, {}};
-    Micros at = now + send.timeout_us;
-    double dice = Unit();
-    if (endpoint.silent) {
-      ended.code = AttemptOutcome::kTimeout;
-    } else if (dice < endpoint.errors) {
-      ended.code = static_cast<AttemptOutcome>(1 + random() % 5);
-      at = std::min(at, now + 2'000);
-    } else {
-      endpoint.free_us = std::max(endpoint.free_us, now) + static_cast<Micros>(40'000 + 80'000 * Unit());
-      if (endpoint.free_us > at) {
-        ended.code = AttemptOutcome::kTimeout;
-      } else {
-        at = endpoint.free_us;
-      }
+  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+
+  void ListEndpoints(EndpointListKind kind) {
+    EndpointListUpdate update{kind, ++list_version_, {}};
+    for (const auto& [id, endpoint] : endpoints_) update.endpoints.push_back(endpoint.listed);
+    events_.emplace_back(update);
+  }
+
+  // The rate of queries rises in three steps of five seconds, over and over.
+  void MaybeReceiveQuery() {
+    constexpr Micros kStepUs = 5 * kSecondUs;
+    constexpr double kRoundSeconds = 0.005;
+    auto step = static_cast<double>((now_ - kStartUs) / kStepUs % 3);
+    double queries_per_s = 20 + 30 * Unit() * step;
+    if (Unit() < queries_per_s * kRoundSeconds) ReceiveQuery();
+  }
+
+  void ReceiveQuery() {
+    QueryReceived query;
+    query.id = next_id_++;
+    query.number = ++query_number_;
+    query.class_index = static_cast<int>(random_() % 3);
+    query.shard_requests = RequestCount(query.class_index);
+    query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
+    events_.emplace_back(query);
+    auto first_shard = static_cast<int>(random_() % kCells);
+    double weight_sum = 0;
+    for (int i = 0; i < query.shard_requests; ++i) weight_sum += 1.0 / (i + 1);
+    for (int i = 0; i < query.shard_requests; ++i) {
+      double weight = 1.0 / (i + 1) / weight_sum;
+      events_.emplace_back(
+          ShardRequestReceived{next_id_++, query_number_, (first_shard + i) % kCells, weight, 0, 0});
     }
-    ended.spent_us = at - now;
-    due.push({at, ended});
+    if (Unit() < 0.01) disconnects_.insert({now_ + 300'000, query.id});
   }
-  void Do(const Cancel& cancel) {
-    if (Unit() < 0.7)
-      due.push({now + 5'000, {cancel.shard_request, cancel.attempt, {}, AttemptOutcome::kCancelled, 5'000, true, {}}});
+
+  int RequestCount(int class_index) {
+    if (class_index == 0) return kCells;
+    if (class_index == 1) return kCells / 2;
+    return 1 + static_cast<int>(random_() % 2);
   }
-  void Do(const SetTimer& timer) { timers.insert({now + timer.span_us, timer.label}); }
-  void Do(const auto&) {}
 
-  void Note(const Action& action) {
-    Mix(action.index());
-    if (const auto* a = std::get_if<Send>(&action))
-      Mix(a->shard_request), Mix(a->endpoint.address), Mix(static_cast<std::uint64_t>(a->timeout_us));
-    if (const auto* a = std::get_if<Answer>(&action)) Mix(a->query), Mix(a->complete);
-    if (const auto* a = std::get_if<Reject>(&action))
-      Mix(a->query), Mix(static_cast<std::uint64_t>(a->retry_after_us));
-    if (const auto* a = std::get_if<Fail>(&action)) Mix(a->query);
-    if (const auto* a = std::get_if<Cancel>(&action))
-      Mix(a->shard_request), Mix(static_cast<std::uint64_t>(a->attempt));
-    if (const auto* a = std::get_if<Close>(&action)) Mix(a->endpoint.address);
-    if (const auto* a = std::get_if<SetTimer>(&action))
-      Mix(static_cast<std::uint64_t>(a->span_us)), Mix(a->label);
-  }
-
-  void Trouble() {
-    for (auto& [id, endpoint] : endpoints) {
-      if (Unit() < 0.01) endpoint.silent = !endpoint.silent;
-      if (Unit() < 0.01) endpoint.errors = endpoint.errors > 0 ? 0 : 0.6;
-      if (Unit() < 0.02)
-        endpoint.told.availability = Availability::kDraining;
-      else if (endpoint.told.availability == Availability::kDraining && Unit() < 0.3) {
-        endpoint.told.availability = Availability::kReady;
-        endpoint.told.started_us = now;
-        endpoint.silent = false;
+  void ChangeFaults() {
+    for (auto& [id, endpoint] : endpoints_) {
+      if (Unit() < 0.01) endpoint.unresponsive = !endpoint.unresponsive;
+      if (Unit() < 0.01) endpoint.error_rate = endpoint.error_rate > 0 ? 0 : 0.6;
+      if (Unit() < 0.02) {
+        endpoint.listed.availability = Availability::kDraining;
+      } else if (endpoint.listed.availability == Availability::kDraining && Unit() < 0.3) {
+        endpoint.listed.availability = Availability::kReady;
+        endpoint.listed.started_us = now_;
+        endpoint.unresponsive = false;
       }
     }
-    Tell(EndpointListKind::kFull);
+    ListEndpoints(EndpointListKind::kFull);
   }
 
-  void Run() {
-    for (int cell = 0; cell < 12; ++cell) {
-      EndpointId id{static_cast<std::uint32_t>(cell + 1), 1};
-      endpoints[id].told = {id, 0, 0, cell, Availability::kReady, 1, 0};
+  void CollectDueEvents() {
+    for (; !outcomes_.empty() && outcomes_.top().at_us <= now_; outcomes_.pop()) {
+      events_.emplace_back(outcomes_.top().finished);
+    }
+    for (; !timers_.empty() && timers_.begin()->first <= now_; timers_.erase(timers_.begin())) {
+      events_.emplace_back(TimerFired{timers_.begin()->second});
     }
-    Tell(EndpointListKind::kCached);
+    for (; !disconnects_.empty() && disconnects_.begin()->first <= now_;
+         disconnects_.erase(disconnects_.begin())) {
+      events_.emplace_back(ClientDisconnected{disconnects_.begin()->second});
+    }
+  }
+
+  void RunRound() {
+    event_count_ += events_.size();
+    std::vector<Event> round;
+    round.swap(events_);
     std::vector<Action> actions;
-    Micros next_trouble = 3'000'000, end = now + length_us, start = now;
-    while (now < end) {
-      now += 5'000;
-      double rate = 20 + 30 * Unit() * static_cast<double>((now - start) / 5'000'000 % 3);
-      if (Unit() < rate * 0.005) Arrive();
-      if (now - start > next_trouble) Trouble(), next_trouble += 1'500'000;
-      while (!due.empty() && due.top().at <= now) events.push_back(due.top().ended), due.pop();
-      while (!timers.empty() && timers.begin()->first <= now) {
-        events.push_back(TimerFired{timers.begin()->second});
-        timers.erase(timers.begin());
-      }
-      while (!gone.empty() && gone.begin()->first <= now) {
-        events.push_back(ClientDisconnected{gone.begin()->second});
-        gone.erase(gone.begin());
-      }
-      if (events.empty()) continue;
-      event_count += events.size();
-      std::vector<Event> round;
-      round.swap(events);
-      actions.clear();
-      module.Handle(now, round, actions);
-      action_count += actions.size();
-      for (const Action& action : actions) {
-        Note(action);
-        std::visit([this](const auto& what) { Do(what); }, action);
+    router_.Handle(now_, round, actions);
+    action_count_ += actions.size();
+    for (const Action& action : actions) {
+      digest_.Add(action);
+      std::visit([this](const auto& what) { Perform(what); }, action);
+    }
+  }
+
+  void Perform(const Send& send) {
+    int attempt = attempts_[send.shard_request]++;
+    FakeEndpoint& endpoint = endpoints_[send.endpoint];
+    AttemptFinished finished{send.shard_request, attempt, send.endpoint, AttemptOutcome::kOk, 0, true, {}};
+    Micros at_us = now_ + send.timeout_us;
+    double chance = Unit();
+    if (endpoint.unresponsive) {
+      finished.code = AttemptOutcome::kTimeout;
+    } else if (chance < endpoint.error_rate) {
+      finished.code = static_cast<AttemptOutcome>(1 + random_() % 5);  // kError to kReset
+      at_us = std::min(at_us, now_ + 2'000);
+    } else {
+      auto work_us = static_cast<Micros>(40'000 + 80'000 * Unit());
+      endpoint.free_us = std::max(endpoint.free_us, now_) + work_us;
+      if (endpoint.free_us > at_us) {
+        finished.code = AttemptOutcome::kTimeout;
+      } else {
+        at_us = endpoint.free_us;
       }
     }
+    finished.spent_us = at_us - now_;
+    outcomes_.push({at_us, finished});
   }
 
-  std::mt19937_64 random;
-  Micros length_us, now = 1'000'000'000;
-  Router module;
-  std::uint64_t digest = 0;
-  std::size_t event_count = 0, action_count = 0;
-  std::uint64_t version = 0;
-  Id next_id = 1;
-  std::int64_t number = 0;
-  std::vector<Event> events;
-  std::map<EndpointId, Holder> endpoints;
-  std::map<Id, int> attempts;
-  std::priority_queue<Due> due;
-  std::multimap<Micros, std::uint64_t> timers;
-  std::multimap<Micros, Id> gone;
+  void Perform(const Cancel& cancel) {
+    if (Unit() >= 0.7) return;  // the answer is faster
+    AttemptFinished finished{
+        cancel.shard_request, cancel.attempt, {}, AttemptOutcome::kCancelled, kRoundUs, true, {}};
+    outcomes_.push({now_ + kRoundUs, finished});
+  }
+
+  void Perform(const SetTimer& timer) { timers_.insert({now_ + timer.span_us, timer.label}); }
+
+  void Perform(const auto&) {}
+
+  std::mt19937_64 random_;
+  Micros length_us_;
+  Micros now_ = kStartUs;
+  Router router_;
+  ActionDigest digest_;
+  std::size_t event_count_ = 0;
+  std::size_t action_count_ = 0;
+  std::uint64_t list_version_ = 0;
+  Id next_id_ = 1;
+  std::int64_t query_number_ = 0;
+  std::vector<Event> events_;  // of the next round
+  std::map<EndpointId, FakeEndpoint> endpoints_;
+  std::map<Id, int> attempts_;  // sent, by shard request
+  std::priority_queue<DueOutcome> outcomes_;
+  std::multimap<Micros, std::uint64_t> timers_;  // labels by time
+  std::multimap<Micros, Id> disconnects_;        // queries by time
 };
 
 }  // namespace
@@ -213,9 +319,9 @@
   int seeds = argc > 1 ? std::atoi(argv[1]) : 10;
   int seconds = argc > 2 ? std::atoi(argv[2]) : 60;
   for (int seed = 1; seed <= seeds; ++seed) {
-    World world(static_cast<std::uint64_t>(seed), Micros{1'000'000} * seconds);
+    World world(static_cast<std::uint64_t>(seed), kSecondUs * seconds);
     world.Run();
-    std::printf("%d %zu %zu %016llx\n", seed, world.event_count, world.action_count,
-                static_cast<unsigned long long>(world.digest));
+    std::printf("%d %zu %zu %016llx\n", seed, world.EventCount(), world.ActionCount(),
+                static_cast<unsigned long long>(world.Digest()));
   }
 }
