--- a/src/routing/connection_reuse.h
+++ b/src/routing/connection_reuse.h
@@ -42,7 +42,7 @@
   void RecordOutcome(ConnectionState& state, AttemptOutcome outcome, Micros sent_us, Micros now);
 
   // The endpoint has not replied since its oldest request, sent at `oldest_sent_us`. True when the connection
-  // was dropped rather than the endpoint at fault, as far as can be told: its attempts are to be cancelled.
+  // was dropped rather than the endpoint at fault, as far as is known: its attempts are to be cancelled.
   bool SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us);
 
  private:
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -64,7 +64,7 @@
   EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;              // since its Send
-  bool shard_request_done = false;  // it gets no further outcomes
+  bool shard_request_done = false;  // it gets no more outcomes
   std::vector<double> load;         // load report of the endpoint; empty: none
 };
 
--- a/src/routing/load_estimator.cpp
+++ b/src/routing/load_estimator.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr double kSlowestOverMedian = 3;   // a query's slowest shard request takes about so many medians
-constexpr double kMemoryObjectives = 0.5;  // latency objectives that observations are set against each other,
+constexpr double kMemoryObjectives = 0.5;  // latency objectives after which an observation counts 1/e,
                                            // or the gap between queries, where that is longer
 constexpr double kAssumedAnswers = 3;  // of the assumed latency, so that the first ones do not decide alone
-constexpr double kLatencySlope = 0.5;  // share of the latency for each request that a further one adds
+constexpr double kLatencySlope = 0.5;  // share of the latency for each request that one more adds
 constexpr double kGapGain = 0.3;       // weight of the newest gap between queries
 constexpr double kCutoffStartLoad = 0.8;
 constexpr double kCutoffFullLoad = 1.4;
--- a/src/routing/query_table.h
+++ b/src/routing/query_table.h
@@ -48,7 +48,7 @@
   std::size_t class_index = 0;
   Micros objective_at_us = 0;  // the latency objective ends
   Micros deadline_us = 0;      // the client's patience ends
-  double value_factor = 1;     // late, or over its tenant's quota: worth less
+  double value_factor = 1;     // below 1: late, or over its tenant's quota
   int phase = 1;               // 2: fetch phase
   bool first_phase_complete = true;
   bool cleared = false;     // an endpoint answered one of its shard requests and lives: no poison query
--- a/src/routing/router_state.h
+++ b/src/routing/router_state.h
@@ -43,6 +43,9 @@
 // The modules with their state, and the order in which a round calls them. It decides nothing of its own.
 struct Router::State {
   State(const Settings& router_settings, std::uint64_t seed);
+  // The modules hold references to each other.
+  State(const State&) = delete;
+  State& operator=(const State&) = delete;
 
   void Handle(Micros at, std::span<const Event> events, std::vector<Action>& round_actions,
               std::vector<PendingShardRequest>* round_pending);
