--- a/src/app/admin_handler.h
+++ b/src/app/admin_handler.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <mutex>
 
-#include "metrics/figures.h"
+#include "metrics/operator_figures.h"
 #include "net/http.h"
 #include "net/server.h"
 
@@ -16,7 +16,7 @@
 class AdminHandler {
  public:
   // `refresh`: brings the figures up to date that are not counted but looked up.
-  AdminHandler(metrics::Figures& figures, std::function<void()> refresh)
+  AdminHandler(metrics::OperatorFigures& figures, std::function<void()> refresh)
       : figures_(figures), refresh_(std::move(refresh)) {}
 
   // From then on there is something to be ready; null: not any more, it ends.
@@ -26,7 +26,7 @@
  private:
   net::HttpResponse SetAside(bool aside);
 
-  metrics::Figures& figures_;
+  metrics::OperatorFigures& figures_;
   const std::function<void()> refresh_;
   std::mutex mutex_;
   net::Server* server_ = nullptr;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -63,13 +63,13 @@
     };
     if (key == "id") entry.id = name();
     if (key == "addr") entry.addr = name();
-    if (key == "cell") entry.told.cell = static_cast<int>(integer());
-    if (key == "zone") entry.told.zone = Place(config.zones, name());
-    if (key == "kind") entry.told.kind = Place(config.kinds, name());
-    if (key == "weight") entry.told.weight = json::Number(value).value_or(1);
+    if (key == "cell") entry.endpoint.cell = static_cast<int>(integer());
+    if (key == "zone") entry.endpoint.zone = Place(config.zones, name());
+    if (key == "kind") entry.endpoint.kind = Place(config.kinds, name());
+    if (key == "weight") entry.endpoint.weight = json::Number(value).value_or(1);
     // The module's clock starts at wall time.
-    if (key == "started_ms") entry.told.started_us = integer() * 1000;
-    if (key == "state") entry.told.availability = State(value);
+    if (key == "started_ms") entry.endpoint.started_us = integer() * 1000;
+    if (key == "state") entry.endpoint.availability = State(value);
     stated = stated || key == "state";
     return true;
   });
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -1,129 +1,144 @@
-// The one thread that owns the module and the book. Everything reaches it through a bounded queue.
+// Coordinates queries between the fronts, the router and the endpoints. A query passes these stages, each in
+// a source file of its own:
+//
+//   admission.cpp         on the front's thread: bounds what is open, numbers the query, queues it
+//   event_intake.cpp      inputs become events for the router; the in-flight table follows them
+//   coordinator.cpp       the decision round: batches of inputs, timers, the call of the router
+//   action_dispatch.cpp   attempts, cancellations and timers that the router decided on
+//   query_completion.cpp  the router's final decision on a query becomes its client's answer
+//
+// All but admission run on one thread, the coordinator thread, which owns the router and the in-flight table;
+// other threads reach it through RoundScheduler's queue. No wire format, file or socket is known here, and
+// nothing is decided about endpoints, retries or shedding: that is the router's business.
 #ifndef LIFTRUDDER_COORDINATOR_COORDINATOR_H_
 #define LIFTRUDDER_COORDINATOR_COORDINATOR_H_
 
 #include <atomic>
-#include <condition_variable>
-#include <deque>
+#include <compare>
 #include <functional>
-#include <mutex>
+#include <memory>
 #include <optional>
 #include <set>
-#include <variant>
+#include <string_view>
+#include <vector>
 
+#include "coordinator/decision_recording.h"
 #include "coordinator/in_flight_table.h"
+#include "coordinator/input.h"
 #include "coordinator/interfaces.h"
-#include "coordinator/round_pacer.h"
+#include "coordinator/round_scheduler.h"
 #include "decision_log/recorder.h"
 #include "metrics/metrics.h"
 
 namespace liftrudder::coordinator {
 
-struct QueryArrival {
-  Id id = 0;
-  QueryRequest request;
-  std::shared_ptr<ClientReply> reply;
-};
-struct ClientDisconnect {
-  Id id = 0;
-  decision_log::IntakeResult intake = decision_log::IntakeResult::kLeft;  // why its front waits no longer
-};
-using Input = std::variant<QueryArrival, ClientDisconnect, AttemptResult, routing::EndpointListUpdate>;
-
 class Coordinator {
  public:
+  // The references must outlive the coordinator. `seed` is of the router's random choices.
   Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
-              const EndpointResolver& endpoint_registry, metrics::Counters& counters);
+              const EndpointResolver& endpoint_resolver, metrics::Counters& counters);
+
+  // ---- Before Run ----
 
   void Attach(EndpointTransport& transport) { transport_ = &transport; }
-  // Before Run: called on the core's thread after each list, which may be longer than those before.
-  void OnEndpointListChange(std::function<void()> on_endpoint_list_change) { on_endpoint_list_change_ = std::move(on_endpoint_list_change); }
-  // Before Run; without one nothing is recorded.
-  void Attach(decision_log::Recorder& recorder) { recorder_ = &recorder; }
+  // Without a recorder nothing is recorded.
+  void Attach(decision_log::Recorder& recorder) { recording_.Attach(recorder); }
+  // `on_endpoint_list_change` is called on the coordinator thread after each endpoint list.
+  void OnEndpointListChange(std::function<void()> on_endpoint_list_change) {
+    on_endpoint_list_change_ = std::move(on_endpoint_list_change);
+  }
 
-  // Stage admit. The query's id, or nothing when a cap or the list of what may be open turns it away.
+  // ---- From any thread ----
+
+  // Admits a query and returns its id; nothing when too many queries and shard requests are open. `reply`
+  // gets the answer of an admitted query, unless its front posts a ClientDisconnect first.
   std::optional<Id> Admit(QueryRequest request, std::shared_ptr<ClientReply> reply);
-  // Never refused: their number is bounded by what was admitted, or by the holder list.
-  void Post(Input input);
+  // Queues an input for the next round. Never refuses.
+  void Post(Input input) { scheduler_.Post(std::move(input)); }
 
-  // From a front's thread: what the record is to know of a client. Waits for nobody.
+  // For the decision log; neither blocks. Records a request that a front rejected: `observed` passed
+  // `threshold` where there is a limit.
   void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
                   int status, std::string_view call_id, double observed = 0, double threshold = 0);
-  void NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole);
-  // Has the record made readable up to now; waits a fifth of a second at most, on the caller's thread.
-  void RefreshDecisionLog();
+  // Records a response that was written to a client, `whole` or in part.
+  void NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                    bool whole);
+  // Makes the decision log readable up to now. Blocks the caller for 200 ms at most.
+  void RefreshDecisionLog() { scheduler_.RefreshAndWait(); }
+
+  // The coordinator thread: runs decision rounds until Stop.
+  void Run();
+  void Stop() { scheduler_.Stop(); }
 
-  void Run();   // on the core's own thread, until Stop
-  void Stop();  // from any thread
-  int Open() const { return open_queries_.load(); }
-  // Holders listed that the module avoided in the last round.
-  int Avoided() const { return avoided_.load(); }
+  // The number of queries that are admitted and not answered.
+  int OpenQueries() const { return open_queries_.load(); }
+  // The number of listed endpoints that the router avoided in the last round.
+  int AvoidedEndpoints() const { return avoided_endpoints_.load(); }
 
  private:
-  // Waits for input or a timer, but never less than a resolution after the last round.
-  std::vector<Input> NextBatch(std::uint64_t& refresh);
-  // Under the lock: when the next round may begin, for what has come so far and `due_us`.
-  Micros RoundAt(Micros due_us) const;
-
-  // Stage intake: inputs to events.
-  void Take(QueryArrival& arrival);
-  void Take(ClientDisconnect& hangup);
-  void Take(AttemptResult& result);
-  void Take(routing::EndpointListUpdate& update);
-  void TakeDue();
-
-  // Stages route and send.
-  void Act(const routing::Send& send);
-  void Act(const routing::Cancel& cancel);
-  void Act(const routing::Close& close);
-  void Act(const routing::SetTimer& timer);
-  void Act(const routing::Subscribe&) {}  // the watch is always open
-
-  // Stage relay.
-  void Act(const routing::Answer& answer);
-  void Act(const routing::Reject& refuse);
-  void Act(const routing::Fail& fail);
-  void Finish(Id query, FinalAnswer answer, const routing::CompletionReason& reason);
-  void CloseQuery(Id query, int shard_requests);
-
-  // What the record is told of; nothing when there is none.
-  void Note(const decision_log::Note& note);
-  void RecordOpen(const QueryArrival& arrival);
-  void RecordPending();
-  void RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason, int shard_responses);
-  void EndRound(std::uint64_t refresh);
+  struct Timer {
+    Micros due_us = 0;
+    std::uint64_t label = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    auto operator<=>(const Timer&) const = default;
+  };
+
+  // Event intake.
+  void TakeIn(QueryArrival& arrival);
+  void TakeIn(ClientDisconnect& disconnect);
+  void TakeIn(AttemptResult& result);
+  void TakeIn(routing::EndpointListUpdate& update);
+
+  // The decision round.
+  Micros NextTimer() const;
+  void RunRound(std::vector<Input>& inputs);
+  void FireTimers();
+  void ExpireAttempts();
+  void FinishRound(std::uint64_t refresh_number);
+
+  // Action dispatch.
+  void Execute(const routing::Send& send);
+  void Execute(const routing::Cancel& cancel);
+  void Execute(const routing::Close& close);
+  void Execute(const routing::SetTimer& timer);
+  void Execute(const routing::Subscribe&) {}  // the endpoint list is always watched
+
+  // Query completion.
+  void Execute(const routing::Answer& answer);
+  void Execute(const routing::Reject& reject);
+  void Execute(const routing::Fail& fail);
+  void Complete(Id query, FinalAnswer answer, const routing::CompletionReason& reason);
+  void CountAnswer(const FinalAnswer& answer);
+  // Gives back what Admit reserved for a query with so many shard requests.
+  void ReleaseAdmission(int shard_requests);
 
   const routing::Settings settings_;
-  routing::Router aggregator_;
   const Clock& clock_;
-  const EndpointResolver& endpoint_registry_;
+  const EndpointResolver& endpoint_resolver_;
   metrics::Counters& counters_;
+  RoundScheduler scheduler_;
+
+  // Set before Run, constant afterwards.
   EndpointTransport* transport_ = nullptr;
-  decision_log::Recorder* recorder_ = nullptr;
+  DecisionRecording recording_;
   std::function<void()> on_endpoint_list_change_;
 
-  std::mutex mutex_;
-  std::condition_variable wake_;
-  std::deque<Input> queue_;
-  bool stopping_ = false;
-  bool urgent_ = false;  // something in the queue is not to wait for answers
-  RoundPacer pace_;
-  Micros sleeps_until_us_ = 0;  // 0: it looks at the queue before it sleeps
-  std::uint64_t refresh_asked_ = 0, refresh_done_ = 0;
-  std::condition_variable refreshed_;
-  std::atomic<int> open_{0};  // queries and parts, as the settings count them
+  // Shared by all threads.
+  std::atomic<int> open_entries_{0};  // queries and shard requests, as settings_.max_in_flight counts them
   std::atomic<int> open_queries_{0};
-  std::atomic<int> avoided_{0};
+  std::atomic<int> avoided_endpoints_{0};
   std::atomic<Id> next_id_{1};
 
-  // The core's thread alone:
+  // The coordinator thread's alone.
+  routing::Router router_;
   InFlightTable in_flight_;
-  std::set<std::pair<Micros, std::uint64_t>> timers_;
+  std::set<Timer> timers_;
+  std::int64_t queries_numbered_ = 0;
+  Micros now_us_ = 0;  // of the round
+  // Kept between rounds to spare allocations.
   std::vector<routing::Event> events_;
+  std::vector<routing::Action> actions_;
   std::vector<routing::PendingShardRequest> pending_;
-  std::vector<decision_log::RecordedShardRequest> recorded_shard_requests_;
-  Micros now_ = 0;
-  std::int64_t number_ = 0;
 };
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -1,15 +1,29 @@
-// What the stages tell the record of decisions. Nothing here is read by a decision.
-#include "coordinator/coordinator.h"
+#include "coordinator/decision_recording.h"
 
 namespace liftrudder::coordinator {
+namespace {
 
-void Coordinator::Note(const decision_log::Note& note) {
-  if (recorder_->Tell(note)) wake_.notify_one();
+decision_log::Verdict RecordedVerdict(const FinalAnswer& answer) {
+  switch (answer.verdict) {
+    case Verdict::kAnswered:
+      return answer.complete ? decision_log::Verdict::kComplete : decision_log::Verdict::kPartial;
+    case Verdict::kRejected:
+      return decision_log::Verdict::kRejected;
+    case Verdict::kFailed:
+      return decision_log::Verdict::kFailed;
+  }
+  return decision_log::Verdict::kFailed;
+}
+
+}  // namespace
+
+void DecisionRecording::Enqueue(const decision_log::Note& note) {
+  if (recorder_->Tell(note)) scheduler_.Wake();
 }
 
-void Coordinator::NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
-                             int class_index, int status, std::string_view call_id, double observed,
-                             double threshold) {
+void DecisionRecording::RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
+                                     int class_index, int status, std::string_view call_id, double observed,
+                                     double threshold) {
   if (recorder_ == nullptr) return;
   decision_log::Note note;
   note.intake = intake;
@@ -20,65 +34,101 @@
   note.observed = static_cast<float>(observed);
   note.threshold = static_cast<float>(threshold);
   note.SetId(call_id);
-  Note(note);
+  Enqueue(note);
 }
 
-void Coordinator::NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+void DecisionRecording::RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
+                                       std::size_t bytes, bool whole) {
   if (recorder_ == nullptr) return;
   decision_log::Note note;
   note.bytes = static_cast<std::uint32_t>(bytes);
   note.whole = whole;
   note.at_us = clock_.Now();
-  for (const AnsweredQuery& one : answered_queries) {
-    note.query = one.query;
-    note.status = static_cast<std::uint16_t>(one.status > 0 ? one.status : status);
-    Note(note);
+  for (const AnsweredQuery& answered : answered_queries) {
+    note.query = answered.query;
+    note.status = static_cast<std::uint16_t>(answered.status > 0 ? answered.status : status);
+    Enqueue(note);
   }
 }
 
-void Coordinator::RecordOpen(const QueryArrival& arrival) {
+void DecisionRecording::StartRound(Micros now_us) {
+  if (recorder_ != nullptr) recorder_->Now(now_us);
+}
+
+void DecisionRecording::FinishRound() {
+  if (recorder_ != nullptr) recorder_->Flush();
+}
+
+void DecisionRecording::RecordArrival(const QueryArrival& arrival, Micros now_us) {
   if (recorder_ == nullptr) return;
   const QueryRequest& request = arrival.request;
-  recorded_shard_requests_.clear();
-  for (const ShardRequest& shard_request : request.shard_requests)
-    recorded_shard_requests_.push_back({shard_request.shard, shard_request.weight, shard_request.work_us});
+  shard_requests_.clear();
+  for (const ShardRequest& shard_request : request.shard_requests) {
+    shard_requests_.push_back({shard_request.shard, shard_request.weight, shard_request.work_us});
+  }
   decision_log::RecordedQuery query;
   query.query = arrival.id;
-  query.arrived_us = request.received_us > 0 ? request.received_us : now_;
+  query.arrived_us = request.received_us > 0 ? request.received_us : now_us;
   query.deadline_us = request.deadline_us;
   query.class_index = request.class_index;
   query.front = request.front;
   query.is_retry = request.is_retry;
   query.call_id = request.payload->call_id;
   query.label = request.label;
-  recorder_->Open(query, recorded_shard_requests_);
+  recorder_->Open(query, shard_requests_);
+}
+
+void DecisionRecording::RecordClientDisconnect(const ClientDisconnect& disconnect) {
+  if (recorder_ == nullptr) return;
+  bool late = disconnect.intake == decision_log::IntakeResult::kLate;
+  decision_log::Verdict verdict = late ? decision_log::Verdict::kLate : decision_log::Verdict::kGone;
+  recorder_->Final(disconnect.id, verdict, {}, disconnect.intake, 0, 0);
 }
 
-// Before the round's actions: the book forgets the parts of a query that these end.
-void Coordinator::RecordPending() {
-  for (const routing::PendingShardRequest& pending : pending_) {
-    const InFlightShardRequest* shard_request = in_flight_.ShardRequest(pending.shard_request);
-    if (shard_request != nullptr) recorder_->Pending(shard_request->query, static_cast<int>(pending.shard_request - shard_request->query - 1), pending);
+void DecisionRecording::RecordEndpoints(const routing::EndpointListUpdate& update,
+                                        const EndpointResolver& resolver) {
+  if (recorder_ == nullptr) return;
+  for (const routing::Endpoint& endpoint : update.endpoints) {
+    EndpointAddress address = resolver.Find(endpoint.id);
+    recorder_->Endpoint(endpoint.id.address, address.id, address.addr);
+  }
+}
+
+void DecisionRecording::RecordPending(const std::vector<routing::PendingShardRequest>& pending,
+                                      InFlightTable& in_flight) {
+  for (const routing::PendingShardRequest& one : pending) {
+    const InFlightShardRequest* shard_request = in_flight.FindShardRequest(one.shard_request);
+    if (shard_request != nullptr) recorder_->Pending(shard_request->query, shard_request->index, one);
   }
 }
 
-void Coordinator::RecordEnd(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason,
-                            int shard_responses) {
+void DecisionRecording::RecordSent(const InFlightShardRequest& shard_request, int attempt,
+                                   const routing::Send& send) {
+  if (recorder_ != nullptr) recorder_->Sent(shard_request.query, shard_request.index, attempt, send);
+}
+
+void DecisionRecording::RecordCancelled(const InFlightShardRequest& shard_request,
+                                        const routing::Cancel& cancel) {
+  if (recorder_ != nullptr) recorder_->Cancelled(shard_request.query, shard_request.index, cancel);
+}
+
+void DecisionRecording::RecordConnectionsClosed(const routing::Close& close) {
+  if (recorder_ != nullptr) recorder_->Closed(close);
+}
+
+void DecisionRecording::RecordAttemptFinished(Id query, int shard_request_index,
+                                              const routing::AttemptFinished& finished, Progress progress,
+                                              Cause cause) {
   if (recorder_ == nullptr) return;
-  decision_log::Verdict verdict = decision_log::Verdict::kFailed;
-  if (answer.verdict == Verdict::kAnswered)
-    verdict = answer.complete ? decision_log::Verdict::kComplete : decision_log::Verdict::kPartial;
-  if (answer.verdict == Verdict::kRejected) verdict = decision_log::Verdict::kRejected;
-  recorder_->Final(query, verdict, reason, decision_log::IntakeResult::kNone, answer.retry_after_us, shard_responses);
+  recorder_->Ended(query, shard_request_index, finished.attempt, finished.endpoint.address, finished.code,
+                   progress, cause);
 }
 
-void Coordinator::EndRound(std::uint64_t refresh) {
-  if (recorder_ != nullptr) recorder_->Flush();
-  std::lock_guard lock(mutex_);
-  pace_.Ended(clock_.Now());
-  if (refresh_done_ >= refresh) return;
-  refresh_done_ = refresh;
-  refreshed_.notify_all();
+void DecisionRecording::RecordAnswer(Id query, const FinalAnswer& answer,
+                                     const routing::CompletionReason& reason, int shard_responses) {
+  if (recorder_ == nullptr) return;
+  recorder_->Final(query, RecordedVerdict(answer), reason, decision_log::IntakeResult::kNone,
+                   answer.retry_after_us, shard_responses);
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -1,77 +1,102 @@
 #include "coordinator/endpoint_registry.h"
 
-#include <algorithm>
 #include <chrono>
-#include <set>
+#include <iterator>
 
 namespace liftrudder::coordinator {
 namespace {
 
-constexpr Micros kForget = 30'000'000;  // longer than any query's budget
+// Longer than any query may take, so that no attempt is in flight to an endpoint that is forgotten.
+constexpr Micros kForgetRemovedAfterUs = 30'000'000;
 
-}  // namespace
-
-// At once, not when the settings' time is over: that runs from when the change was told, and how much later
-// it was heard here is not known; on a small share of a core, or while a watch was broken, that may be most
-// of it. The module picks others from the same list; what still waits for a connection is not sent, and goes
-// to them.
-void EndpointRegistry::StopSending(EndpointAddress& endpoint, Micros told_us) {
-  if (endpoint.drain_deadline_us == 0) endpoint.drain_deadline_us = told_us;
+// Nothing new may be sent from the notification on, although the settings allow a grace period: that period
+// runs from when the source knew of the change, and how much later it was received here is unknown. The first
+// notification counts.
+void StopSending(EndpointAddress& address, Micros notified_us) {
+  if (address.drain_deadline_us == 0) address.drain_deadline_us = notified_us;
 }
 
-std::optional<routing::EndpointListUpdate> EndpointRegistry::Apply(const EndpointList& list, Micros told_us) {
+bool IsDelta(const EndpointList& list) { return list.kind == routing::EndpointListKind::kDelta; }
+
+}  // namespace
+
+std::optional<routing::EndpointListUpdate> EndpointRegistry::Apply(const EndpointList& list,
+                                                                   Micros notified_us) {
   std::lock_guard lock(mutex_);
-  if (list.kind != routing::EndpointListKind::kCached) heard_ = true, told_.notify_all();
-  // A list that came by another way late must not bring a drained holder back.
-  bool whole = list.kind != routing::EndpointListKind::kDelta;
-  if (any_ && (whole ? list.version < version_ : list.version <= version_)) return std::nullopt;
-  any_ = true;
+  if (list.kind != routing::EndpointListKind::kCached) {
+    up_to_date_ = true;
+    up_to_date_changed_.notify_all();
+  }
+  if (IsOutdated(list)) return std::nullopt;
+  has_list_ = true;
   version_ = list.version;
+
   routing::EndpointListUpdate update;
   update.kind = list.kind;
   update.version = list.version;
-  std::set<EndpointId> named;
+  std::set<EndpointId> listed;
   for (const EndpointEntry& entry : list.entries) {
-    auto [place, fresh] = ids_.try_emplace(entry.id);
-    if (fresh) place->second = EndpointId{++given_, 1};
-    EndpointAddress& endpoint = endpoints_[place->second];
-    endpoint.id = entry.id;
-    endpoint.addr = entry.addr;
-    if (entry.told.availability == routing::Availability::kReady) {
-      endpoint.drain_deadline_us = 0;
-    } else {
-      StopSending(endpoint, told_us);
-    }
-    if (entry.told.availability != routing::Availability::kGone) {
-      disconnected_.erase(place->second);
-    } else {
-      disconnected_.try_emplace(place->second, told_us);
-    }
-    named.insert(place->second);
-    update.endpoints.push_back(entry.told);
-    update.endpoints.back().id = place->second;
+    update.endpoints.push_back(ApplyEntry(entry, notified_us));
+    listed.insert(update.endpoints.back().id);
   }
-  for (auto& [id, endpoint] : endpoints_) {
-    if (!whole || named.contains(id)) continue;
-    StopSending(endpoint, told_us);
-    disconnected_.try_emplace(id, told_us);
-  }
-  Forget(told_us);
+  if (!IsDelta(list)) RemoveUnlisted(listed, notified_us);
+  ForgetRemoved(notified_us);
   return update;
 }
 
-// Guards a long day, in which holders are replaced for ever, against growing with them. Nothing is out any
-// more at what was gone that long, older lists are ignored, and a newer one that names it again makes it a
-// new holder.
-void EndpointRegistry::Forget(Micros now) {
-  for (auto one = disconnected_.begin(); one != disconnected_.end();) {
-    auto next = std::next(one);
-    if (now - one->second > kForget) {
-      ids_.erase(endpoints_.at(one->first).id);
-      endpoints_.erase(one->first);
-      disconnected_.erase(one);
+// A list that was delayed on another path must not bring a draining endpoint back. A full list of the same
+// version is applied again: it may name endpoints that a delta did not.
+bool EndpointRegistry::IsOutdated(const EndpointList& list) const {
+  if (!has_list_) return false;
+  return IsDelta(list) ? list.version <= version_ : list.version < version_;
+}
+
+EndpointId EndpointRegistry::IdOf(const std::string& name) {
+  auto [position, inserted] = ids_.try_emplace(name);
+  if (inserted) position->second = EndpointId{++ids_assigned_, 1};
+  return position->second;
+}
+
+routing::Endpoint EndpointRegistry::ApplyEntry(const EndpointEntry& entry, Micros notified_us) {
+  routing::Endpoint endpoint = entry.endpoint;
+  endpoint.id = IdOf(entry.id);
+  EndpointAddress& address = endpoints_[endpoint.id];
+  address.id = entry.id;
+  address.addr = entry.addr;
+  if (endpoint.availability == routing::Availability::kReady) {
+    address.drain_deadline_us = 0;
+  } else {
+    StopSending(address, notified_us);
+  }
+  if (endpoint.availability == routing::Availability::kGone) {
+    removed_us_.try_emplace(endpoint.id, notified_us);
+  } else {
+    removed_us_.erase(endpoint.id);
+  }
+  return endpoint;
+}
+
+void EndpointRegistry::RemoveUnlisted(const std::set<EndpointId>& listed, Micros notified_us) {
+  for (auto& [id, address] : endpoints_) {
+    if (listed.contains(id)) continue;
+    StopSending(address, notified_us);
+    removed_us_.try_emplace(id, notified_us);
+  }
+}
+
+// Keeps the registry from growing with every endpoint that is ever replaced. Outdated lists are ignored, so
+// only a newer one can name a forgotten endpoint again, which then counts as a new endpoint.
+void EndpointRegistry::ForgetRemoved(Micros now_us) {
+  for (auto removed = removed_us_.begin(); removed != removed_us_.end();) {
+    const auto& [id, since_us] = *removed;
+    if (now_us - since_us <= kForgetRemovedAfterUs) {
+      ++removed;
+      continue;
     }
-    one = next;
+    auto endpoint = endpoints_.find(id);
+    ids_.erase(endpoint->second.id);
+    endpoints_.erase(endpoint);
+    removed = removed_us_.erase(removed);
   }
 }
 
@@ -81,20 +106,21 @@
   return found == endpoints_.end() ? EndpointAddress{} : found->second;
 }
 
-void EndpointRegistry::NothingNewer() {
+void EndpointRegistry::MarkUpToDate() {
   std::lock_guard lock(mutex_);
-  heard_ = true;
-  told_.notify_all();
+  up_to_date_ = true;
+  up_to_date_changed_.notify_all();
 }
 
-bool EndpointRegistry::WaitHeard(Micros wait_us) const {
+bool EndpointRegistry::WaitUntilUpToDate(Micros timeout_us) const {
   std::unique_lock lock(mutex_);
-  return told_.wait_for(lock, std::chrono::microseconds(wait_us), [this] { return heard_; });
+  return up_to_date_changed_.wait_for(lock, std::chrono::microseconds(timeout_us),
+                                      [this] { return up_to_date_; });
 }
 
-int EndpointRegistry::Listed() const {
+int EndpointRegistry::ListedEndpoints() const {
   std::lock_guard lock(mutex_);
-  return static_cast<int>(endpoints_.size() - disconnected_.size());
+  return static_cast<int>(endpoints_.size() - removed_us_.size());
 }
 
 std::uint64_t EndpointRegistry::Version() const {
--- a/src/coordinator/endpoint_registry.h
+++ b/src/coordinator/endpoint_registry.h
@@ -1,11 +1,15 @@
-// The holder list as last told: names to ids, addresses, and until when each may be sent to.
+// The endpoint list as last notified: the id and address of each endpoint, and since when it must get nothing
+// new. Keeps versions in order; does not fetch lists and decides nothing about healthy endpoints.
+// Thread-safe.
 #ifndef LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
 #define LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
 
 #include <condition_variable>
+#include <cstdint>
 #include <map>
 #include <mutex>
 #include <optional>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -14,11 +18,12 @@
 namespace liftrudder::coordinator {
 
 struct EndpointEntry {
-  std::string id;
-  std::string addr;
-  routing::Endpoint told;  // its id is given by the directory
+  std::string id;              // its name, unique in the list
+  std::string addr;            // "host:port"
+  routing::Endpoint endpoint;  // as the source describes it; its numeric id is assigned by the registry
 };
 
+// A list, or a change of one, as a source of endpoints notifies it.
 struct EndpointList {
   std::uint64_t version = 0;
   routing::EndpointListKind kind = routing::EndpointListKind::kFull;
@@ -27,30 +32,40 @@
 
 class EndpointRegistry : public EndpointResolver {
  public:
-  // What the module is to be told; nothing when the list is older than what is known.
-  std::optional<routing::EndpointListUpdate> Apply(const EndpointList& list, Micros told_us);
+  // Applies a list that was notified at `notified_us` and returns the event for the router; nothing when the
+  // list is older than what is known. A full list removes the endpoints that it does not name.
+  std::optional<routing::EndpointListUpdate> Apply(const EndpointList& list, Micros notified_us);
   EndpointAddress Find(const EndpointId& endpoint) const override;
   std::uint64_t Version() const;
-  // Holders that are not gone, those that drain included.
-  int Listed() const;
-  // Who would tell of a newer list has been asked and had none.
-  void NothingNewer();
-  // Until a list has come since the start, beside the one that was known before it, or was not needed; waits
-  // at most so long.
-  bool WaitHeard(Micros wait_us) const;
+  // The number of endpoints that are not removed, draining ones included.
+  int ListedEndpoints() const;
+
+  // The source has been polled and has no newer list.
+  void MarkUpToDate();
+  // Waits until a list other than a cached one has come, or MarkUpToDate was called, but at most
+  // `timeout_us`. Returns whether that happened.
+  bool WaitUntilUpToDate(Micros timeout_us) const;
 
  private:
-  static void StopSending(EndpointAddress& endpoint, Micros told_us);
-  void Forget(Micros now);
+  // The methods below require the lock.
+  bool IsOutdated(const EndpointList& list) const;
+  EndpointId IdOf(const std::string& name);
+  // Returns the endpoint as the router is to know it.
+  routing::Endpoint ApplyEntry(const EndpointEntry& entry, Micros notified_us);
+  void RemoveUnlisted(const std::set<EndpointId>& listed, Micros notified_us);
+  void ForgetRemoved(Micros now_us);
 
   mutable std::mutex mutex_;
-  mutable std::condition_variable told_;
-  bool any_ = false, heard_ = false;
+  mutable std::condition_variable up_to_date_changed_;
+
+  // Guarded by mutex_.
+  bool has_list_ = false;
+  bool up_to_date_ = false;
   std::uint64_t version_ = 0;
   std::map<std::string, EndpointId> ids_;
   std::map<EndpointId, EndpointAddress> endpoints_;
-  std::map<EndpointId, Micros> disconnected_;  // since when; they are forgotten in time
-  std::uint32_t given_ = 0;            // ids so far: none is given twice
+  std::map<EndpointId, Micros> removed_us_;  // when removed; in endpoints_ until they are forgotten
+  std::uint32_t ids_assigned_ = 0;           // no id is assigned twice
 };
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -1,65 +1,62 @@
-// Stage intake: what came in becomes the module's events, and the book is opened or closed.
+// Event intake: inputs become events for the router, and the in-flight table follows them.
+#include <algorithm>
+
 #include "coordinator/coordinator.h"
 
 namespace liftrudder::coordinator {
 
-void Coordinator::Take(QueryArrival& arrival) {
+void Coordinator::TakeIn(QueryArrival& arrival) {
   const QueryRequest& request = arrival.request;
   routing::QueryReceived query;
   query.id = arrival.id;
-  query.number = ++number_;
+  query.number = ++queries_numbered_;
   query.shard_requests = static_cast<int>(request.shard_requests.size());
   query.class_index = request.class_index;
   query.is_retry = request.is_retry;
-  query.timeout_remaining_us = std::max<Micros>(0, request.deadline_us - now_);
+  query.timeout_remaining_us = std::max<Micros>(0, request.deadline_us - now_us_);
   for (const ShardRequest& shard_request : request.shard_requests) query.work_us += shard_request.work_us;
-  events_.push_back(query);
-  for (std::size_t i = 0; i < request.shard_requests.size(); ++i) {
-    const ShardRequest& shard_request = request.shard_requests[i];
-    events_.push_back(routing::ShardRequestReceived{arrival.id + 1 + static_cast<Id>(i), number_, shard_request.shard,
-                                                    shard_request.weight, shard_request.key, shard_request.work_us});
+  events_.emplace_back(query);
+  Id shard_request_id = arrival.id;
+  for (const ShardRequest& shard_request : request.shard_requests) {
+    ++shard_request_id;
+    events_.emplace_back(routing::ShardRequestReceived{shard_request_id, query.number, shard_request.shard,
+                                                       shard_request.weight, shard_request.key,
+                                                       shard_request.work_us});
   }
-  RecordOpen(arrival);
-  in_flight_.Open(arrival.id, request, std::move(arrival.reply));
+  recording_.RecordArrival(arrival, now_us_);
+  in_flight_.AddQuery(arrival.id, request, std::move(arrival.reply));
 }
 
-void Coordinator::Take(ClientDisconnect& hangup) {
-  const InFlightQuery* query = in_flight_.Query(hangup.id);
+void Coordinator::TakeIn(ClientDisconnect& disconnect) {
+  const InFlightQuery* query = in_flight_.FindQuery(disconnect.id);
   if (query == nullptr) return;
-  counters_.gone.Add();
-  if (recorder_ != nullptr) {
-    auto verdict = hangup.intake == decision_log::IntakeResult::kLate ? decision_log::Verdict::kLate
-                                                                      : decision_log::Verdict::kGone;
-    recorder_->Final(hangup.id, verdict, {}, hangup.intake, 0, 0);
-  }
-  CloseQuery(hangup.id, query->shard_requests);
-  events_.push_back(routing::ClientDisconnected{hangup.id});
+  counters_.clients_disconnected.Add();
+  recording_.RecordClientDisconnect(disconnect);
+  int shard_requests = query->shard_requests;
+  in_flight_.RemoveQuery(disconnect.id);
+  ReleaseAdmission(shard_requests);
+  events_.emplace_back(routing::ClientDisconnected{disconnect.id});
 }
 
-void Coordinator::Take(AttemptResult& result) {
-  AttemptKey key = result.key;
+void Coordinator::TakeIn(AttemptResult& result) {
+  const InFlightShardRequest* shard_request = in_flight_.FindShardRequest(result.key.shard_request);
+  if (shard_request == nullptr) return;
+  // The end of its last attempt may drop the shard request.
+  Id query = shard_request->query;
+  int index = shard_request->index;
   Progress progress = result.progress;
   Cause cause = result.cause;
-  const InFlightShardRequest* shard_request = in_flight_.ShardRequest(key.shard_request);
-  Id query = shard_request != nullptr ? shard_request->query : 0;
-  auto ended = in_flight_.End(std::move(result), now_);
-  if (!ended) return;
-  if (recorder_ != nullptr) {
-    recorder_->Ended(query, static_cast<int>(key.shard_request - query - 1), key.attempt, ended->endpoint.address,
-                     ended->code, progress, cause);
-  }
-  counters_.outcomes[static_cast<std::size_t>(ended->code)].Add();
-  events_.push_back(std::move(*ended));
+  auto finished = in_flight_.FinishAttempt(std::move(result), now_us_);
+  if (!finished) return;
+  recording_.RecordAttemptFinished(query, index, *finished, progress, cause);
+  counters_.outcomes[static_cast<std::size_t>(finished->code)].Add();
+  events_.emplace_back(std::move(*finished));
 }
 
-void Coordinator::Take(routing::EndpointListUpdate& update) {
-  counters_.lists.Add();
-  for (const routing::Endpoint& endpoint : update.endpoints) {
-    if (recorder_ == nullptr) break;
-    EndpointAddress address = endpoint_registry_.Find(endpoint.id);
-    recorder_->Endpoint(endpoint.id.address, address.id, address.addr);
-  }
-  events_.push_back(std::move(update));
+void Coordinator::TakeIn(routing::EndpointListUpdate& update) {
+  counters_.endpoint_lists.Add();
+  recording_.RecordEndpoints(update, endpoint_resolver_);
+  events_.emplace_back(std::move(update));
   transport_->ReleaseRemovedEndpoints();
   if (on_endpoint_list_change_) on_endpoint_list_change_();
 }
--- a/src/coordinator/in_flight_table.h
+++ b/src/coordinator/in_flight_table.h
@@ -1,12 +1,18 @@
-// The query book: what is open, who waits for it, which attempts are out. Owned by the core's thread.
+// The queries, shard requests and attempts that are in flight, and the clients that wait for them. Decides
+// nothing, and knows no clock. Used by the coordinator thread alone.
+//
+// A query is removed when it is answered; its shard requests stay until their last attempt has ended, so that
+// a late result still reaches the router.
 #ifndef LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
 #define LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
 
+#include <compare>
 #include <map>
 #include <memory>
 #include <optional>
 #include <set>
-#include <utility>
+#include <string>
+#include <vector>
 
 #include "coordinator/interfaces.h"
 
@@ -16,50 +22,69 @@
   EndpointId endpoint;
   Micros sent_us = 0;
   Micros attempt_deadline_us = 0;
-  bool out = true;
+  bool in_flight = true;
 };
 
 struct InFlightShardRequest {
+  Id id = 0;
   Id query = 0;
+  int index = 0;  // within its query, from 0
   int class_index = 0;
   ShardRequest request;
   std::shared_ptr<const Payload> payload;
-  std::vector<InFlightAttempt> attempts;
-  std::optional<std::string> value;
-  bool over = false;  // its query has ended
+  std::vector<InFlightAttempt> attempts;  // by attempt number
+  std::optional<std::string> response;    // the first one that an attempt brought
+  bool query_removed = false;
 };
 
 struct InFlightQuery {
   std::shared_ptr<ClientReply> reply;
-  Micros deadline_us = 0;
-  Id first_part = 0;
+  Id first_shard_request = 0;
   int shard_requests = 0;
 };
 
+// An attempt whose deadline has passed.
+struct ExpiredAttempt {
+  AttemptKey key;
+  EndpointId endpoint;
+};
+
 class InFlightTable {
  public:
-  void Open(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply);
-  const InFlightQuery* Query(Id id) const;
-  InFlightShardRequest* ShardRequest(Id id);
-
-  // Enters a new attempt; its number.
-  int Begin(Id shard_request, InFlightShardRequest& entry, const InFlightAttempt& attempt);
-  // Ends an attempt: the event for the module, or nothing when it had ended before.
-  std::optional<routing::AttemptFinished> End(AttemptResult result, Micros now);
-  // Attempts whose wait is over; each is named once.
-  std::vector<std::pair<AttemptKey, EndpointId>> Expired(Micros now);
+  // Enters a query and its shard requests, which get the ids that follow `id`.
+  void AddQuery(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply);
+  // Null when there is no such query; valid until the query is removed.
+  const InFlightQuery* FindQuery(Id id) const;
+  // Null when there is no such shard request; valid until it is dropped.
+  InFlightShardRequest* FindShardRequest(Id id);
+
+  // Enters a new attempt and its deadline; returns the attempt's number.
+  int AddAttempt(InFlightShardRequest& shard_request, const InFlightAttempt& attempt);
+  // Ends an attempt and keeps its response if it is the first. Returns the event for the router, or nothing
+  // when the attempt is unknown or had ended before.
+  std::optional<routing::AttemptFinished> FinishAttempt(AttemptResult result, Micros now_us);
+
+  // The attempts whose deadline has passed by `now_us`; each is returned once.
+  std::vector<ExpiredAttempt> TakeExpired(Micros now_us);
+  // The earliest deadline of an attempt in flight; the largest Micros when there is none.
   Micros NextExpiry() const;
 
-  // Takes the query out; the pieces that are in, by shard as the client asked for them.
-  std::vector<ShardResponse> Close(Id id);
-  bool Empty() const { return queries_.empty(); }
+  // Removes a query and returns the responses that have arrived, in the order of its shard requests.
+  std::vector<ShardResponse> RemoveQuery(Id id);
 
  private:
-  void DropIfDone(std::map<Id, InFlightShardRequest>::iterator shard_request);
+  struct Expiry {
+    Micros deadline_us = 0;
+    AttemptKey key;
+    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    auto operator<=>(const Expiry&) const = default;
+  };
+
+  void DropIfFinished(std::map<Id, InFlightShardRequest>::iterator shard_request);
 
   std::map<Id, InFlightQuery> queries_;
   std::map<Id, InFlightShardRequest> shard_requests_;
-  std::set<std::pair<Micros, AttemptKey>> expiries_;
+  std::set<Expiry> expiries_;  // of attempts in flight that TakeExpired has not returned
 };
 
 }  // namespace liftrudder::coordinator
--- /dev/null
+++ b/src/coordinator/input.h
@@ -0,0 +1,29 @@
+// What reaches the coordinator thread through its queue. Plain data.
+#ifndef LIFTRUDDER_COORDINATOR_INPUT_H_
+#define LIFTRUDDER_COORDINATOR_INPUT_H_
+
+#include <memory>
+#include <variant>
+
+#include "coordinator/interfaces.h"
+
+namespace liftrudder::coordinator {
+
+// A query that has been admitted.
+struct QueryArrival {
+  Id id = 0;  // its shard requests have the ids after it
+  QueryRequest request;
+  std::shared_ptr<ClientReply> reply;
+};
+
+// A front no longer waits for the answer to a query.
+struct ClientDisconnect {
+  Id id = 0;
+  decision_log::IntakeResult intake = decision_log::IntakeResult::kLeft;  // why it no longer waits
+};
+
+using Input = std::variant<QueryArrival, ClientDisconnect, AttemptResult, routing::EndpointListUpdate>;
+
+}  // namespace liftrudder::coordinator
+
+#endif  // LIFTRUDDER_COORDINATOR_INPUT_H_
--- /dev/null
+++ b/src/coordinator/messages.cpp
@@ -0,0 +1,32 @@
+#include "coordinator/messages.h"
+
+namespace liftrudder::coordinator {
+
+AttemptOutcome OutcomeOf(Progress progress, Cause cause) {
+  bool may_have_run = progress >= Progress::kWhollyWritten;
+  bool partly_written = progress >= Progress::kPartlyWritten;
+  switch (cause) {
+    case Cause::kServed:
+      return AttemptOutcome::kOk;
+    case Cause::kBroke:
+      return AttemptOutcome::kError;
+    case Cause::kSkipped:
+      return AttemptOutcome::kOverloaded;
+    case Cause::kSpoilt:
+      // The endpoint is alive and has answered, though not usably: an error, not the loss of its process.
+      return may_have_run ? AttemptOutcome::kError : AttemptOutcome::kConnectFailed;
+    case Cause::kConnectionLost:
+      return may_have_run ? AttemptOutcome::kReset : AttemptOutcome::kConnectFailed;
+    case Cause::kCancelled:
+      // A frame that has been started is still written to its end, so the endpoint may yet run it.
+      return partly_written ? AttemptOutcome::kCancelled : AttemptOutcome::kNotSent;
+    case Cause::kExpired:
+      return partly_written ? AttemptOutcome::kTimeout : AttemptOutcome::kNotSent;
+    case Cause::kStale:
+    case Cause::kLeft:
+      return AttemptOutcome::kNotSent;
+  }
+  return AttemptOutcome::kError;
+}
+
+}  // namespace liftrudder::coordinator
--- /dev/null
+++ b/src/coordinator/messages.h
@@ -0,0 +1,125 @@
+// The plain data that fronts, coordinator and transport exchange: queries, attempts and their results, final
+// answers. Contains no wire format and no I/O; objects of these types belong to one thread at a time, except
+// ClientPresence.
+#ifndef LIFTRUDDER_COORDINATOR_MESSAGES_H_
+#define LIFTRUDDER_COORDINATOR_MESSAGES_H_
+
+#include <atomic>
+#include <compare>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "decision_log/counts.h"
+#include "routing/router.h"
+
+namespace liftrudder::coordinator {
+
+using decision_log::Cause;
+using decision_log::Progress;
+using routing::AttemptOutcome;
+using routing::EndpointId;
+using routing::Id;
+using routing::Micros;
+
+// One shard's share of a query, as its client asked for it.
+struct ShardRequest {
+  int shard = 0;
+  double weight = 0;      // of the query's coverage
+  Micros work_us = 0;     // expected work; 0: the client did not state it
+  std::uint64_t key = 0;  // for key affinity
+};
+
+// Whether the client of a query is still connected. Its front marks the disconnect at once, so that shard
+// requests whose first byte has not been sent by then are not sent at all. Thread-safe.
+class ClientPresence {
+ public:
+  void MarkDisconnected() { disconnected_ = true; }
+  bool Disconnected() const { return disconnected_; }
+
+ private:
+  std::atomic<bool> disconnected_{false};
+};
+
+// What each shard request of a query carries to its endpoint, byte for byte as the client sent it. Shared and
+// immutable once the query has been admitted.
+struct Payload {
+  std::string call_id;
+  std::string idempotency_key;  // empty unless the class is idempotent with a key
+  std::string statement;
+  std::string target;                            // index name, for fronts that have one
+  std::shared_ptr<const ClientPresence> client;  // null: the client's presence is not tracked
+};
+
+// A query as a front hands it over for admission.
+struct QueryRequest {
+  int class_index = 0;
+  bool is_retry = false;
+  Micros received_us = 0;  // when its first byte was read; 0: unknown
+  Micros deadline_us = 0;
+  decision_log::FrontKind front = decision_log::FrontKind::kPlatform;
+  // The client's own name for the query, at most decision_log::kNoteId bytes, for fronts that have one; used
+  // by the decision log only.
+  std::string label;
+  std::shared_ptr<const Payload> payload;
+  std::vector<ShardRequest> shard_requests;
+};
+
+enum class Verdict { kAnswered, kRejected, kFailed };
+
+struct ShardResponse {
+  int shard = 0;
+  std::string value;
+};
+
+// The one answer that a query gets.
+struct FinalAnswer {
+  Verdict verdict = Verdict::kFailed;
+  bool complete = false;
+  Micros retry_after_us = 0;  // of a rejected query; 0: no advice
+  std::vector<ShardResponse> shard_responses;
+  int shard_requests = 0;    // of the query, answered or not
+  bool cut_by_time = false;  // partial because the latency objective was reached, not for lack of endpoints
+};
+
+// Identifies an attempt; attempts of a shard request are numbered from 0.
+struct AttemptKey {
+  Id shard_request = 0;
+  int attempt = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+  auto operator<=>(const AttemptKey&) const = default;
+};
+
+// An attempt for the transport to carry out.
+struct AttemptRequest {
+  AttemptKey key;
+  EndpointId endpoint;
+  int shard = 0;
+  int class_index = 0;
+  Micros attempt_deadline_us = 0;
+  std::shared_ptr<const Payload> payload;
+};
+
+// How an attempt ended, as the transport saw it.
+struct AttemptResult {
+  AttemptKey key;
+  Progress progress = Progress::kNotConnected;
+  Cause cause = Cause::kConnectionLost;
+  std::vector<double> load;  // the endpoint's load report, in the order of the settings; empty: none
+  std::string value;         // the response, if the endpoint gave one
+};
+
+// Classifies the end of an attempt for the router: in particular whether the endpoint may have run it.
+AttemptOutcome OutcomeOf(Progress progress, Cause cause);
+
+// A query answered by a response to a client. `status`: the query's own status where it has one, as in a
+// multi-search; otherwise 0.
+struct AnsweredQuery {
+  Id query = 0;
+  int status = 0;
+};
+
+}  // namespace liftrudder::coordinator
+
+#endif  // LIFTRUDDER_COORDINATOR_MESSAGES_H_
--- a/src/coordinator/query_completion.cpp
+++ b/src/coordinator/query_completion.cpp
@@ -1,52 +1,54 @@
-// Stage relay: the module's last word on a query goes to its client, at once and once.
+// Query completion: the router's final decision on a query goes to its client, at once and only once.
 #include "coordinator/coordinator.h"
 
 namespace liftrudder::coordinator {
 
-void Coordinator::Act(const routing::Answer& answer) {
-  FinalAnswer out;
-  out.verdict = Verdict::kAnswered;
-  out.complete = answer.complete;
-  out.cut_by_time = answer.reason.cause == routing::CompletionCause::kLatencyObjective;
-  Finish(answer.query, std::move(out), answer.reason);
+void Coordinator::Execute(const routing::Answer& answer) {
+  FinalAnswer final_answer;
+  final_answer.verdict = Verdict::kAnswered;
+  final_answer.complete = answer.complete;
+  final_answer.cut_by_time = answer.reason.cause == routing::CompletionCause::kLatencyObjective;
+  Complete(answer.query, std::move(final_answer), answer.reason);
 }
 
-void Coordinator::Act(const routing::Reject& refuse) {
-  FinalAnswer out;
-  out.verdict = Verdict::kRejected;
-  out.retry_after_us = refuse.retry_after_us;
-  Finish(refuse.query, std::move(out), refuse.reason);
+void Coordinator::Execute(const routing::Reject& reject) {
+  FinalAnswer final_answer;
+  final_answer.verdict = Verdict::kRejected;
+  final_answer.retry_after_us = reject.retry_after_us;
+  Complete(reject.query, std::move(final_answer), reject.reason);
 }
 
-void Coordinator::Act(const routing::Fail& fail) { Finish(fail.query, {}, fail.reason); }
+void Coordinator::Execute(const routing::Fail& fail) { Complete(fail.query, {}, fail.reason); }
 
-void Coordinator::Finish(Id id, FinalAnswer answer, const routing::CompletionReason& reason) {
-  const InFlightQuery* query = in_flight_.Query(id);
+void Coordinator::Complete(Id id, FinalAnswer answer, const routing::CompletionReason& reason) {
+  const InFlightQuery* query = in_flight_.FindQuery(id);
   if (query == nullptr) return;
   std::shared_ptr<ClientReply> reply = query->reply;
   answer.shard_requests = query->shard_requests;
-  std::vector<ShardResponse> shard_responses = in_flight_.Close(id);
-  RecordEnd(id, answer, reason, static_cast<int>(shard_responses.size()));
-  if (answer.verdict == Verdict::kAnswered) answer.shard_responses = std::move(shard_responses);
-  open_.fetch_sub(1 + answer.shard_requests);
-  open_queries_.fetch_sub(1);
+  std::vector<ShardResponse> responses = in_flight_.RemoveQuery(id);
+  recording_.RecordAnswer(id, answer, reason, static_cast<int>(responses.size()));
+  if (answer.verdict == Verdict::kAnswered) answer.shard_responses = std::move(responses);
+  ReleaseAdmission(answer.shard_requests);
+  CountAnswer(answer);
+  reply->Deliver(std::move(answer));
+}
+
+void Coordinator::CountAnswer(const FinalAnswer& answer) {
   switch (answer.verdict) {
     case Verdict::kAnswered:
-      (answer.complete ? counters_.whole : counters_.partial).Add();
+      (answer.complete ? counters_.complete_answers : counters_.partial_answers).Add();
       break;
     case Verdict::kRejected:
-      counters_.refused.Add();
+      counters_.rejected_answers.Add();
       break;
     case Verdict::kFailed:
-      counters_.failed.Add();
+      counters_.failed_answers.Add();
       break;
   }
-  reply->Deliver(std::move(answer));
 }
 
-void Coordinator::CloseQuery(Id id, int shard_requests) {
-  in_flight_.Close(id);
-  open_.fetch_sub(1 + shard_requests);
+void Coordinator::ReleaseAdmission(int shard_requests) {
+  open_entries_.fetch_sub(1 + shard_requests);
   open_queries_.fetch_sub(1);
 }
 
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -278,17 +278,17 @@
   std::map<std::string, coordinator::EndpointEntry> now = Holders(zone_, service_);
   for (auto& [id, entry] : now) {
     auto before = told_.find(id);
-    bool ready = before != told_.end() && before->second.told.availability == routing::Availability::kReady;
+    bool ready = before != told_.end() && before->second.endpoint.availability == routing::Availability::kReady;
     // One that appears in an update has most likely just started; taken for warm it could be pushed over.
-    if (!first && !ready && entry.told.started_us == 0) entry.told.started_us = clock_.Now();
-    if (ready && entry.told.started_us == 0) entry.told.started_us = before->second.told.started_us;
-    bool same = ready && before->second.addr == entry.addr && before->second.told.cell == entry.told.cell &&
-                before->second.told.started_us == entry.told.started_us;
+    if (!first && !ready && entry.endpoint.started_us == 0) entry.endpoint.started_us = clock_.Now();
+    if (ready && entry.endpoint.started_us == 0) entry.endpoint.started_us = before->second.endpoint.started_us;
+    bool same = ready && before->second.addr == entry.addr && before->second.endpoint.cell == entry.endpoint.cell &&
+                before->second.endpoint.started_us == entry.endpoint.started_us;
     if (!same) list.entries.push_back(entry);
   }
   for (auto& [id, entry] : told_) {
-    if (now.contains(id) || entry.told.availability != routing::Availability::kReady) continue;
-    entry.told.availability = routing::Availability::kDraining;
+    if (now.contains(id) || entry.endpoint.availability != routing::Availability::kReady) continue;
+    entry.endpoint.availability = routing::Availability::kDraining;
     list.entries.push_back(entry);
   }
   for (coordinator::EndpointEntry& entry : list.entries) told_[entry.id] = entry;
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -255,8 +255,8 @@
     const std::string& ip = address->data;
     entry.addr = fmt::format("{}.{}.{}.{}:{}", byte(ip, 0), byte(ip, 1), byte(ip, 2), byte(ip, 3),
                              byte(record.data, 4) << 8 | byte(record.data, 5));
-    entry.told.cell = static_cast<int>(std::clamp<std::int64_t>(*cell, 0, 65535));
-    entry.told.started_us = 1000 * Note(zone, entry.id, "started_ms").value_or(0);
+    entry.endpoint.cell = static_cast<int>(std::clamp<std::int64_t>(*cell, 0, 65535));
+    entry.endpoint.started_us = 1000 * Note(zone, entry.id, "started_ms").value_or(0);
     out[entry.id] = std::move(entry);
   }
   return out;
--- a/src/limits/backoff.h
+++ b/src/limits/backoff.h
@@ -1,31 +1,37 @@
-// When to try again after failures that a whole group meets at once: full jitter under a bound that doubles
-// with each failure up to a cap. Decides only how long to wait; it never sleeps or asks. Any one thread.
+// Exponential backoff with full jitter, for failures that a whole fleet meets at once: each wait is drawn
+// below a bound that doubles with every failure up to a maximum. Decides only how long to wait; it neither
+// sleeps nor calls anything. Not thread-safe.
 #ifndef LIFTRUDDER_LIMITS_BACKOFF_H_
 #define LIFTRUDDER_LIMITS_BACKOFF_H_
 
 #include <cstdint>
 
+#include "limits/jitter.h"
+
 namespace liftrudder::limits {
 
 class Backoff {
  public:
-  using Micros = std::int64_t;
-
-  // `first` bounds the wait after the first failure, `most` any; the seed is the gatherer's own, or a group
-  // that fails together comes back together.
-  Backoff(Micros first, Micros most, std::uint64_t seed) : first_(first), most_(most), state_(seed) {}
-
-  // Somewhere within the span, each time elsewhere.
-  Micros Within(Micros span);
-  // After a failure.
-  Micros Next();
-  // After a success: the next failure is a first one.
+  using Micros = Jitter::Micros;
+
+  // The wait after the first failure is below `first_bound_us`, every wait below `max_bound_us`. The seed
+  // must differ between the coordinators of a fleet, or those that fail together retry together.
+  Backoff(Micros first_bound_us, Micros max_bound_us, std::uint64_t seed)
+      : first_bound_us_(first_bound_us), max_bound_us_(max_bound_us), jitter_(seed) {}
+
+  // A duration in [0, span_us), independent of the failures.
+  Micros Within(Micros span_us) { return jitter_.Within(span_us); }
+  // Counts a failure and returns how long to wait before the next attempt.
+  Micros NextWait();
+  // After a success: the next failure counts as the first.
   void Reset() { failures_ = 0; }
+  // The number of failures since the last success.
   int failures() const { return failures_; }
 
  private:
-  Micros first_, most_;
-  std::uint64_t state_;
+  Micros first_bound_us_;
+  Micros max_bound_us_;
+  Jitter jitter_;
   int failures_ = 0;
 };
 
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -2,131 +2,152 @@
 
 #include <algorithm>
 #include <cmath>
+#include <iterator>
+#include <utility>
 
 namespace liftrudder::limits {
 namespace {
 
-constexpr double kBurstS = 1;    // an account holds so much of its income
-constexpr double kPoolS = 0.25;  // and the pool so much of all
-constexpr double kOpenLent =
-    0.7;  // beyond its share a tenant opens a query only below this share of all: whoever
-          // comes back to its own finds room at once, whatever others have open
-constexpr double kSpread = 0.25;  // a promised time is drawn from this share after it
-
-std::string Key(std::string_view tenant, std::string_view caller) {
-  std::string out(tenant);
-  out += '\0';  // no tenant's name has one: the operator's file is checked for it
-  return out.append(caller);
+constexpr double kBucketSeconds = 1;   // a bucket holds what its rate yields in this time
+constexpr double kPoolSeconds = 0.25;  // and the lending pool what the total rate yields in this
+constexpr double kMicrosPerSecond = 1e6;
+// A tenant above its share of the queries in flight is admitted only below this fraction of all of them, so
+// that a tenant below its share always finds capacity.
+constexpr double kLendableInFlightFraction = 0.7;
+// Retry-After is lengthened at random by up to this fraction.
+constexpr double kRetryJitterFraction = 0.25;
+
+// Tenants' names contain no NUL: the reader of the permission table checks that.
+std::string CallerKey(std::string_view tenant, std::string_view caller) {
+  std::string key(tenant);
+  key += '\0';
+  return key.append(caller);
 }
 
 }  // namespace
 
-TenantQuotas::TenantQuotas(ShareSettings settings, std::uint64_t seed)
-    : settings_(std::move(settings)), spread_(1, 1, seed) {
-  Take(settings_.weights);
+TenantQuotas::TenantQuotas(TenantQuotaSettings settings, std::uint64_t seed)
+    : settings_(std::move(settings)), jitter_(seed) {
+  SetWeights(settings_.weights);
 }
 
-void TenantQuotas::Take(std::map<std::string, double, std::less<>> weights) {
+void TenantQuotas::SetWeights(const TenantWeights& weights) {
   double sum = 0;
   for (const auto& [name, weight] : weights) sum += weight;
-  // A tenant that is gone keeps its account as long as something of it is open, without an income.
+  // A removed tenant stays, without a rate, as long as a query of it is in flight.
   for (auto& [name, tenant] : tenants_) tenant.share = 0;
-  std::erase_if(tenants_, [&](const auto& one) {
-    return one.second.account.open == 0 && !weights.contains(one.first);
+  std::erase_if(tenants_, [&](const auto& entry) {
+    return entry.second.bucket.in_flight == 0 && !weights.contains(entry.first);
   });
   for (const auto& [name, weight] : weights) {
-    bool fresh = !tenants_.contains(name);
-    Tenant& tenant = tenants_[name];
+    auto [entry, inserted] = tenants_.try_emplace(name);
+    Tenant& tenant = entry->second;
     tenant.share = sum > 0 ? weight / sum : 0;
-    if (fresh) tenant.account.has = tenant.share * settings_.work_per_s * kBurstS;
+    if (inserted) tenant.bucket.tokens = RateOf(tenant) * kBucketSeconds;
+  }
+}
+
+double TenantQuotas::Refill(Bucket& bucket, double rate, Micros now_us) {
+  double elapsed_s = 0;
+  if (bucket.refilled_us != 0) {
+    elapsed_s = static_cast<double>(std::max<Micros>(now_us - bucket.refilled_us, 0)) / kMicrosPerSecond;
   }
+  bucket.refilled_us = std::max(bucket.refilled_us, now_us);
+  double tokens = bucket.tokens + rate * elapsed_s;
+  bucket.tokens = std::min(tokens, rate * kBucketSeconds);
+  return tokens - bucket.tokens;
 }
 
-double TenantQuotas::Fill(Account& account, double rate, Micros now_us) {
-  double since_s =
-      account.filled_us == 0 ? 0 : static_cast<double>(std::max<Micros>(now_us - account.filled_us, 0)) / 1e6;
-  account.filled_us = std::max(account.filled_us, now_us);
-  double sum = account.has + rate * since_s;
-  account.has = std::min(sum, rate * kBurstS);
-  return sum - account.has;
+void TenantQuotas::RefillTenants(Micros now_us) {
+  for (auto& [name, tenant] : tenants_) lending_pool_ += Refill(tenant.bucket, RateOf(tenant), now_us);
+  lending_pool_ = std::min(lending_pool_, settings_.work_per_s * kPoolSeconds);
 }
 
-void TenantQuotas::FillAll(Micros now_us) {
-  for (auto& [name, tenant] : tenants_)
-    pool_ += Fill(tenant.account, tenant.share * settings_.work_per_s, now_us);
-  pool_ = std::min(pool_, settings_.work_per_s * kPoolS);
+// Callers with queries in flight keep their buckets; max_in_flight bounds their number.
+void TenantQuotas::EvictIdleCaller() {
+  auto oldest_idle = std::ranges::find_if(least_recently_used_, [this](const std::string& key) {
+    return callers_.find(key)->second.bucket.in_flight == 0;
+  });
+  if (oldest_idle == least_recently_used_.end()) return;
+  callers_.erase(*oldest_idle);
+  least_recently_used_.erase(oldest_idle);
 }
 
-TenantQuotas::Caller& TenantQuotas::Known(const std::string& key, double rate, Micros now_us) {
-  auto found = authenticator_.find(key);
-  if (found == authenticator_.end()) {
-    // The one longest unused makes room; one with a query open keeps its account, and those are bounded.
-    if (authenticator_.size() >= kMostCallers) {
-      auto idle = [&](const std::string& one) { return authenticator_.find(one)->second.account.open == 0; };
-      auto oldest = std::ranges::find_if(by_age_, idle);
-      if (oldest != by_age_.end()) {
-        authenticator_.erase(*oldest);
-        by_age_.erase(oldest);
-      }
-    }
-    by_age_.push_back(key);
-    found = authenticator_.emplace(key, Caller{{rate * kBurstS, now_us, 0}, std::prev(by_age_.end())}).first;
+TenantQuotas::Caller& TenantQuotas::FindOrAddCaller(const std::string& key, double rate, Micros now_us) {
+  auto found = callers_.find(key);
+  if (found == callers_.end()) {
+    if (callers_.size() >= kMaxTrackedCallers) EvictIdleCaller();
+    least_recently_used_.push_back(key);
+    Caller caller{{rate * kBucketSeconds, now_us, 0}, std::prev(least_recently_used_.end())};
+    found = callers_.emplace(key, caller).first;
   }
-  by_age_.splice(by_age_.end(), by_age_, found->second.age);
+  least_recently_used_.splice(least_recently_used_.end(), least_recently_used_, found->second.position);
   return found->second;
 }
 
-// Those refused come back one after the other, as the account can take them, and a little apart.
-TenantQuotas::Micros TenantQuotas::Promise(Tenant& tenant, double missing, double rate, Micros now_us) {
-  if (rate <= 0) return settings_.most_retry_us;
-  Micros from = std::max(tenant.promised_us, now_us);
-  Micros until = from + static_cast<Micros>(std::ceil(missing / rate * 1e6));
-  tenant.promised_us = std::min(until, now_us + settings_.most_retry_us);
-  Micros wait = until - now_us;
-  wait += spread_.Within(static_cast<Micros>(kSpread * static_cast<double>(wait)));
-  return std::clamp<Micros>(wait, 1, settings_.most_retry_us);
+// Rejected queries are asked to come back one after the other, as the bucket can take them, and a little
+// apart.
+TenantQuotas::Decision TenantQuotas::Reject(Tenant& tenant, double missing, double rate, Micros now_us) {
+  if (rate <= 0) return {false, settings_.max_retry_after_us};
+  Micros from_us = std::max(tenant.promised_us, now_us);
+  Micros until_us = from_us + static_cast<Micros>(std::ceil(missing / rate * kMicrosPerSecond));
+  tenant.promised_us = std::min(until_us, now_us + settings_.max_retry_after_us);
+  Micros wait_us = until_us - now_us;
+  wait_us += jitter_.Within(static_cast<Micros>(kRetryJitterFraction * static_cast<double>(wait_us)));
+  return {false, std::clamp<Micros>(wait_us, 1, settings_.max_retry_after_us)};
 }
 
-TenantQuotas::Verdict TenantQuotas::Ask(std::string_view tenant_name, std::string_view caller_name,
-                                        double cost, Micros now_us) {
+bool TenantQuotas::HasCapacityFor(const Tenant& tenant) const {
+  bool below_share = tenant.bucket.in_flight < std::floor(tenant.share * settings_.max_in_flight);
+  if (below_share) return in_flight_ < settings_.max_in_flight;
+  return in_flight_ < kLendableInFlightFraction * settings_.max_in_flight;
+}
+
+TenantQuotas::Decision TenantQuotas::Admit(std::string_view tenant_name, std::string_view caller_name,
+                                           double cost, Micros now_us) {
   auto found = tenants_.find(tenant_name);
-  if (found == tenants_.end() || found->second.share <= 0) return {false, settings_.most_retry_us};
+  if (found == tenants_.end() || found->second.share <= 0) return {false, settings_.max_retry_after_us};
   Tenant& tenant = found->second;
-  FillAll(now_us);
-  double rate = tenant.share * settings_.work_per_s;
-  // More than an account can ever hold is granted to a full one, which then owes the rest.
-  double needed = std::min(cost, rate * kBurstS);
-  double caller_rate = rate * settings_.caller_share;
-  Caller& caller = Known(Key(tenant_name, caller_name), caller_rate, now_us);
-  Fill(caller.account, caller_rate, now_us);
-  double open_share = tenant.share * settings_.most_open;
-  bool lent = tenant.account.has < needed;
-  // A caller is held to its part of its tenant's share, and not of what is lent to it: nobody waits for that.
-  double caller_missing = std::min(cost, caller_rate * kBurstS) - caller.account.has;
-  if (!lent && caller_missing > 0 && pool_ < cost)
-    return {false, Promise(tenant, caller_missing, caller_rate, now_us)};
-  if (lent && pool_ < cost) return {false, Promise(tenant, needed - tenant.account.has, rate, now_us)};
-  bool own_open = tenant.account.open < std::floor(open_share);
-  bool room = own_open ? open_ < settings_.most_open : open_ < kOpenLent * settings_.most_open;
-  // One query's worth of a place: when it is free nobody can tell, so the account's own pace is taken.
-  if (!room) return {false, Promise(tenant, std::max(cost, 1.0), rate, now_us)};
-  bool from_pool = lent || caller_missing > 0;
-  (from_pool ? pool_ : tenant.account.has) -= cost;
-  if (!from_pool) caller.account.has -= cost;
-  ++tenant.account.open;
-  ++caller.account.open;
-  ++open_;
+  RefillTenants(now_us);
+  double rate = RateOf(tenant);
+  double caller_rate = rate * settings_.caller_fraction;
+  Caller& caller = FindOrAddCaller(CallerKey(tenant_name, caller_name), caller_rate, now_us);
+  Refill(caller.bucket, caller_rate, now_us);
+
+  // A query larger than a bucket is admitted by a full one, which then owes the rest.
+  double tenant_missing = std::min(cost, rate * kBucketSeconds) - tenant.bucket.tokens;
+  double caller_missing = std::min(cost, caller_rate * kBucketSeconds) - caller.bucket.tokens;
+  bool tenant_exhausted = tenant_missing > 0;
+  bool from_pool = tenant_exhausted || caller_missing > 0;
+  if (from_pool && lending_pool_ < cost) {
+    return tenant_exhausted ? Reject(tenant, tenant_missing, rate, now_us)
+                            : Reject(tenant, caller_missing, caller_rate, now_us);
+  }
+  // When a query in flight will end is unknown; the tenant's own rate is taken as the measure.
+  if (!HasCapacityFor(tenant)) return Reject(tenant, std::max(cost, 1.0), rate, now_us);
+
+  // What comes from the pool is not charged to the caller: nobody waits for it.
+  if (from_pool) {
+    lending_pool_ -= cost;
+  } else {
+    tenant.bucket.tokens -= cost;
+    caller.bucket.tokens -= cost;
+  }
+  ++tenant.bucket.in_flight;
+  ++caller.bucket.in_flight;
+  ++in_flight_;
   return {true, 0};
 }
 
-void TenantQuotas::End(std::string_view tenant_name, std::string_view caller_name) {
+void TenantQuotas::Release(std::string_view tenant_name, std::string_view caller_name) {
   auto tenant = tenants_.find(tenant_name);
-  if (tenant != tenants_.end()) --tenant->second.account.open;
-  auto caller = authenticator_.find(Key(tenant_name, caller_name));
-  if (caller != authenticator_.end()) --caller->second.account.open;
-  --open_;
-  if (tenant != tenants_.end() && tenant->second.share <= 0 && tenant->second.account.open == 0)
-    tenants_.erase(tenant);
+  if (tenant != tenants_.end()) --tenant->second.bucket.in_flight;
+  auto caller = callers_.find(CallerKey(tenant_name, caller_name));
+  if (caller != callers_.end()) --caller->second.bucket.in_flight;
+  --in_flight_;
+  if (tenant == tenants_.end()) return;
+  bool removed = tenant->second.share <= 0;
+  if (removed && tenant->second.bucket.in_flight == 0) tenants_.erase(tenant);
 }
 
 }  // namespace liftrudder::limits
--- a/src/limits/tenant_quotas.h
+++ b/src/limits/tenant_quotas.h
@@ -1,86 +1,94 @@
-// Shares of what the program may take in: work by the told cost, and queries open, by tenant and by caller
-// within it. Decides at once, without I/O; the time and the randomness are handed in. Not for several threads
-// without a lock of the caller's.
+// Quotas of tenants, and of the callers within a tenant: expected work per second, and queries in flight.
+// Decides at once, without I/O; time and seed are arguments. Not thread-safe: the caller holds a lock.
 //
-// Each tenant's account fills at its share of the rate. What a full account cannot take is lent: it goes into
-// one pool from which any tenant that is out of its own may take, and which holds a quarter of a second's at
-// most. So lending never empties the account of who lends, and nothing has to be called back.
+// Each tenant has a token bucket that fills at the tenant's share of the total rate. What a full bucket
+// cannot take flows into one lending pool of bounded size, from which any tenant that has used up its own
+// bucket may draw. Lending therefore never empties the bucket of the tenant that lends, and nothing has to be
+// reclaimed.
 #ifndef LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
 #define LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
 
 #include <cstdint>
+#include <functional>
 #include <list>
 #include <map>
-#include <optional>
 #include <string>
 #include <string_view>
-#include <vector>
 
-#include "limits/backoff.h"
+#include "limits/jitter.h"
 
 namespace liftrudder::limits {
 
-struct ShareSettings {
-  double work_per_s = 0;      // of all tenants
-  int most_open = 0;          // queries of all tenants
-  double caller_share = 0.5;  // of its tenant's share and open queries, that one caller may have
-  std::int64_t most_retry_us = 30'000'000;
-  std::map<std::string, double, std::less<>> weights;  // above 0, by tenant
+// By tenant, each above 0: a tenant's share is its weight over the sum of all.
+using TenantWeights = std::map<std::string, double, std::less<>>;
+
+struct TenantQuotaSettings {
+  double work_per_s = 0;         // of all tenants together
+  int max_in_flight = 0;         // queries of all tenants together
+  double caller_fraction = 0.5;  // the most that one caller may use of its tenant's rate
+  std::int64_t max_retry_after_us = 30'000'000;
+  TenantWeights weights;
 };
 
 class TenantQuotas {
  public:
-  using Micros = std::int64_t;
+  using Micros = Jitter::Micros;
 
-  TenantQuotas(ShareSettings settings, std::uint64_t seed);
+  // The most callers that have a bucket of their own at a time.
+  static constexpr std::size_t kMaxTrackedCallers = 4096;
 
-  struct Verdict {
-    bool granted = false;
-    Micros retry_after_us =
-        0;  // of a refusal: when the account will have what this asks, after those before it
+  struct Decision {
+    bool admitted = false;
+    // Of a rejected query: when its quota will allow it, after those that were rejected before it.
+    Micros retry_after_us = 0;
   };
-  // `cost` is its told work. What was granted is ended once by `End`. A tenant without a weight gets nothing.
-  Verdict Ask(std::string_view tenant, std::string_view caller, double cost, Micros now_us);
-  void End(std::string_view tenant, std::string_view caller);
 
-  // Tenants or weights changed in service: accounts of those that stay keep what they have.
-  void Take(std::map<std::string, double, std::less<>> weights);
+  TenantQuotas(TenantQuotaSettings settings, std::uint64_t seed);
+
+  // Decides on a query of `cost` expected work. Release must be called once for each query admitted. A tenant
+  // without a weight gets nothing.
+  Decision Admit(std::string_view tenant, std::string_view caller, double cost, Micros now_us);
+  void Release(std::string_view tenant, std::string_view caller);
 
-  int Open() const { return open_; }
-  std::size_t Authenticator() const { return authenticator_.size(); }
+  // Replaces the tenants and their weights. Tenants that stay keep what is in their buckets.
+  void SetWeights(const TenantWeights& weights);
 
-  static constexpr std::size_t kMostCallers = 4096;  // with an account of their own
+  int InFlight() const { return in_flight_; }
+  std::size_t TrackedCallers() const { return callers_.size(); }
 
  private:
-  // Work that may be done now, at most a second's (kBurstS) of the rate.
-  struct Account {
-    double has = 0;
-    Micros filled_us = 0;
-    int open = 0;
+  struct Bucket {
+    double tokens = 0;  // work that may be admitted now; below 0 after a query larger than the bucket
+    Micros refilled_us = 0;
+    int in_flight = 0;
   };
   struct Tenant {
-    double share = 0;  // of all
-    Account account;
-    Micros promised_us = 0;  // until then the account's income belongs to those refused
+    double share = 0;  // of the total rate; 0: removed, but with queries in flight
+    Bucket bucket;
+    Micros promised_us = 0;  // until then its tokens are promised to queries rejected before
   };
   struct Caller {
-    Account account;
-    std::list<std::string>::iterator age;
+    Bucket bucket;
+    std::list<std::string>::iterator position;  // in least_recently_used_
   };
 
-  // Returns what did not fit.
-  static double Fill(Account& account, double rate, Micros now_us);
-  void FillAll(Micros now_us);
-  Caller& Known(const std::string& key, double rate, Micros now_us);
-  Micros Promise(Tenant& tenant, double missing, double rate, Micros now_us);
+  // Adds what `rate` yields since the last refill; returns what did not fit.
+  static double Refill(Bucket& bucket, double rate, Micros now_us);
+  void RefillTenants(Micros now_us);
+  double RateOf(const Tenant& tenant) const { return tenant.share * settings_.work_per_s; }
+  Caller& FindOrAddCaller(const std::string& key, double rate, Micros now_us);
+  void EvictIdleCaller();
+  bool HasCapacityFor(const Tenant& tenant) const;
+  // Rejects a query that lacks `missing` tokens of a bucket filled at `rate`.
+  Decision Reject(Tenant& tenant, double missing, double rate, Micros now_us);
 
-  const ShareSettings settings_;
-  Backoff spread_;  // for its jitter alone
+  const TenantQuotaSettings settings_;
+  Jitter jitter_;  // spreads the retries of rejected queries
   std::map<std::string, Tenant, std::less<>> tenants_;
-  std::map<std::string, Caller, std::less<>> authenticator_;  // by tenant and caller
-  std::list<std::string> by_age_;                             // the longest unused first
-  double pool_ = 0;
-  int open_ = 0;
+  std::map<std::string, Caller, std::less<>> callers_;  // by CallerKey
+  std::list<std::string> least_recently_used_;          // keys of callers_, the longest unused first
+  double lending_pool_ = 0;                             // tokens
+  int in_flight_ = 0;
 };
 
 }  // namespace liftrudder::limits
--- a/src/limits/watch_timeouts.h
+++ b/src/limits/watch_timeouts.h
@@ -1,6 +1,6 @@
-// How long a gatherer waits before it asks for the holder list: at its start, and after its watch was lost.
-// Decides from the settings alone, without clock, randomness or I/O; the waits are bounds under which Backoff
-// draws. For any thread.
+// How long a coordinator waits before it calls the source of the endpoint list: at start-up, and after it has
+// lost its watch. Computed from the settings alone, without clock, randomness or I/O; the waits are bounds
+// below which Backoff draws. Thread-safe.
 #ifndef LIFTRUDDER_LIMITS_WATCH_TIMEOUTS_H_
 #define LIFTRUDDER_LIMITS_WATCH_TIMEOUTS_H_
 
@@ -9,10 +9,11 @@
 namespace liftrudder::limits {
 
 struct WatchTimeouts {
-  routing::Micros start_us = 0;  // before the first call of all
-  routing::Micros serve_us = 0;  // for its answer, before clients are served from the list known before
-  routing::Micros first_us = 0;  // after the first failure; doubled by each further one
-  routing::Micros most_us = 0;   // up to this one
+  routing::Micros initial_delay_us = 0;  // bound of the delay before the first call
+  // How long to wait for a first list before clients are served with the cached one.
+  routing::Micros first_list_timeout_us = 0;
+  routing::Micros first_backoff_us = 0;  // bound of the wait after a first failure
+  routing::Micros max_backoff_us = 0;    // bound of the wait after any failure
 };
 
 WatchTimeouts WatchTimeoutsOf(const routing::Settings& settings);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,22 +1,26 @@
-// A small logger: one line a call, to standard error.
+// The process's log: one line a call to standard error, with the time in seconds and a level. No files, no
+// rotation, no filtering. Thread-safe.
 #ifndef LIFTRUDDER_LOG_LOG_H_
 #define LIFTRUDDER_LOG_LOG_H_
 
 #include <fmt/format.h>
 
 #include <string_view>
+#include <utility>
 
 namespace liftrudder::log {
 
+// Writes one line. A log that cannot be written is ignored.
 void Write(std::string_view level, std::string_view text);
 
 template <typename... Args>
-void Info(fmt::format_string<Args...> form, Args&&... args) {
-  Write("info", fmt::format(form, std::forward<Args>(args)...));
+void Info(fmt::format_string<Args...> format, Args&&... args) {
+  Write("info", fmt::format(format, std::forward<Args>(args)...));
 }
+
 template <typename... Args>
-void Error(fmt::format_string<Args...> form, Args&&... args) {
-  Write("error", fmt::format(form, std::forward<Args>(args)...));
+void Error(fmt::format_string<Args...> format, Args&&... args) {
+  Write("error", fmt::format(format, std::forward<Args>(args)...));
 }
 
 }  // namespace liftrudder::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,7 +19,7 @@
 #include "dns/update.h"
 #include "limits/watch_timeouts.h"
 #include "log/log.h"
-#include "metrics/figures.h"
+#include "metrics/operator_figures.h"
 #include "net/admin_server.h"
 #include "net/endpoint_connection_pool.h"
 #include "net/server.h"
@@ -110,7 +110,7 @@
            const lr::dns::ZoneOptions& zone, lr::app::IdentityFiles* identity, bool may_tls,
            const std::string& passed, const sigset_t& signals) {
   lr::metrics::Counters counters;
-  lr::metrics::Figures figures(config.classes);
+  lr::metrics::OperatorFigures figures(config.classes);
   lr::net::SteadyClock clock;
   std::unique_ptr<lr::app::TlsFiles> tls;
   if (may_tls) tls = lr::app::TlsFiles::Open(path, lr::config::ReadFile(path), clock);
@@ -152,7 +152,7 @@
   int shared_for = config.budget.endpoints;
   auto share = [&] {
     std::lock_guard lock(shares);
-    int endpoints = std::max(endpoint_registry.Listed(), config.settings.cells);
+    int endpoints = std::max(endpoint_registry.ListedEndpoints(), config.settings.cells);
     if (clients == nullptr || (endpoints <= shared_for && endpoints >= shared_for / 2)) return;
     shared_for = endpoints;
     lr::config::Budget budget = lr::config::ShareOut(config.sockets, config.memory_mb, endpoints);
@@ -171,8 +171,8 @@
   } stopper{coordinator};
   {
     lr::app::AdminHandler admin_handler(figures, [&] {
-      figures.cluster_size.Set(endpoint_registry.Listed());
-      figures.cluster_unhealthy.Set(coordinator.Avoided());
+      figures.cluster_size.Set(endpoint_registry.ListedEndpoints());
+      figures.cluster_unhealthy.Set(coordinator.AvoidedEndpoints());
     });
     std::optional<lr::net::AdminServer> calls;
     if (!config.mgmt.empty()) {
@@ -207,7 +207,7 @@
                   config.budget.endpoint_connections, config.cores);
     lr::log::Info("{} listens on {}", config.name, lr::net::LocalAddress(listener));
     // Who connects meanwhile waits to be taken in.
-    if (watch && !endpoint_registry.WaitHeard(lr::limits::WatchTimeoutsOf(config.settings).serve_us))
+    if (watch && !endpoint_registry.WaitUntilUpToDate(lr::limits::WatchTimeoutsOf(config.settings).first_list_timeout_us))
       lr::log::Info("no holder list from discovery yet; the one known before serves, version {}",
                     endpoint_registry.Version());
     lr::net::Server server(std::move(listener), *front, clock, counters,
@@ -240,7 +240,7 @@
     server.Drain();
     // Another process holds the passed listener too: it takes in who comes now.
     if (!passed.empty()) server.LeaveListener();
-    lr::log::Info("told to end; {} queries are open", coordinator.Open());
+    lr::log::Info("told to end; {} queries are open", coordinator.OpenQueries());
     lr::coordinator::Micros until = clock.Now() + kStillListening;
     HearUntil(signals, reload, [&] {
       lr::coordinator::Micros left = until - clock.Now();
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -4,36 +4,38 @@
 
 #include <iterator>
 
+#include "metrics/wire_names.h"
+
 namespace liftrudder::metrics {
 
 std::string Counters::Text() const {
-  static constexpr const char* kOutcomes[] = {"ok",    "error",     "full", "timeout", "connect_failed",
-                                              "reset", "cancelled", "moot"};
-  std::string out;
-  auto line = [&out](const char* name, const Counter& counter) {
-    fmt::format_to(std::back_inserter(out), "{} {}\n", name, counter.Value());
+  std::string text;
+  auto line = [&text](const char* name, const Counter& counter) {
+    fmt::format_to(std::back_inserter(text), "{} {}\n", name, counter.Value());
   };
-  line("queries_taken", taken);
-  line("queries_turned_away", turned_away);
-  line("requests_malformed", malformed);
-  line("requests_denied", denied);
-  line("clients_closed_for_room", evicted);
-  line("clients_gone", gone);
-  line("answers_whole", whole);
-  line("answers_partial", partial);
-  line("answers_refused", refused);
-  line("answers_failed", failed);
-  line("answers_late", late);
-  line("attempts_sent", sent);
-  line("attempts_resent", retried);
-  for (std::size_t i = 0; i < outcomes.size(); ++i)
-    fmt::format_to(std::back_inserter(out), "attempts_{} {}\n", kOutcomes[i], outcomes[i].Value());
-  line("connections_opened", connects);
-  line("connections_failed", connects_failed);
-  line("connections_spoilt", spoilt);
-  line("rounds", rounds);
-  line("lists_told", lists);
-  return out;
+  line(wire_names::kQueriesAdmitted, queries_admitted);
+  line(wire_names::kRejectedAtIntake, rejected_at_intake);
+  line(wire_names::kRequestsMalformed, malformed);
+  line(wire_names::kRequestsDenied, denied);
+  line(wire_names::kConnectionsEvicted, evicted);
+  line(wire_names::kClientsDisconnected, clients_disconnected);
+  line(wire_names::kCompleteAnswers, complete_answers);
+  line(wire_names::kPartialAnswers, partial_answers);
+  line(wire_names::kRejectedAnswers, rejected_answers);
+  line(wire_names::kFailedAnswers, failed_answers);
+  line(wire_names::kLateAnswers, late);
+  line(wire_names::kAttemptsSent, attempts_sent);
+  line(wire_names::kAttemptsRetried, attempts_retried);
+  for (std::size_t i = 0; i < outcomes.size(); ++i) {
+    fmt::format_to(std::back_inserter(text), "{}{} {}\n", wire_names::kAttemptOutcomePrefix,
+                   wire_names::kAttemptOutcomes[i], outcomes[i].Value());
+  }
+  line(wire_names::kConnectionsOpened, connects);
+  line(wire_names::kConnectionsFailed, connects_failed);
+  line(wire_names::kConnectionsMalformed, malformed_responses);
+  line(wire_names::kRounds, rounds);
+  line(wire_names::kEndpointLists, endpoint_lists);
+  return text;
 }
 
 }  // namespace liftrudder::metrics
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,5 @@
-// Counters of what is taken in, sent and answered; printed on request and at exit.
+// Counters of the whole process: what was admitted, sent and answered. Printed on request and at the end; no
+// decision reads them. Thread-safe.
 #ifndef LIFTRUDDER_METRICS_METRICS_H_
 #define LIFTRUDDER_METRICS_METRICS_H_
 
@@ -9,10 +10,11 @@
 
 namespace liftrudder::metrics {
 
+// A number that threads count up, or set. Orders no other memory access.
 class Counter {
  public:
-  void Set(std::int64_t n) { value_.store(n, std::memory_order_relaxed); }
-  void Add(std::int64_t n = 1) { value_.fetch_add(n, std::memory_order_relaxed); }
+  void Set(std::int64_t value) { value_.store(value, std::memory_order_relaxed); }
+  void Add(std::int64_t increment = 1) { value_.fetch_add(increment, std::memory_order_relaxed); }
   std::int64_t Value() const { return value_.load(std::memory_order_relaxed); }
 
  private:
@@ -20,11 +22,35 @@
 };
 
 struct Counters {
-  Counter taken, turned_away, malformed, denied, gone;
-  Counter whole, partial, refused, failed, late;
-  Counter sent, retried, rounds, connects, connects_failed, lists, evicted, spoilt;
-  std::array<Counter, 8> outcomes;  // in the order of routing::AttemptOutcome
-
+  // Requests and queries of clients.
+  Counter queries_admitted;
+  Counter rejected_at_intake;  // over a limit, before they became queries
+  Counter malformed;           // requests
+  Counter denied;              // requests without the permission
+  Counter evicted;             // client connections closed to make room for others
+  Counter clients_disconnected;
+
+  // Queries, by the answer that their clients got.
+  Counter complete_answers;
+  Counter partial_answers;
+  Counter rejected_answers;
+  Counter failed_answers;
+  Counter late;  // answered by the front, as the coordinator's answer did not come in time
+
+  // Attempts; retried ones are among those sent.
+  Counter attempts_sent;
+  Counter attempts_retried;
+  std::array<Counter, 8> outcomes;  // by routing::AttemptOutcome
+
+  // Connections to endpoints.
+  Counter connects;
+  Counter connects_failed;
+  Counter malformed_responses;  // connections closed because what came on them could not be read
+
+  Counter rounds;          // decision rounds
+  Counter endpoint_lists;  // received, full ones and changes
+
+  // One line for each counter: its name, a space, its value.
   std::string Text() const;
 };
 
--- a/src/net/endpoint_connection_pool.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -34,7 +34,7 @@
                                                const coordinator::EndpointResolver& endpoint_registry,
                                                const coordinator::Clock& clock,
                                                const ConnectionLimits& limits, metrics::Counters& counters,
-                                               metrics::Figures& figures, ResultSink sink)
+                                               metrics::OperatorFigures& figures, ResultSink sink)
     : protocol_(protocol),
       endpoint_registry_(endpoint_registry),
       clock_(clock),
@@ -252,7 +252,7 @@
       due = std::min(due,
                      connection.begun_us + (age >= kSlowConnect ? limits_.connect_timeout_us : kSlowConnect));
     } else if (!connection.pending.empty() && now - connection.heard_us >= kStall) {
-      counters_.spoilt.Add();
+      counters_.malformed_responses.Add();
       Drop(number, connection, coordinator::Cause::kSpoilt);
     } else if (connection.Writes() && now >= connection.write_until_us) {
       Drop(number, connection,
@@ -606,7 +606,7 @@
     // not go on, nothing after it on this connection can be trusted, and all that is out there may have run.
     for (EndpointResponse& answer : answers) usable = TakeAnswer(connection, std::move(answer)) && usable;
     if (!usable) {
-      counters_.spoilt.Add();
+      counters_.malformed_responses.Add();
       Drop(number, connection, coordinator::Cause::kSpoilt);
       return false;
     }
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "coordinator/interfaces.h"
-#include "metrics/figures.h"
+#include "metrics/operator_figures.h"
 #include "metrics/metrics.h"
 #include "net/socket.h"
 
@@ -72,7 +72,7 @@
  public:
   EndpointConnectionPool(const EndpointProtocol& protocol, const coordinator::EndpointResolver& endpoint_registry,
                          const coordinator::Clock& clock, const ConnectionLimits& limits,
-                         metrics::Counters& counters, metrics::Figures& figures, ResultSink sink);
+                         metrics::Counters& counters, metrics::OperatorFigures& figures, ResultSink sink);
   ~EndpointConnectionPool();
 
   void Start(coordinator::AttemptRequest order) override;
@@ -169,7 +169,7 @@
   ConnectionLimits limits_;
   const Micros idle_limit_us_;
   metrics::Counters& counters_;
-  metrics::Figures& figures_;
+  metrics::OperatorFigures& figures_;
   const ResultSink sink_;
   std::mutex mutex_;
   bool stopping_ = false;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -205,7 +205,7 @@
 }
 
 void Server::TurnAway(ClientConnection client) {
-  counters_.turned_away.Add();
+  counters_.rejected_at_intake.Add();
   client.Write(Format(handler_.Overloaded(nullptr), true), 0);
   lingering_closer_.Take(client.Finish());
 }
@@ -368,7 +368,7 @@
     return;
   }
   lock.unlock();
-  counters_.turned_away.Add();
+  counters_.rejected_at_intake.Add();
   if (place->line.Write(Format(handler_.Overloaded(&place->parser.message()), false), 0).status != Io::kOk) {
     Remove(place);
   } else {
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -59,9 +59,9 @@
                          1, options.max_scrolls / authenticator->permission_table()->tenants.size())) {
   if (authenticator == nullptr || authenticator->permission_table()->work_per_s == 0) return;
   shared_by_ = authenticator->permission_table();
-  limits::ShareSettings shares;
+  limits::TenantQuotaSettings shares;
   shares.work_per_s = static_cast<double>(shared_by_->work_per_s);
-  shares.most_open = static_cast<int>(shared_by_->most_open);
+  shares.max_in_flight = static_cast<int>(shared_by_->most_open);
   shares.weights = Weights(*shared_by_);
   accounts_.emplace(std::move(shares), config.seed);
 }
@@ -121,16 +121,16 @@
   std::lock_guard lock(shares_mutex_);
   if (std::shared_ptr<const identity::PermissionTable> permission_table = authenticator_->permission_table();
       permission_table != shared_by_) {
-    accounts_->Take(Weights(*permission_table));
+    accounts_->SetWeights(Weights(*permission_table));
     shared_by_ = permission_table;
   }
-  auto verdict = accounts_->Ask(principal.tenant, principal.subject, cost, clock_.Now());
+  auto verdict = accounts_->Admit(principal.tenant, principal.subject, cost, clock_.Now());
   asked.retry_after_us = verdict.retry_after_us;
-  if (!verdict.granted) return false;
+  if (!verdict.admitted) return false;
   asked.place =
       std::shared_ptr<void>(nullptr, [this, tenant = principal.tenant, caller = principal.subject](void*) {
         std::lock_guard again(shares_mutex_);
-        accounts_->End(tenant, caller);
+        accounts_->Release(tenant, caller);
       });
   return true;
 }
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -35,7 +35,7 @@
       coordinator_(coordinator),
       clock_(clock),
       waits_(limits::WatchTimeoutsOf(config.settings)),
-      backoff_(waits_.first_us, waits_.most_us, config.seed),
+      backoff_(waits_.first_backoff_us, waits_.max_backoff_us, config.seed),
       address_(config.discovery),
       thread_([this] { Loop(); }) {}
 
@@ -67,7 +67,7 @@
 
 void DiscoveryWatch::Loop() {
   std::string address = Address();
-  Pause(backoff_.Within(waits_.start_us), address);
+  Pause(backoff_.Within(waits_.initial_delay_us), address);
   while (!stopping_) {
     address = Address();
     std::string reason = "it ended";
@@ -82,7 +82,7 @@
     }
     // Said once, not at each try.
     if (backoff_.failures() == 0) log::Info("discovery: the watch at {} is lost: {}", address, reason);
-    Pause(backoff_.Next(), address);
+    Pause(backoff_.NextWait(), address);
   }
 }
 
@@ -101,7 +101,7 @@
   while (!stopping_ && clock_.Now() - heard_us < kSilence && Address() == address) {
     bool asked = !settled && parser.message().status == 200;
     net::Io got = net::ReadSome(fd, pending, asked ? kFirstWord : kSlice);
-    if (got == net::Io::kTimeout && asked) endpoint_registry_.NothingNewer();
+    if (got == net::Io::kTimeout && asked) endpoint_registry_.MarkUpToDate();
     settled = settled || asked;
     if (got == net::Io::kTimeout) continue;
     if (got != net::Io::kOk) return;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -97,7 +97,7 @@
 
 net::HttpResponse Front::Overloaded(const net::HttpMessage* request) {
   const std::string* name = request == nullptr ? nullptr : request->Header("X-Call-Class");
-  if (name != nullptr) metrics::Figures::Ended(figures_.Of(*name), 503);
+  if (name != nullptr) metrics::OperatorFigures::CountAnswer(figures_.Of(*name), 503);
   coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform,
                           decision_log::kUnknownClass, 503, "");
   return Refusal(503, kBusyRetryUs, "too many connections");
@@ -200,12 +200,12 @@
                       Problem(409, "a query with this id is open"));
     }
   }
-  metrics::Figures::ByClass* group = figures_.Of(query->class_index);
+  metrics::OperatorFigures::ClassFigures* group = figures_.Of(query->class_index);
   figures_.current.Add();
   auto response = Ask(std::move(*query), exchange);
   figures_.current.Add(-1);
   // Nobody was given the end of one whose client has gone, or has broken off its own request.
-  if (response && !response->close) metrics::Figures::Ended(group, response->status);
+  if (response && !response->close) metrics::OperatorFigures::CountAnswer(group, response->status);
   std::lock_guard lock(mutex_);
   open_.erase(id);
   return response;
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -9,7 +9,7 @@
 #include "config/config.h"
 #include "coordinator/coordinator.h"
 #include "decision_log/explain_service.h"
-#include "metrics/figures.h"
+#include "metrics/operator_figures.h"
 #include "net/server.h"
 
 namespace liftrudder::platform {
@@ -17,7 +17,7 @@
 class Front : public net::Handler {
  public:
   Front(const config::Config& config, coordinator::Coordinator& coordinator, const coordinator::Clock& clock,
-        metrics::Counters& counters, metrics::Figures& figures, decision_log::ExplainService* explain_service)
+        metrics::Counters& counters, metrics::OperatorFigures& figures, decision_log::ExplainService* explain_service)
       : config_(config),
         coordinator_(coordinator),
         clock_(clock),
@@ -43,7 +43,7 @@
   coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
-  metrics::Figures& figures_;
+  metrics::OperatorFigures& figures_;
   decision_log::ExplainService* explain_service_;  // null: nothing is recorded
   std::mutex mutex_;
   std::set<std::string> open_;  // call ids of the queries that are open
--- /dev/null
+++ b/tests/coordinator/endpoint_registry_test.cpp
@@ -0,0 +1,58 @@
+#include "coordinator/endpoint_registry.h"
+
+#include <catch2/catch.hpp>
+
+using liftrudder::coordinator::EndpointEntry;
+using liftrudder::coordinator::EndpointRegistry;
+using liftrudder::routing::Availability;
+using liftrudder::routing::EndpointListKind;
+
+TEST_CASE("the registry applies versions in order and remembers when draining was notified") {
+  EndpointRegistry registry;
+  EndpointEntry a{"a", "127.0.0.1:1", {}};
+  EndpointEntry b{"b", "127.0.0.1:2", {}};
+  auto cached = registry.Apply({4, EndpointListKind::kCached, {a, b}}, 10);
+  REQUIRE(cached);
+  auto id = cached->endpoints[0].id;
+  a.endpoint.availability = Availability::kDraining;
+  CHECK_FALSE(registry.Apply({4, EndpointListKind::kDelta, {a}}, 20));
+  REQUIRE(registry.Apply({5, EndpointListKind::kDelta, {a}}, 30));
+  // At once: how long before its notification the draining began is unknown.
+  auto drain_deadline_us = registry.Find(id).drain_deadline_us;
+  CHECK(drain_deadline_us == 30);
+  a.endpoint.availability = Availability::kGone;
+  REQUIRE(registry.Apply({6, EndpointListKind::kDelta, {a}}, 500'000));
+  CHECK(registry.Find(id).drain_deadline_us == drain_deadline_us);  // the first notification counts
+  a.addr = "127.0.0.1:9";
+  a.endpoint.availability = Availability::kReady;
+  CHECK(registry.Apply({7, EndpointListKind::kFull, {a}}, 600'000)->endpoints[0].id == id);
+  CHECK(registry.Find(id).addr == "127.0.0.1:9");
+  // b is not in a full list: it is removed.
+  CHECK(registry.Find(cached->endpoints[1].id).drain_deadline_us > 0);
+}
+
+TEST_CASE("only a list that came since the start ends the wait for one") {
+  EndpointRegistry registry;
+  EndpointEntry a{"a", "127.0.0.1:1", {}};
+  registry.Apply({4, EndpointListKind::kCached, {a}}, 10);
+  CHECK_FALSE(registry.WaitUntilUpToDate(0));
+  registry.Apply({5, EndpointListKind::kDelta, {a}}, 20);
+  CHECK(registry.WaitUntilUpToDate(20'000'000));
+  EndpointRegistry polled;
+  polled.MarkUpToDate();
+  CHECK(polled.WaitUntilUpToDate(20'000'000));
+}
+
+TEST_CASE("an endpoint removed long ago is forgotten, and is a new one when it comes back") {
+  EndpointRegistry registry;
+  EndpointEntry a{"a", "127.0.0.1:1", {}};
+  EndpointEntry removed = a;
+  removed.endpoint.availability = Availability::kGone;
+  auto id = registry.Apply({1, EndpointListKind::kFull, {a}}, 10)->endpoints[0].id;
+  registry.Apply({2, EndpointListKind::kDelta, {removed}}, 20);
+  CHECK(registry.Find(id).id == "a");
+  registry.Apply({3, EndpointListKind::kDelta, {}}, 60'000'000);
+  CHECK(registry.Find(id).id.empty());
+  CHECK_FALSE(registry.Apply({2, EndpointListKind::kDelta, {a}}, 60'000'001));
+  CHECK(registry.Apply({4, EndpointListKind::kDelta, {a}}, 60'000'002)->endpoints[0].id != id);
+}
--- /dev/null
+++ b/tests/coordinator/in_flight_table_test.cpp
@@ -0,0 +1,25 @@
+#include "coordinator/in_flight_table.h"
+
+#include <catch2/catch.hpp>
+
+using liftrudder::coordinator::Cause;
+using liftrudder::coordinator::InFlightTable;
+using liftrudder::coordinator::Progress;
+using liftrudder::coordinator::QueryRequest;
+
+TEST_CASE("an attempt ends once") {
+  InFlightTable in_flight;
+  QueryRequest request;
+  request.shard_requests = {{0, 1, 0, 0}};
+  in_flight.AddQuery(5, request, nullptr);
+  CHECK(in_flight.AddAttempt(*in_flight.FindShardRequest(6), {{1, 1}, 10, 100, true}) == 0);
+  CHECK(in_flight.NextExpiry() == 100);
+  auto finished = in_flight.FinishAttempt({{6, 0}, Progress::kAnswering, Cause::kServed, {}, "v"}, 30);
+  REQUIRE(finished);
+  CHECK(finished->spent_us == 20);
+  CHECK(finished->part_done);
+  CHECK_FALSE(in_flight.FinishAttempt({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
+  CHECK(in_flight.TakeExpired(1000).empty());
+  CHECK(in_flight.RemoveQuery(5).at(0).value == "v");
+  CHECK(in_flight.FindShardRequest(6) == nullptr);
+}
--- /dev/null
+++ b/tests/opensearch/merge_test.cpp
@@ -0,0 +1,45 @@
+#include "opensearch/merge.h"
+
+#include <catch2/catch.hpp>
+#include <string>
+#include <string_view>
+#include <vector>
+
+using namespace liftrudder;
+
+TEST_CASE("only a well-formed response without failures counts as served") {
+  CHECK(opensearch::AnsweredQuery(R"({"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}})", false));
+  CHECK(opensearch::AnsweredQuery(R"({"count":0})", true));
+  for (const char* bad :
+       {"", "{}", "[]", R"({"hits":{}})", R"({"hits":[]})", R"({"error":{},"hits":{"hits":[]}})",
+        R"({"timed_out":true,"hits":{"hits":[]}})", R"({"_shards":{"failed":1},"hits":{"hits":[]}})",
+        R"({"count":3})", R"({"hits":{"hits":[]})"}) {
+    INFO(bad);
+    CHECK_FALSE(opensearch::AnsweredQuery(bad, false));
+  }
+}
+
+TEST_CASE("hits merge by key, missing values where asked, ties by shard") {
+  opensearch::Search search;
+  search.sort = {{"", true, false}};
+  auto shard_response = [](int shard, const std::string& hits) {
+    return coordinator::ShardResponse{shard, R"({"hits":{"total":2,"hits":[)" + hits + "]}}"};
+  };
+  coordinator::FinalAnswer answer;
+  answer.shard_responses = {
+      shard_response(1, R"({"n":"b","sort":[9007199254740993]},{"n":"d","sort":[null]})"),
+      shard_response(0, R"({"n":"a","sort":[9007199254740993]},{"n":"c","sort":[9007199254740992]})")};
+  std::vector<coordinator::ShardRequest> requested(2);
+  auto merged = opensearch::MergeHits(search, answer, {0, false, &requested});
+  REQUIRE(merged);
+  constexpr std::string_view kName = R"({"n":")";
+  std::string order;
+  const std::string& body = merged->body;
+  for (auto at = body.find(kName); at != std::string::npos; at = body.find(kName, at + 1)) {
+    order += body[at + kName.size()];
+  }
+  CHECK(order == "abcd");
+  CHECK(merged->body.find(R"("total":{"value":4,"relation":"eq"})") != std::string::npos);
+  answer.shard_responses[0] = shard_response(1, R"({"n":"b"})");
+  CHECK_FALSE(opensearch::MergeHits(search, answer, {0, false, &requested}));
+}
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -124,10 +124,10 @@
     CHECK(list.kind == liftrudder::routing::EndpointListKind::kFull);
     REQUIRE(list.entries.size() == 1024);
     CHECK(list.entries[1023].id == fmt::format("s-{:0>200}", 1023));
-    CHECK(list.entries[1023].told.cell == 1023);
-    CHECK(list.entries[1023].told.started_us == 1'023'000);
-    CHECK(list.entries[1023].told.weight == 1.5);
-    CHECK(list.entries[1023].told.availability == liftrudder::routing::Availability::kDraining);
+    CHECK(list.entries[1023].endpoint.cell == 1023);
+    CHECK(list.entries[1023].endpoint.started_us == 1'023'000);
+    CHECK(list.entries[1023].endpoint.weight == 1.5);
+    CHECK(list.entries[1023].endpoint.availability == liftrudder::routing::Availability::kDraining);
   }
 }
 
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -67,7 +67,7 @@
   std::optional<liftrudder::routing::EndpointListUpdate> update;
   net::SteadyClock clock;
   metrics::Counters counters;
-  metrics::Figures figures{{"search"}};
+  metrics::OperatorFigures figures{{"search"}};
   const std::vector<std::string> load_names;
   platform::FrameProtocol protocol;
   std::mutex mutex;
