--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -1,300 +1,213 @@
 #include "dns/update.h"
 
 #include <algorithm>
-#include <optional>
-#include <stdexcept>
+#include <cstdint>
+#include <tl/expected.hpp>
+#include <vector>
 
-#include "log/log.h"
-#include "net/json.h"
+#include "dns/message_reader.h"
 
 namespace liftrudder::dns {
 namespace {
 
-constexpr std::size_t kHeader = 12;
-constexpr int kOpcodeUpdate = 5;
-constexpr int kMaxPointers = 32;  // a name that jumps more often goes in circles
-constexpr coordinator::Micros kSlice = 200'000, kMessageWait = 2'000'000, kIdleWait = 30'000'000;
-
-struct BadMessage {};
-
-class Reader {
- public:
-  Reader(std::string_view all, std::size_t at) : all_(all), at_(at) {}
-
-  std::uint32_t Int(int bytes) {
-    std::uint32_t value = 0;
-    for (int i = 0; i < bytes; ++i) value = value << 8 | Byte();
-    return value;
-  }
-  std::string Bytes(std::size_t count) {
-    if (count > all_.size() - at_) throw BadMessage{};
-    at_ += count;
-    return std::string(all_.substr(at_ - count, count));
-  }
-  // In lower case, with its final dot.
-  std::string Name() {
-    std::string out;
-    std::optional<std::size_t> back;
-    for (int jumps = 0;;) {
-      std::uint32_t size = Byte();
-      if (size == 0) break;
-      if (size >= 0xc0) {
-        std::size_t to = (size & 0x3f) << 8 | Byte();
-        if (++jumps > kMaxPointers || to >= all_.size()) throw BadMessage{};
-        if (!back) back = at_;
-        at_ = to;
-        continue;
-      }
-      if (size > 63 || out.size() + size > 254) throw BadMessage{};
-      for (char c : Bytes(size)) out.push_back(c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c);
-      out.push_back('.');
-    }
-    if (back) at_ = *back;
-    return out.empty() ? "." : out;
-  }
-  std::size_t At() const { return at_; }
-  bool End() const { return at_ == all_.size(); }
-
- private:
-  std::uint32_t Byte() {
-    if (at_ >= all_.size()) throw BadMessage{};
-    return static_cast<unsigned char>(all_[at_++]);
-  }
-  std::string_view all_;
-  std::size_t at_;
+// RFC 1035 section 4.1.1: id, flags, and the numbers of entries of four sections.
+constexpr std::size_t kHeaderBytes = 12;
+constexpr std::size_t kIdBytes = 2;
+constexpr std::size_t kFlagsOffset = 2;
+constexpr std::size_t kCountsOffset = 4;
+constexpr unsigned kResponseFlag = 0x80;
+constexpr unsigned kOpcodeShift = 3;
+constexpr unsigned kOpcodeMask = 0x0f;
+constexpr unsigned kOpcodeUpdate = 5;
+constexpr std::size_t kIpv4Bytes = 4;
+constexpr std::size_t kMinSrvBytes =
+    8;  // RFC 2782: three numbers of two bytes, and a name other than the root
+
+// RFC 2136 section 2: the zone section names the zone and is checked as it is read; the additional section is
+// not read.
+struct UpdateMessage {
+  std::vector<ResourceRecord> prerequisites;
+  std::vector<ResourceRecord> updates;
 };
 
-struct Resource {
-  Record record;
-  std::uint16_t cls = 0;
+struct SectionCounts {
+  std::uint16_t zone = 0;
+  std::uint16_t prerequisite = 0;
+  std::uint16_t update = 0;
+  std::uint16_t additional = 0;
 };
 
-Resource ReadResource(Reader& in) {
-  Resource out;
-  out.record.name = in.Name();
-  out.record.type = static_cast<std::uint16_t>(in.Int(2));
-  out.cls = static_cast<std::uint16_t>(in.Int(2));
-  out.record.ttl = in.Int(4);
-  std::size_t size = in.Int(2);
-  std::size_t end = in.At() + size;
-  if (out.record.type == kTypeSrv && size > 0) {
-    // Its target may come compressed; the zone keeps names whole, or equal records would not compare equal.
-    out.record.data = in.Bytes(6);
-    out.record.data += WireName(in.Name()).value_or("");
-    if (in.At() != end) throw BadMessage{};
-  } else {
-    out.record.data = in.Bytes(size);
+bool IsSupportedType(std::uint16_t type) {
+  return type == kTypeA || type == kTypeNs || type == kTypeSoa || type == kTypeTxt || type == kTypeSrv;
+}
+
+// Whether TXT data is at least one string, each with its length before it, and nothing else.
+bool IsWellFormedTxt(const std::string& data) {
+  std::size_t offset = 0;
+  while (offset < data.size()) {
+    offset += 1 + static_cast<std::size_t>(static_cast<unsigned char>(data[offset]));
   }
-  return out;
+  return offset == data.size() && offset > 0;
 }
 
-bool Known(std::uint16_t type) {
-  return type == kTypeA || type == kTypeNs || type == kTypeSoa || type == kTypeTxt || type == kTypeSrv;
+bool HasWellFormedData(const Record& record) {
+  if (record.type == kTypeA) return record.data.size() == kIpv4Bytes;
+  if (record.type == kTypeSrv) return record.data.size() >= kMinSrvBytes;
+  if (record.type == kTypeTxt) return IsWellFormedTxt(record.data);
+  return true;
 }
 
-bool Sound(const Record& record) {
-  if (record.type == kTypeA) return record.data.size() == 4;
-  if (record.type == kTypeSrv) return record.data.size() > 7;
-  std::size_t at = 0;
-  while (record.type == kTypeTxt && at < record.data.size())
-    at += 1 + static_cast<std::size_t>(static_cast<unsigned char>(record.data[at]));
-  return record.type != kTypeTxt || (at == record.data.size() && at > 0);
+bool IsOfSameSet(const Record& a, const Record& b) { return a.name == b.name && a.type == b.type; }
+bool IsSameRecord(const Record& a, const Record& b) { return IsOfSameSet(a, b) && a.data == b.data; }
+
+// RFC 2136 section 3.2, for a prerequisite that says whether a name or a set of records exists.
+Rcode CheckExistence(const ResourceRecord& prerequisite, const Zone& zone) {
+  const Record& wanted = prerequisite.record;
+  bool must_exist = prerequisite.record_class == kClassAny;
+  bool must_not_exist = prerequisite.record_class == kClassNone;
+  if (!wanted.data.empty() || (!must_exist && !must_not_exist)) return Rcode::kFormErr;
+  bool any_type = wanted.type == kTypeAny;
+  bool exists = std::ranges::any_of(zone.records, [&](const Record& record) {
+    return record.name == wanted.name && (any_type || record.type == wanted.type);
+  });
+  if (must_exist && !exists) return any_type ? Rcode::kNxDomain : Rcode::kNxRrset;
+  if (must_not_exist && exists) return any_type ? Rcode::kYxDomain : Rcode::kYxRrset;
+  return Rcode::kNoError;
 }
 
-bool Same(const Record& a, const Record& b) {
-  return a.name == b.name && a.type == b.type && a.data == b.data;
+// Section 3.2.3: the zone's sets must have exactly the records that are required of them.
+Rcode CheckExactSets(const std::vector<Record>& required, const Zone& zone) {
+  for (const Record& wanted : required) {
+    auto of_set = [&wanted](const Record& record) { return IsOfSameSet(record, wanted); };
+    auto same = [&wanted](const Record& record) { return IsSameRecord(record, wanted); };
+    bool same_size = std::ranges::count_if(required, of_set) == std::ranges::count_if(zone.records, of_set);
+    if (!same_size || std::ranges::none_of(zone.records, same)) return Rcode::kNxRrset;
+  }
+  return Rcode::kNoError;
 }
 
-// RFC 2136, section 3.2.
-Rcode Check(const std::vector<Resource>& prerequisites, const Zone& zone) {
-  std::vector<Record> wanted;
-  for (const Resource& one : prerequisites) {
-    const Record& need = one.record;
-    if (need.ttl != 0) return Rcode::kFormErr;
-    if (!zone.Holds(need.name)) return Rcode::kNotZone;
-    if (one.cls == kClassIn) {
-      wanted.push_back(need);
+Rcode CheckPrerequisites(const std::vector<ResourceRecord>& prerequisites, const Zone& zone) {
+  std::vector<Record> required;
+  for (const ResourceRecord& prerequisite : prerequisites) {
+    const Record& wanted = prerequisite.record;
+    if (wanted.ttl != 0) return Rcode::kFormErr;
+    if (!zone.Contains(wanted.name)) return Rcode::kNotZone;
+    if (prerequisite.record_class == kClassIn) {
+      required.push_back(wanted);
       continue;
     }
-    if (!need.data.empty() || (one.cls != kClassAny && one.cls != kClassNone)) return Rcode::kFormErr;
-    bool any = need.type == kTypeAny;
-    bool there = std::ranges::any_of(zone.records, [&](const Record& record) {
-      return record.name == need.name && (any || record.type == need.type);
-    });
-    if (one.cls == kClassAny && !there) return any ? Rcode::kNxDomain : Rcode::kNxRrset;
-    if (one.cls == kClassNone && there) return any ? Rcode::kYxDomain : Rcode::kYxRrset;
-  }
-  // A set that must be there with these values: no more and no fewer.
-  for (const Record& need : wanted) {
-    auto of_set = [&need](const Record& record) {
-      return record.name == need.name && record.type == need.type;
-    };
-    auto asked = std::ranges::count_if(wanted, of_set), has = std::ranges::count_if(zone.records, of_set);
-    bool there =
-        std::ranges::any_of(zone.records, [&need](const Record& record) { return Same(record, need); });
-    if (asked != has || !there) return Rcode::kNxRrset;
+    Rcode code = CheckExistence(prerequisite, zone);
+    if (code != Rcode::kNoError) return code;
   }
-  return Rcode::kNoError;
+  return CheckExactSets(required, zone);
 }
 
-// Section 3.4.1.
-Rcode Prescan(const std::vector<Resource>& updates, const Zone& zone) {
-  for (const Resource& one : updates) {
-    if (!zone.Holds(one.record.name)) return Rcode::kNotZone;
-    bool any = one.record.type == kTypeAny;
-    if (one.cls == kClassIn) {
-      if (any || !Known(one.record.type) || !Sound(one.record))
-        return any ? Rcode::kFormErr : Rcode::kRefused;
-    } else if (one.cls == kClassAny) {
-      if (one.record.ttl != 0 || !one.record.data.empty()) return Rcode::kFormErr;
-    } else if (one.cls != kClassNone || one.record.ttl != 0 || any) {
+// Section 3.4.1, for one update.
+Rcode PrescanUpdate(const ResourceRecord& update, const Zone& zone) {
+  const Record& record = update.record;
+  if (!zone.Contains(record.name)) return Rcode::kNotZone;
+  bool any_type = record.type == kTypeAny;
+  switch (update.record_class) {
+    case kClassIn:
+      if (any_type) return Rcode::kFormErr;
+      return IsSupportedType(record.type) && HasWellFormedData(record) ? Rcode::kNoError : Rcode::kRefused;
+    case kClassAny:
+      return record.ttl == 0 && record.data.empty() ? Rcode::kNoError : Rcode::kFormErr;
+    case kClassNone:
+      return record.ttl == 0 && !any_type ? Rcode::kNoError : Rcode::kFormErr;
+    default:
       return Rcode::kFormErr;
-    }
+  }
+}
+
+Rcode Prescan(const std::vector<ResourceRecord>& updates, const Zone& zone) {
+  for (const ResourceRecord& update : updates) {
+    Rcode code = PrescanUpdate(update, zone);
+    if (code != Rcode::kNoError) return code;
   }
   return Rcode::kNoError;
 }
 
-// Section 3.4.2. The SOA and NS records of the zone itself stay.
-void Apply(const Resource& one, Zone& zone) {
-  const Record& record = one.record;
-  auto kept = [&zone](const Record& other) {
+// Section 3.4.2. The zone's own SOA and NS records are never changed.
+void ApplyOne(const ResourceRecord& update, Zone& zone) {
+  const Record& record = update.record;
+  auto is_protected = [&zone](const Record& other) {
     return other.name == zone.origin && (other.type == kTypeSoa || other.type == kTypeNs);
   };
-  if (one.cls == kClassIn) {
+  if (update.record_class == kClassIn) {
     if (record.type == kTypeSoa || record.type == kTypeNs) return;
-    std::erase_if(zone.records, [&](const Record& other) { return Same(other, record); });
+    std::erase_if(zone.records, [&](const Record& other) { return IsSameRecord(other, record); });
     zone.records.push_back(record);
-  } else if (one.cls == kClassAny) {
+  } else if (update.record_class == kClassAny) {
     std::erase_if(zone.records, [&](const Record& other) {
-      return other.name == record.name && (record.type == kTypeAny || other.type == record.type) &&
-             !kept(other);
+      bool matches = other.name == record.name && (record.type == kTypeAny || other.type == record.type);
+      return matches && !is_protected(other);
     });
   } else {
-    std::erase_if(zone.records, [&](const Record& other) { return Same(other, record) && !kept(other); });
+    std::erase_if(zone.records,
+                  [&](const Record& other) { return IsSameRecord(other, record) && !is_protected(other); });
   }
 }
 
-Rcode Update(Reader& in, const std::uint32_t (&counts)[4], Zone& zone) {
-  if (counts[0] != 1) return Rcode::kFormErr;
-  std::string name = in.Name();
-  std::uint32_t type = in.Int(2), cls = in.Int(2);
-  if (type != kTypeSoa) return Rcode::kFormErr;
-  if (name != zone.origin || cls != kClassIn) return Rcode::kNotAuth;
-  std::vector<Resource> sections[3];
-  for (int section = 0; section < 3; ++section) {
-    for (std::uint32_t i = 0; i < counts[section + 1]; ++i) sections[section].push_back(ReadResource(in));
-  }
-  if (!in.End()) return Rcode::kFormErr;
-  Rcode code = Check(sections[0], zone);
-  if (code == Rcode::kNoError) code = Prescan(sections[1], zone);
-  if (code != Rcode::kNoError) return code;
-  for (const Resource& one : sections[1]) Apply(one, zone);
-  return code;
-}
-
-}  // namespace
-
-std::string ApplyUpdate(std::string_view message, Zone& zone) {
-  if (message.size() < kHeader) return {};
-  Reader in(message, 4);
-  std::uint32_t counts[4];
-  for (std::uint32_t& count : counts) count = in.Int(2);
-  int opcode = static_cast<unsigned char>(message[2]) >> 3 & 0x0f;
-  Rcode code = Rcode::kNotImp;
-  try {
-    if (opcode == kOpcodeUpdate) code = Update(in, counts, zone);
-  } catch (const BadMessage&) {
-    code = Rcode::kFormErr;
-  }
-  std::string out(message.substr(0, 2));
-  out.push_back(static_cast<char>(0x80 | opcode << 3));
-  out.push_back(static_cast<char>(code));
-  return out.append(8, '\0');
+std::vector<ResourceRecord> ReadSection(MessageReader& reader, std::uint16_t count) {
+  std::vector<ResourceRecord> records;
+  for (std::uint16_t i = 0; i < count && !reader.Failed(); ++i) records.push_back(ReadResourceRecord(reader));
+  return records;
 }
 
-ZoneOptions ParseZoneOptions(std::string_view text) {
-  std::string_view zone = net::json::Get(net::json::Get(text, "opensearch"), "zone");
-  auto member = [zone](const char* key) { return net::json::String(net::json::Get(zone, key)).value_or(""); };
-  ZoneOptions out{member("file"), member("service"), member("update_listen")};
-  if (!out.update_listen.empty() && !out.update_listen.starts_with("127."))
-    throw std::runtime_error("zone: updates are taken on a loopback address only");
-  return out;
+// Section 3.1: exactly one zone, named by its SOA, and it must be ours.
+Rcode CheckZoneSection(MessageReader& reader, std::uint16_t count, const Zone& zone) {
+  if (count != 1) return Rcode::kFormErr;
+  std::string name = reader.ReadName();
+  std::uint16_t type = reader.ReadUint16();
+  std::uint16_t zone_class = reader.ReadUint16();
+  if (reader.Failed() || type != kTypeSoa) return Rcode::kFormErr;
+  return name == zone.origin && zone_class == kClassIn ? Rcode::kNoError : Rcode::kNotAuth;
 }
 
-ZoneSource::ZoneSource(Zone zone, std::string service, net::Fd listener,
-                       coordinator::EndpointRegistry& endpoint_registry,
-                       coordinator::Coordinator& coordinator, const coordinator::Clock& clock)
-    : zone_(std::move(zone)),
-      service_(std::move(service)),
-      listener_(std::move(listener)),
-      endpoint_registry_(endpoint_registry),
-      coordinator_(coordinator),
-      clock_(clock) {
-  Tell(true);
-  if (listener_.Valid()) thread_ = net::Thread([this] { Loop(); });
+tl::expected<UpdateMessage, Rcode> ReadUpdate(MessageReader& reader, const SectionCounts& counts,
+                                              const Zone& zone) {
+  Rcode code = CheckZoneSection(reader, counts.zone, zone);
+  if (code != Rcode::kNoError) return tl::unexpected(code);
+  UpdateMessage message;
+  message.prerequisites = ReadSection(reader, counts.prerequisite);
+  message.updates = ReadSection(reader, counts.update);
+  ReadSection(reader, counts.additional);
+  if (reader.Failed() || !reader.AtEnd()) return tl::unexpected(Rcode::kFormErr);
+  return message;
 }
 
-ZoneSource::~ZoneSource() {
-  stopping_ = true;
-  thread_.Join();
+Rcode Update(MessageReader& reader, const SectionCounts& counts, Zone& zone) {
+  auto message = ReadUpdate(reader, counts, zone);
+  if (!message) return message.error();
+  Rcode code = CheckPrerequisites(message->prerequisites, zone);
+  if (code == Rcode::kNoError) code = Prescan(message->updates, zone);
+  if (code != Rcode::kNoError) return code;
+  for (const ResourceRecord& update : message->updates) ApplyOne(update, zone);
+  return Rcode::kNoError;
 }
 
-void ZoneSource::Loop() {
-  while (!stopping_) {
-    net::Fd client = net::Accept(listener_, kSlice);
-    if (client.Valid()) Serve(client);
-  }
+// Section 3.8: the id, the opcode and the result; all sections are empty.
+std::string Response(std::string_view id, unsigned opcode, Rcode code) {
+  std::string response(id);
+  response.push_back(static_cast<char>(kResponseFlag | opcode << kOpcodeShift));
+  response.push_back(static_cast<char>(code));
+  return response.append(kHeaderBytes - response.size(), '\0');
 }
 
-void ZoneSource::Serve(const net::Fd& client) {
-  std::string in;
-  coordinator::Micros heard_us = clock_.Now();
-  while (!stopping_) {
-    coordinator::Micros silent_us = clock_.Now() - heard_us;
-    if (silent_us > (in.empty() ? kIdleWait : kMessageWait)) return;
-    net::Io got = net::ReadSome(client, in, kSlice);
-    if (got == net::Io::kTimeout) continue;
-    if (got != net::Io::kOk) return;
-    heard_us = clock_.Now();
-    while (in.size() >= 2) {
-      std::size_t size = static_cast<std::size_t>(static_cast<unsigned char>(in[0])) << 8 |
-                         static_cast<unsigned char>(in[1]);
-      if (in.size() - 2 < size) break;
-      std::string out = ApplyUpdate(std::string_view(in).substr(2, size), zone_);
-      in.erase(0, 2 + size);
-      if (out.empty()) return;
-      Tell(false);
-      std::string framed{static_cast<char>(out.size() >> 8), static_cast<char>(out.size() & 0xff)};
-      if (net::WriteAll(client, framed + out, kMessageWait).status != net::Io::kOk) return;
-    }
-  }
-}
+}  // namespace
 
-// The difference between what the zone now says and what was told.
-void ZoneSource::Tell(bool first) {
-  coordinator::EndpointList list;
-  list.version = ++version_;
-  list.kind = first ? routing::EndpointListKind::kFull : routing::EndpointListKind::kDelta;
-  std::map<std::string, coordinator::EndpointEntry> now = Holders(zone_, service_);
-  for (auto& [id, entry] : now) {
-    auto before = told_.find(id);
-    bool ready = before != told_.end() && before->second.endpoint.availability == routing::Availability::kReady;
-    // One that appears in an update has most likely just started; taken for warm it could be pushed over.
-    if (!first && !ready && entry.endpoint.started_us == 0) entry.endpoint.started_us = clock_.Now();
-    if (ready && entry.endpoint.started_us == 0) entry.endpoint.started_us = before->second.endpoint.started_us;
-    bool same = ready && before->second.addr == entry.addr && before->second.endpoint.cell == entry.endpoint.cell &&
-                before->second.endpoint.started_us == entry.endpoint.started_us;
-    if (!same) list.entries.push_back(entry);
-  }
-  for (auto& [id, entry] : told_) {
-    if (now.contains(id) || entry.endpoint.availability != routing::Availability::kReady) continue;
-    entry.endpoint.availability = routing::Availability::kDraining;
-    list.entries.push_back(entry);
-  }
-  for (coordinator::EndpointEntry& entry : list.entries) told_[entry.id] = entry;
-  if (list.entries.empty() && !first) return;
-  if (auto update = endpoint_registry_.Apply(list, clock_.Now())) coordinator_.Post(std::move(*update));
-  log::Info("zone {}: {} holders, {} changed", zone_.origin, now.size(), list.entries.size());
+std::string ApplyUpdate(std::string_view message, Zone& zone) {
+  if (message.size() < kHeaderBytes) return {};
+  MessageReader reader(message, kCountsOffset);
+  SectionCounts counts;
+  counts.zone = reader.ReadUint16();
+  counts.prerequisite = reader.ReadUint16();
+  counts.update = reader.ReadUint16();
+  counts.additional = reader.ReadUint16();
+  unsigned opcode = static_cast<unsigned char>(message[kFlagsOffset]) >> kOpcodeShift & kOpcodeMask;
+  Rcode code = opcode == kOpcodeUpdate ? Update(reader, counts, zone) : Rcode::kNotImp;
+  return Response(message.substr(0, kIdBytes), opcode, code);
 }
 
 }  // namespace liftrudder::dns
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -1,44 +1,55 @@
-// A DNS zone as a source of holders: SRV names them, A has their addresses, TXT their cells.
+// A DNS zone in memory: its records, and domain names in text and in wire form. Plain data and pure
+// functions; no I/O, no locks.
 #ifndef LIFTRUDDER_DNS_ZONE_H_
 #define LIFTRUDDER_DNS_ZONE_H_
 
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "coordinator/endpoint_registry.h"
-
 namespace liftrudder::dns {
 
-constexpr std::uint16_t kTypeA = 1, kTypeNs = 2, kTypeSoa = 6, kTypeTxt = 16, kTypeSrv = 33, kTypeAny = 255;
-constexpr std::uint16_t kClassIn = 1, kClassNone = 254, kClassAny = 255;
-
-// Names are lower case and end in a dot; `data` is as on the wire, names in it uncompressed.
+// RFC 1035 section 3.2, RFC 2782, RFC 2136 section 1.3.
+inline constexpr std::uint16_t kTypeA = 1;
+inline constexpr std::uint16_t kTypeNs = 2;
+inline constexpr std::uint16_t kTypeSoa = 6;
+inline constexpr std::uint16_t kTypeTxt = 16;
+inline constexpr std::uint16_t kTypeSrv = 33;
+inline constexpr std::uint16_t kTypeAny = 255;
+inline constexpr std::uint16_t kClassIn = 1;
+inline constexpr std::uint16_t kClassNone = 254;
+inline constexpr std::uint16_t kClassAny = 255;
+
+// RFC 1035 section 2.3.4, in bytes; the length of a name includes the lengths of its labels.
+inline constexpr std::size_t kMaxLabelBytes = 63;
+inline constexpr std::size_t kMaxNameBytes = 255;
+
+// A resource record of class IN.
 struct Record {
-  std::string name;
+  std::string name;  // in lower case, ends in a dot
   std::uint16_t type = 0;
   std::uint32_t ttl = 0;
-  std::string data;
+  std::string data;  // RDATA in wire form, names in it uncompressed
 };
 
 struct Zone {
-  std::string origin;
+  std::string origin;  // the owner of the SOA record
   std::vector<Record> records;
-  bool Holds(std::string_view name) const;
+
+  // Whether a name is the origin or below it.
+  bool Contains(std::string_view name) const;
 };
 
-// Reads a zone file (RFC 1035, section 5: $ORIGIN, $TTL, parentheses, comments; types SOA, NS, A, TXT, SRV).
-// Throws std::runtime_error naming the line.
-Zone ParseZone(std::string_view text);
+// `text` in lower case, in ASCII alone, as names compare (RFC 4343).
+std::string ToLower(std::string_view text);
 
-// The wire form of a name, and back; nothing when a label or the name is too long.
+// The wire form of an absolute name; nothing when it does not end in a dot, or a label or the name is too
+// long.
 std::optional<std::string> WireName(std::string_view name);
-
-// The holders that a service's SRV records name, by target. One without an address or a cell is left out.
-std::map<std::string, coordinator::EndpointEntry> Holders(const Zone& zone, const std::string& service);
+// The text form, in lower case, of an uncompressed name in wire form.
+std::string NameFromWire(std::string_view wire);
 
 }  // namespace liftrudder::dns
 
--- /dev/null
+++ b/src/dns/zone_error.h
@@ -0,0 +1,46 @@
+// What can be wrong with a zone file or the options that name it.
+#ifndef LIFTRUDDER_DNS_ZONE_ERROR_H_
+#define LIFTRUDDER_DNS_ZONE_ERROR_H_
+
+#include <cstddef>
+#include <stdexcept>
+#include <string>
+
+namespace liftrudder::dns {
+
+enum class ZoneErrorCode {
+  kUnbalancedParenthesis,
+  kUnterminatedString,
+  kUnsupportedDirective,
+  kUnsupportedType,
+  kMissingType,
+  kFieldCount,  // a record has more or fewer fields than its type
+  kBadNumber,
+  kBadName,
+  kBadAddress,
+  kStringTooLong,
+  kNoSoaRecord,
+  kOutsideZone,  // a record's name is not in the zone
+  kNotLoopback,  // updates are not to be taken on this address
+};
+
+// Ends the start-up; what() has the line and the value at fault.
+class ZoneError : public std::runtime_error {
+ public:
+  // `line`: from 1; 0 when the error is not in a line of its own.
+  ZoneError(ZoneErrorCode code, std::size_t line, const std::string& problem, std::string value);
+
+  ZoneErrorCode code() const { return code_; }
+  std::size_t line() const { return line_; }
+  // The value at fault, as it was written; may be empty.
+  const std::string& value() const { return value_; }
+
+ private:
+  ZoneErrorCode code_;
+  std::size_t line_;
+  std::string value_;
+};
+
+}  // namespace liftrudder::dns
+
+#endif  // LIFTRUDDER_DNS_ZONE_ERROR_H_
--- /dev/null
+++ b/src/dns/zone_file.cpp
@@ -0,0 +1,288 @@
+#include "dns/zone_file.h"
+
+#include <arpa/inet.h>
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <array>
+#include <charconv>
+#include <optional>
+#include <span>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace liftrudder::dns {
+namespace {
+
+constexpr std::size_t kMaxTxtStringBytes = 255;
+constexpr const char* kWordDelimiters = " \t\r\n;()";
+
+// The words of one directive or record, which may span several lines.
+struct Entry {
+  bool starts_with_owner = false;  // the first word begins its line, so it is the owner's name
+  std::size_t line = 0;            // of the first word
+  std::vector<std::string> words;
+};
+
+// Splits a zone file into entries.
+class EntryReader {
+ public:
+  explicit EntryReader(std::string_view text) : text_(text) {}
+
+  std::vector<Entry> ReadAll() {
+    for (; at_ < text_.size(); ++at_) ReadNext(text_[at_]);
+    EndLine();
+    if (depth_ != 0) throw ZoneError(ZoneErrorCode::kUnbalancedParenthesis, 0, "'(' without ')'", "");
+    return std::move(entries_);
+  }
+
+ private:
+  // `c` is at at_. Leaves at_ on the last character that it has read.
+  void ReadNext(char c) {
+    if (c == ';') return SkipComment();
+    if (c == '\n') return EndLine();
+    if (c == '(' || c == ')') {
+      ChangeDepth(c);
+    } else if (c != ' ' && c != '\t' && c != '\r') {
+      AddWord(c);
+    }
+    at_line_start_ = false;
+  }
+
+  void SkipComment() {
+    while (at_ + 1 < text_.size() && text_[at_ + 1] != '\n') ++at_;
+  }
+
+  // Within parentheses an entry goes on in the next line.
+  void EndLine() {
+    bool entry_ends = depth_ == 0;
+    if (entry_ends && !entry_.words.empty()) entries_.push_back(std::move(entry_));
+    if (entry_ends) entry_ = {};
+    ++line_;
+    at_line_start_ = entry_ends;
+  }
+
+  void ChangeDepth(char parenthesis) {
+    depth_ += parenthesis == '(' ? 1 : -1;
+    if (depth_ < 0) throw ZoneError(ZoneErrorCode::kUnbalancedParenthesis, line_, "')' without '('", "");
+  }
+
+  void AddWord(char first) {
+    if (entry_.words.empty()) {
+      entry_.starts_with_owner = at_line_start_;
+      entry_.line = line_;
+    }
+    entry_.words.push_back(first == '"' ? QuotedWord() : PlainWord());
+  }
+
+  std::string QuotedWord() {
+    auto end = text_.find('"', at_ + 1);
+    if (end == std::string_view::npos) {
+      std::string rest(text_.substr(at_, text_.find('\n', at_) - at_));
+      throw ZoneError(ZoneErrorCode::kUnterminatedString, line_, "open quote", rest);
+    }
+    std::string word(text_.substr(at_ + 1, end - at_ - 1));
+    at_ = end;
+    return word;
+  }
+
+  std::string PlainWord() {
+    auto end = std::min(text_.find_first_of(kWordDelimiters, at_), text_.size());
+    std::string word(text_.substr(at_, end - at_));
+    at_ = end - 1;
+    return word;
+  }
+
+  const std::string_view text_;
+  std::size_t at_ = 0;
+  std::size_t line_ = 1;
+  int depth_ = 0;  // of open parentheses
+  bool at_line_start_ = true;
+  Entry entry_;
+  std::vector<Entry> entries_;
+};
+
+struct TypeName {
+  std::string_view name;
+  std::uint16_t type;
+};
+constexpr std::array<TypeName, 5> kTypeNames = {
+    {{"a", kTypeA}, {"ns", kTypeNs}, {"soa", kTypeSoa}, {"txt", kTypeTxt}, {"srv", kTypeSrv}}};
+
+std::optional<std::uint16_t> TypeOf(std::string_view word) {
+  const auto* found = std::ranges::find(kTypeNames, ToLower(word), &TypeName::name);
+  return found == kTypeNames.end() ? std::nullopt : std::optional(found->type);
+}
+
+bool IsNumber(std::string_view word) {
+  return std::ranges::all_of(word, [](char c) { return c >= '0' && c <= '9'; });
+}
+
+// In network byte order.
+template <typename T>
+void AppendInt(std::string& out, T value) {
+  for (int shift = (static_cast<int>(sizeof(T)) - 1) * 8; shift >= 0; shift -= 8) {
+    out.push_back(static_cast<char>(value >> shift & 0xff));
+  }
+}
+
+// Turns entries into a zone; directives apply to the entries that follow them.
+class ZoneBuilder {
+ public:
+  void Add(const Entry& entry) {
+    line_ = entry.line;
+    std::string first = ToLower(entry.words[0]);
+    if (first.starts_with('$')) {
+      ApplyDirective(first, entry);
+    } else {
+      AddRecord(entry);
+    }
+  }
+
+  Zone Finish() {
+    line_ = 0;
+    if (zone_.origin.empty()) Fail(ZoneErrorCode::kNoSoaRecord, "no SOA record");
+    for (const Record& record : zone_.records) {
+      if (!zone_.Contains(record.name)) Fail(ZoneErrorCode::kOutsideZone, "is not in the zone", record.name);
+    }
+    return std::move(zone_);
+  }
+
+ private:
+  using Fields = std::span<const std::string>;
+
+  [[noreturn]] void Fail(ZoneErrorCode code, const std::string& problem, std::string value = "") const {
+    throw ZoneError(code, line_, problem, std::move(value));
+  }
+
+  void ApplyDirective(const std::string& directive, const Entry& entry) {
+    if (entry.words.size() != 2 || (directive != "$origin" && directive != "$ttl")) {
+      Fail(ZoneErrorCode::kUnsupportedDirective, "is not supported", directive);
+    }
+    if (directive == "$origin") {
+      origin_ = Absolute(entry.words[1]);
+    } else {
+      ttl_ = Number<std::uint32_t>(entry.words[1]);
+    }
+  }
+
+  // [owner] {ttl | "IN"} type fields...
+  void AddRecord(const Entry& entry) {
+    std::size_t next = 0;
+    if (entry.starts_with_owner) owner_ = Absolute(entry.words[next++]);
+    Record record{owner_, 0, ttl_, {}};
+    for (; next < entry.words.size(); ++next) {
+      const std::string& word = entry.words[next];
+      if (ToLower(word) == "in") continue;
+      if (!IsNumber(word)) break;
+      record.ttl = Number<std::uint32_t>(word);
+    }
+    if (next == entry.words.size()) Fail(ZoneErrorCode::kMissingType, "a record without a type");
+    std::optional<std::uint16_t> type = TypeOf(entry.words[next]);
+    if (!type) Fail(ZoneErrorCode::kUnsupportedType, "the type is not supported", entry.words[next]);
+    record.type = *type;
+    record.data = RecordData(*type, Fields(entry.words).subspan(next + 1));
+    if (record.type == kTypeSoa) zone_.origin = record.name;
+    zone_.records.push_back(std::move(record));
+  }
+
+  std::string RecordData(std::uint16_t type, Fields fields) const {
+    switch (type) {
+      case kTypeA:
+        return AddressData(fields);
+      case kTypeNs:
+        ExpectFields(fields, 1);
+        return NameData(fields[0]);
+      case kTypeTxt:
+        return TxtData(fields);
+      case kTypeSrv:
+        return SrvData(fields);
+      default:
+        return SoaData(fields);
+    }
+  }
+
+  std::string AddressData(Fields fields) const {
+    ExpectFields(fields, 1);
+    in_addr address{};
+    if (inet_pton(AF_INET, fields[0].c_str(), &address) != 1) {
+      Fail(ZoneErrorCode::kBadAddress, "no IPv4 address", fields[0]);
+    }
+    return {reinterpret_cast<const char*>(&address), sizeof(address)};
+  }
+
+  std::string TxtData(Fields fields) const {
+    std::string data;
+    for (const std::string& text : fields) {
+      if (text.size() > kMaxTxtStringBytes) {
+        Fail(ZoneErrorCode::kStringTooLong, "a TXT string is too long", text);
+      }
+      AppendInt(data, static_cast<std::uint8_t>(text.size()));
+      data += text;
+    }
+    return data;
+  }
+
+  // Priority, weight, port, target.
+  std::string SrvData(Fields fields) const {
+    ExpectFields(fields, 4);
+    std::string data;
+    for (const std::string& number : fields.first(3)) AppendInt(data, Number<std::uint16_t>(number));
+    return data + NameData(fields[3]);
+  }
+
+  // Primary server, mailbox, and five numbers.
+  std::string SoaData(Fields fields) const {
+    ExpectFields(fields, 7);
+    std::string data = NameData(fields[0]) + NameData(fields[1]);
+    for (const std::string& number : fields.subspan(2)) AppendInt(data, Number<std::uint32_t>(number));
+    return data;
+  }
+
+  void ExpectFields(Fields fields, std::size_t count) const {
+    if (fields.size() == count) return;
+    Fail(ZoneErrorCode::kFieldCount, fmt::format("{} fields expected", count),
+         fmt::format("{}", fmt::join(fields, " ")));
+  }
+
+  template <typename T>
+  T Number(const std::string& word) const {
+    T value{};
+    const char* word_end = word.data() + word.size();
+    auto [end, error] = std::from_chars(word.data(), word_end, value);
+    if (word.empty() || error != std::errc() || end != word_end) {
+      Fail(ZoneErrorCode::kBadNumber, "is not a number that fits", word);
+    }
+    return value;
+  }
+
+  std::string NameData(const std::string& word) const {
+    std::string name = Absolute(word);
+    std::optional<std::string> wire = WireName(name);
+    if (!wire) Fail(ZoneErrorCode::kBadName, "is no name", name);
+    return *wire;
+  }
+
+  std::string Absolute(std::string_view name) const {
+    if (name == "@") return origin_;
+    if (name.ends_with('.')) return ToLower(name);
+    return ToLower(name) + "." + (origin_ == "." ? "" : origin_);
+  }
+
+  Zone zone_;
+  std::string origin_ = ".";  // of relative names; the zone's own origin is where its SOA record is
+  std::string owner_;         // of the last record
+  std::uint32_t ttl_ = 0;
+  std::size_t line_ = 0;  // of the entry in hand
+};
+
+}  // namespace
+
+Zone ParseZone(std::string_view text) {
+  ZoneBuilder builder;
+  for (const Entry& entry : EntryReader(text).ReadAll()) builder.Add(entry);
+  return builder.Finish();
+}
+
+}  // namespace liftrudder::dns
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
 #include "app/tls_files.h"
 #include "config/config.h"
 #include "coordinator/coordinator.h"
-#include "dns/update.h"
+#include "dns/zone_source.h"
 #include "limits/watch_timeouts.h"
 #include "log/log.h"
 #include "metrics/operator_figures.h"
