--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -12,7 +12,7 @@
 
 #include "identity/token_verifier.h"
 #include "net/socket.h"
-#include "net/tls.h"
+#include "net/tls_channel.h"
 #include "support/token_issuer.h"
 #include "support/token_signer.h"
 
@@ -70,7 +70,7 @@
     out = client.Step(wire, plain);
   }
   if (server.state() != net::TlsChannel::State::kOpen)
-    std::printf("no handshake: %s\n", server.wrong().c_str());
+    std::printf("no handshake: %s\n", server.fault().c_str());
   return spent;
 }
 
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -25,7 +25,7 @@
 net::HttpResponse AdminHandler::SetAside(bool aside) {
   std::lock_guard lock(mutex_);
   if (server_ == nullptr) return Say(503, "not serving: it starts or ends");
-  if (server_->SetAside(aside)) log::Info("told to {}", aside ? "drain" : "end the drain");
+  if (server_->SetAdminDrain(aside)) log::Info("told to {}", aside ? "drain" : "end the drain");
   return Say(200, aside ? "draining" : "the drain has ended");
 }
 
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -94,8 +94,8 @@
   std::shared_ptr<const net::TlsContext> before = source_.Get();
   if (before != nullptr && before->material() == material) return;
   auto made = net::TlsContext::Make(std::move(material), clock_, before.get());
-  if (const auto* wrong = std::get_if<std::string>(&made)) throw std::runtime_error("tls: " + *wrong);
-  source_.Set(std::get<0>(made));
+  if (!made) throw std::runtime_error("tls: " + made.error().Message());
+  source_.Set(*made);
   log::Info("audit: tls shows {} from now on; the first to end does so at {:%Y-%m-%dT%H:%M:%SZ}",
             source_.Get()->subjects(), fmt::gmtime(static_cast<std::time_t>(source_.Get()->expires_s())));
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -239,7 +239,7 @@
     admin_handler.Attach(nullptr);
     server.Drain();
     // Another process holds the passed listener too: it takes in who comes now.
-    if (!passed.empty()) server.LeaveListener();
+    if (!passed.empty()) server.StopAccepting();
     lr::log::Info("told to end; {} queries are open", coordinator.Open());
     lr::coordinator::Micros until = clock.Now() + kStillListening;
     HearUntil(signals, reload, [&] {
--- /dev/null
+++ b/src/net/endpoint_connection.h
@@ -0,0 +1,72 @@
+// The state of one pooled connection to an endpoint and of the queue of attempts for one endpoint. Plain
+// data and queries on it: no I/O, no decisions. The pool's lock guards both.
+#ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_H_
+#define LIFTRUDDER_NET_ENDPOINT_CONNECTION_H_
+
+#include <deque>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/attempt_registry.h"
+#include "net/endpoint_protocol.h"
+#include "net/socket.h"
+
+namespace liftrudder::net {
+
+// The attempts for one endpoint that are on no connection yet, and the endpoint's connections.
+struct EndpointQueue {
+  coordinator::EndpointId endpoint;
+  std::deque<coordinator::AttemptKey> staged;   // started in the current round
+  std::deque<coordinator::AttemptKey> pending;  // of earlier rounds; the front is sent first
+  std::vector<ConnectionId> connections;
+  int connecting = 0;                 // how many of the connections are not established yet
+  bool waiting_for_capacity = false;  // listed with the RequestDispatcher's waiting endpoints
+  bool slow_connect = false;          // the newest connection was slow to establish, or failed
+};
+
+struct InFlightRequest {
+  std::string id;  // EndpointProtocol::AttemptId
+  coordinator::AttemptKey key;
+};
+
+struct EndpointConnection {
+  EndpointQueue* queue = nullptr;  // outlives the connection
+  Fd fd;
+  std::string addr;  // HOST:PORT that it was opened to
+  bool established = false;
+  Micros connect_started_us = 0;
+  Micros last_used_us = 0;      // a request was added or a response completed
+  Micros last_received_us = 0;  // any byte arrived
+
+  std::deque<InFlightRequest> in_flight;  // also those in the frame being written; the oldest first
+  std::deque<std::string> abandoned_ids;  // of attempts that ended while their response could still arrive
+  bool retired = false;                   // too many abandoned ids: it gets no new request
+
+  std::unique_ptr<ResponseReader> reader;
+  std::string received;  // bytes of a response that is not complete
+
+  // The frame that is being written. A frame of requests lists its attempts in `frame_attempts`; until its
+  // first byte is written it is encoded anew from them before each try. Cancellations follow it.
+  std::string frame;
+  std::size_t written_bytes = 0;
+  std::vector<coordinator::AttemptKey> frame_attempts;
+  Micros write_deadline_us = 0;
+  std::deque<std::string> cancellations;
+  bool write_interest = false;  // the poll reports when it can be written
+
+  bool IsWriting() const { return !frame.empty() || !frame_attempts.empty(); }
+  // Whether the first byte of this attempt's request has been written.
+  bool RequestStarted(const coordinator::AttemptKey& key) const;
+  // Whether a response with this id could belong to another request than the next one: an id is not used
+  // again on a connection on which an earlier request with it is unanswered.
+  bool HasUnanswered(const std::string& id) const;
+  void RemoveInFlight(const coordinator::AttemptKey& key);
+  // The response to `id` is not wanted any more. It may arrive late or never, so a connection that has
+  // collected many of these is retired.
+  void AbandonResponse(std::string id);
+};
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_ENDPOINT_CONNECTION_H_
--- /dev/null
+++ b/src/net/endpoint_connection_io.cpp
@@ -0,0 +1,221 @@
+#include "net/endpoint_connection_io.h"
+
+#include <algorithm>
+#include <exception>
+#include <string_view>
+#include <utility>
+
+#include "log/log.h"
+
+namespace liftrudder::net {
+namespace {
+
+constexpr Micros kWriteTimeout = 1'000'000;
+constexpr std::size_t kMaxIncompleteResponseBytes = 256 * 1024;
+constexpr int kMaxBrokenConnections = 2;  // before an attempt's first byte; then the attempt fails
+constexpr int kMaxReadsPerTurn = 32;      // of one connection, kReadBytes each at most
+
+}  // namespace
+
+EndpointConnectionIo::EndpointConnectionIo(const EndpointProtocol& protocol,
+                                           const coordinator::EndpointResolver& resolver,
+                                           const coordinator::Clock& clock, metrics::Counters& counters,
+                                           metrics::Figures& figures, AttemptRegistry& attempts,
+                                           EndpointConnectionTable& connections)
+    : protocol_(protocol),
+      resolver_(resolver),
+      clock_(clock),
+      counters_(counters),
+      figures_(figures),
+      attempts_(attempts),
+      connections_(connections) {}
+
+std::optional<coordinator::Cause> EndpointConnectionIo::ReasonNotToSend(
+    const coordinator::AttemptRequest& request) const {
+  const auto& client = request.payload->client;
+  if (client != nullptr && client->Disconnected()) return coordinator::Cause::kLeft;
+  Micros now_us = clock_.Now();
+  coordinator::EndpointAddress endpoint = resolver_.Find(request.endpoint);
+  bool removed = endpoint.id.empty();
+  bool drained = endpoint.drain_deadline_us > 0 && now_us >= endpoint.drain_deadline_us;
+  if (removed || drained || now_us >= request.attempt_deadline_us) return coordinator::Cause::kStale;
+  return std::nullopt;
+}
+
+// ---- Writing ----
+
+void EndpointConnectionIo::AddToFrame(ConnectionId id, EndpointConnection& connection,
+                                      const coordinator::AttemptKey& key, Attempt& attempt) {
+  Micros now_us = clock_.Now();
+  connection.written_bytes = 0;
+  connection.frame_attempts.push_back(key);
+  connection.write_deadline_us = now_us + kWriteTimeout;
+  connection.last_used_us = now_us;
+  connection.in_flight.push_back({protocol_.AttemptId(attempt.request), key});
+  attempt.progress = coordinator::Progress::kPartlyWritten;
+  attempt.connection = id;
+}
+
+void EndpointConnectionIo::RemoveFromFrame(EndpointConnection& connection,
+                                           const coordinator::AttemptKey& key) {
+  connection.RemoveInFlight(key);
+  std::erase(connection.frame_attempts, key);
+  if (connection.frame_attempts.empty()) connection.frame.clear();
+  Attempt* attempt = attempts_.Find(key);
+  if (attempt == nullptr) return;
+  attempt->progress = coordinator::Progress::kNotConnected;
+  attempt->connection = kNoConnection;
+}
+
+void EndpointConnectionIo::SendCancellation(ConnectionId id, EndpointConnection& connection,
+                                            const std::string& attempt_id) {
+  connection.cancellations.push_back(protocol_.EncodeCancellation(attempt_id));
+  if (!connection.IsWriting()) Flush(id, connection);
+}
+
+bool EndpointConnectionIo::Flush(ConnectionId id, EndpointConnection& connection) {
+  while (connection.IsWriting() || !connection.cancellations.empty()) {
+    if (!connection.IsWriting()) BeginCancellationFrame(connection);
+    bool nothing_written = !connection.frame_attempts.empty() && connection.written_bytes == 0;
+    if (nothing_written && !EncodeFrame(connection)) continue;
+    Written written =
+        WriteNow(connection.fd, std::string_view(connection.frame).substr(connection.written_bytes));
+    connection.written_bytes += written.bytes;
+    if (written.status == Io::kError) {
+      HandleWriteError(id, connection);
+      return false;
+    }
+    if (written.status == Io::kTimeout) {
+      if (!connection.write_interest) connections_.SetWriteInterest(id, connection, true);
+      return true;
+    }
+    if (connection.written_bytes == connection.frame.size()) FinishFrame(connection);
+  }
+  if (connection.write_interest) connections_.SetWriteInterest(id, connection, false);
+  return true;
+}
+
+void EndpointConnectionIo::BeginCancellationFrame(EndpointConnection& connection) const {
+  connection.frame = std::move(connection.cancellations.front());
+  connection.cancellations.pop_front();
+  connection.written_bytes = 0;
+  connection.write_deadline_us = clock_.Now() + kWriteTimeout;
+}
+
+// Called before each try to write a frame's first byte: while the frame waited for the socket, a client may
+// have disconnected, a deadline passed or the endpoint begun to drain. Encodes the attempts that may still be
+// sent; false when there are none.
+bool EndpointConnectionIo::EncodeFrame(EndpointConnection& connection) {
+  std::vector<const coordinator::AttemptRequest*> requests;
+  for (const coordinator::AttemptKey& key : std::vector<coordinator::AttemptKey>(connection.frame_attempts)) {
+    Attempt* attempt = attempts_.Find(key);
+    std::optional<coordinator::Cause> reason = coordinator::Cause::kStale;
+    if (attempt != nullptr) reason = ReasonNotToSend(attempt->request);
+    if (!reason) {
+      requests.push_back(&attempt->request);
+      continue;
+    }
+    RemoveFromFrame(connection, key);
+    attempts_.Finish(key, *reason);
+  }
+  if (requests.empty()) return false;
+  connection.frame = protocol_.EncodeRequest(requests, connection.addr, clock_.Now());
+  return true;
+}
+
+void EndpointConnectionIo::FinishFrame(EndpointConnection& connection) {
+  connection.frame.clear();
+  for (const coordinator::AttemptKey& key : std::exchange(connection.frame_attempts, {})) {
+    Attempt* attempt = attempts_.Find(key);
+    if (attempt == nullptr) continue;
+    attempt->progress = coordinator::Progress::kWhollyWritten;
+    if (auto* figures = figures_.Of(attempt->request.class_index)) figures->sends.Add();
+  }
+}
+
+// A connection that breaks before the first byte of a frame has told its endpoint nothing: the frame's
+// attempts go back to the front of the queue. Responses that arrived before the error still count.
+void EndpointConnectionIo::HandleWriteError(ConnectionId id, EndpointConnection& connection) {
+  std::vector<coordinator::AttemptKey> keys = std::exchange(connection.frame_attempts, {});
+  if (connection.written_bytes == 0) {
+    for (auto key = keys.rbegin(); key != keys.rend(); ++key) {
+      Attempt* attempt = attempts_.Find(*key);
+      if (attempt == nullptr) continue;
+      ++attempt->broken_connections;
+      if (attempt->broken_connections >= kMaxBrokenConnections) continue;
+      connection.queue->pending.push_front(*key);
+      RemoveFromFrame(connection, *key);
+    }
+  }
+  connection.frame.clear();
+  connection.cancellations.clear();
+  if (Receive(id, connection)) connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
+}
+
+// ---- Reading ----
+
+bool EndpointConnectionIo::Receive(ConnectionId id, EndpointConnection& connection) {
+  // Bounded, so that an endpoint that never stops sending does not starve the others; the poll reports the
+  // rest again.
+  for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
+    std::size_t size_before = connection.received.size();
+    Io status = ReadNow(connection.fd, connection.received);
+    if (status == Io::kTimeout) return true;
+    // A short read has emptied the socket's buffer: another one would only return kTimeout.
+    bool drained = status == Io::kOk && connection.received.size() - size_before < kReadBytes;
+    // After a protocol violation nothing on this connection can be trusted, and every request in flight on it
+    // may have run.
+    if (!Decode(connection, status)) {
+      counters_.spoilt.Add();
+      connections_.Close(id, connection, coordinator::Cause::kSpoilt);
+      return false;
+    }
+    if (status != Io::kOk) {
+      connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
+      return false;
+    }
+    if (drained) return true;
+  }
+  return true;
+}
+
+// Decodes what was read and ends the attempts that it answers. False on a protocol violation.
+bool EndpointConnectionIo::Decode(EndpointConnection& connection, Io read_status) {
+  std::string oldest = connection.in_flight.empty() ? std::string() : connection.in_flight.front().id;
+  std::vector<EndpointResponse> responses;
+  bool valid = true;
+  try {
+    if (read_status == Io::kOk) {
+      valid = connection.reader->Take(connection.received, oldest, responses) &&
+              connection.received.size() <= kMaxIncompleteResponseBytes;
+    }
+    if (read_status == Io::kEnd) connection.reader->End(oldest, responses);
+  } catch (const std::exception& error) {
+    log::Error("endpoint connection to {}: {}", connection.addr, error.what());
+    valid = false;
+  }
+  if (read_status == Io::kOk) connection.last_received_us = clock_.Now();
+  for (EndpointResponse& response : responses) {
+    bool expected = Complete(connection, std::move(response));
+    valid = valid && expected;
+  }
+  return valid;
+}
+
+// Ends the attempt that the response answers. False when no request on this connection has its id.
+bool EndpointConnectionIo::Complete(EndpointConnection& connection, EndpointResponse response) {
+  connection.last_used_us = clock_.Now();
+  auto found = std::ranges::find(connection.in_flight, response.id, &InFlightRequest::id);
+  if (found == connection.in_flight.end()) {
+    return std::erase(connection.abandoned_ids, response.id) > 0;
+  }
+  coordinator::AttemptKey key = found->key;
+  connection.in_flight.erase(found);
+  Attempt* attempt = attempts_.Find(key);
+  if (attempt != nullptr) attempt->progress = coordinator::Progress::kAnswering;
+  coordinator::Cause cause = response.cause;
+  attempts_.Finish(key, cause, std::move(response));
+  return true;
+}
+
+}  // namespace liftrudder::net
--- /dev/null
+++ b/src/net/endpoint_connection_io.h
@@ -0,0 +1,60 @@
+// Writes requests and cancellations to pooled connections and reads responses from them. It neither chooses
+// the connection nor waits for a socket. Runs on the pool's thread and on its callers', under the pool's
+// lock.
+#ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_IO_H_
+#define LIFTRUDDER_NET_ENDPOINT_CONNECTION_IO_H_
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "metrics/figures.h"
+#include "metrics/metrics.h"
+#include "net/endpoint_connection_table.h"
+
+namespace liftrudder::net {
+
+class EndpointConnectionIo {
+ public:
+  // All references outlive this object.
+  EndpointConnectionIo(const EndpointProtocol& protocol, const coordinator::EndpointResolver& resolver,
+                       const coordinator::Clock& clock, metrics::Counters& counters,
+                       metrics::Figures& figures, AttemptRegistry& attempts,
+                       EndpointConnectionTable& connections);
+
+  // Why a request of which nothing has been written must not be sent any more: its client has disconnected,
+  // its endpoint drains or was removed, or its deadline has passed. Nothing when it may be sent.
+  std::optional<coordinator::Cause> ReasonNotToSend(const coordinator::AttemptRequest& request) const;
+
+  // Adds the attempt to the connection's next frame; Flush writes it.
+  void AddToFrame(ConnectionId id, EndpointConnection& connection, const coordinator::AttemptKey& key,
+                  Attempt& attempt);
+  // Undoes AddToFrame while nothing of the frame is written.
+  void RemoveFromFrame(EndpointConnection& connection, const coordinator::AttemptKey& key);
+  // Queues a cancellation behind the frame that is being written. May close the connection.
+  void SendCancellation(ConnectionId id, EndpointConnection& connection, const std::string& attempt_id);
+  // Writes as much as the socket takes. False when the connection was closed.
+  bool Flush(ConnectionId id, EndpointConnection& connection);
+  // Reads what there is and ends the attempts that it answers. False when the connection was closed.
+  bool Receive(ConnectionId id, EndpointConnection& connection);
+
+ private:
+  void BeginCancellationFrame(EndpointConnection& connection) const;
+  bool EncodeFrame(EndpointConnection& connection);
+  void FinishFrame(EndpointConnection& connection);
+  void HandleWriteError(ConnectionId id, EndpointConnection& connection);
+  bool Decode(EndpointConnection& connection, Io read_status);
+  bool Complete(EndpointConnection& connection, EndpointResponse response);
+
+  const EndpointProtocol& protocol_;
+  const coordinator::EndpointResolver& resolver_;
+  const coordinator::Clock& clock_;
+  metrics::Counters& counters_;
+  metrics::Figures& figures_;
+  AttemptRegistry& attempts_;
+  EndpointConnectionTable& connections_;
+};
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_ENDPOINT_CONNECTION_IO_H_
--- /dev/null
+++ b/src/net/handler.h
@@ -0,0 +1,48 @@
+// What a front implements to answer the requests that a Server reads.
+#ifndef LIFTRUDDER_NET_HANDLER_H_
+#define LIFTRUDDER_NET_HANDLER_H_
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <vector>
+
+#include "coordinator/interfaces.h"
+#include "net/client_connection.h"
+#include "net/http.h"
+#include "net/reply_waiter.h"
+
+namespace liftrudder::net {
+
+using coordinator::AnsweredQuery;
+
+// The circumstances of one request. Valid during Handler::Handle.
+struct Exchange {
+  ClientConnection* connection = nullptr;  // the handler may look at it, not write to it
+  Micros received_us = 0;                  // when the request's first byte arrived
+  bool draining = false;
+  std::vector<AnsweredQuery>* answered_queries = nullptr;  // the handler adds the queries it answers
+  std::shared_ptr<ReplyWaiter> reply_waiter;
+};
+
+class Handler {
+ public:
+  virtual ~Handler() = default;
+  // Answers one request, on a worker's thread; it may block. Nothing: the client has disconnected, and the
+  // connection is closed without a response. The handler may move parts out of `request`, so that its bytes
+  // are not held twice while an answer is awaited.
+  virtual std::optional<HttpResponse> Handle(HttpMessage& request, const Exchange& exchange) = 0;
+  // The response to a request that cannot be parsed (400) or did not arrive in time (408). On the reader
+  // thread; must not block.
+  virtual HttpResponse Malformed(int status) = 0;
+  // The response to a rejected request. `request` is null when nothing has been read. On the reader thread;
+  // must not block.
+  virtual HttpResponse Overloaded(const HttpMessage* request) = 0;
+  // `bytes` of a response were written; `complete` says whether that is all of it. On the worker's thread.
+  virtual void Wrote(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                     bool complete) = 0;
+};
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_HANDLER_H_
--- /dev/null
+++ b/src/net/reply_waiter.h
@@ -0,0 +1,61 @@
+// How the worker of a request waits for the final answers to its queries while the server's reader thread
+// watches the client's connection for it.
+#ifndef LIFTRUDDER_NET_REPLY_WAITER_H_
+#define LIFTRUDDER_NET_REPLY_WAITER_H_
+
+#include <condition_variable>
+#include <functional>
+#include <memory>
+#include <mutex>
+#include <optional>
+
+#include "coordinator/interfaces.h"
+#include "net/client_connection.h"
+
+namespace liftrudder::net {
+
+// One for each request in progress, shared by its worker, the reader thread and the replies. A client that
+// disconnects is marked at once by the reader thread, before any worker runs. Any thread.
+class ReplyWaiter {
+ public:
+  // `rearm` makes the reader thread watch the connection again, after an event that turned out to be nothing.
+  explicit ReplyWaiter(std::function<void()> rearm) : rearm_(std::move(rearm)) {}
+  const std::shared_ptr<coordinator::ClientPresence>& client() const { return client_; }
+  // The reader thread saw an event on the connection; the worker wakes and looks for itself.
+  void NotifyEvent(bool disconnected);
+
+ private:
+  friend class WaitingReply;
+  const std::function<void()> rearm_;
+  const std::shared_ptr<coordinator::ClientPresence> client_ =
+      std::make_shared<coordinator::ClientPresence>();
+  std::mutex mutex_;  // guards event_pending_, and answer_ of the replies
+  std::condition_variable changed_;
+  bool event_pending_ = false;
+};
+
+// The reply of one query, delivered by the coordinator and awaited by the request's worker.
+class WaitingReply : public coordinator::ClientReply {
+ public:
+  enum class WaitResult {
+    kAnswered,
+    kDisconnected,  // the client has closed its connection
+    kDeadline,      // no answer by the deadline
+    kPipelined,     // the client sent more bytes while its answer was outstanding
+  };
+
+  explicit WaitingReply(std::shared_ptr<ReplyWaiter> reply_waiter) : reply_waiter_(std::move(reply_waiter)) {}
+  void Deliver(coordinator::FinalAnswer answer) override;
+  // Blocks the worker. `connection` is the one whose reader thread notifies the waiter.
+  WaitResult Wait(ClientConnection& connection, const coordinator::Clock& clock, Micros deadline_us);
+  // Only after Wait has returned kAnswered.
+  coordinator::FinalAnswer& answer() { return *answer_; }
+
+ private:
+  const std::shared_ptr<ReplyWaiter> reply_waiter_;
+  std::optional<coordinator::FinalAnswer> answer_;  // under the waiter's lock
+};
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_REPLY_WAITER_H_
--- /dev/null
+++ b/src/net/server_reader.cpp
@@ -0,0 +1,284 @@
+// The reader thread's part of Server: accepting, reading requests, closing what is unused or overdue.
+#include <sys/epoll.h>
+
+#include <algorithm>
+#include <exception>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "log/log.h"
+#include "net/server.h"
+#include "net/session_eviction.h"
+
+namespace liftrudder::net {
+namespace {
+
+constexpr int kPollMs = 100;  // at least this often the reader thread looks for expired sessions
+constexpr int kStoppingPollMs = 10;
+constexpr Micros kMinExpiryInterval = 20'000;
+constexpr Micros kFirstRequestTimeout = 2'000'000;  // from accepting to the end of the first request
+constexpr Micros kRequestTimeout = 2'000'000;       // from the first byte of a later request to its end
+constexpr int kMaxPerTurn = 64;                     // connections accepted, and events handled, in one turn
+constexpr std::size_t kMaxReadBytes = 131072;       // of one client in one turn
+
+}  // namespace
+
+void Server::RunReader() {
+  bool accepting = true;
+  while (true) {
+    bool stopping = stopping_;  // read before the events: what had arrived by then is accepted below
+    bool connection_pending = HandleEvents(stopping ? kStoppingPollMs : kPollMs);
+    if (tls_ != nullptr) LimitHandshakes();
+    if (accepting_stopped_ && accepting) {
+      ::epoll_ctl(epoll_.Get(), EPOLL_CTL_DEL, listener_.Get(), nullptr);
+      accepting = false;
+    }
+    if (connection_pending && accepting) AcceptSome();
+    CloseExpired(clock_.Now());
+    if (!stopping) continue;
+    if (accepting) {
+      // The kernel has accepted what is in the backlog: closing the listener would reset it.
+      while (AcceptSome()) {
+      }
+      accepting = false;
+    }
+    listener_ = Fd();
+    lingering_closer_.Resize(static_cast<std::size_t>(std::max(1, max_connections_.load())));
+    bool all_closed = CloseUnused(clock_.Now());
+    if (all_closed) break;
+  }
+  std::lock_guard lock(mutex_);
+  reader_ended_ = true;
+  closed_.notify_all();
+}
+
+// Handles the events of sessions; whether there was one of the listener.
+bool Server::HandleEvents(int wait_ms) {
+  epoll_event events[kMaxPerTurn];
+  int count = ::epoll_wait(epoll_.Get(), events, kMaxPerTurn, wait_ms);
+  bool connection_pending = false;
+  for (int i = 0; i < count; ++i) {
+    if (events[i].data.u64 == kListenerEvent) {
+      connection_pending = true;
+    } else {
+      bool disconnected = (events[i].events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+      HandleSessionEvent(events[i].data.u64, disconnected);
+    }
+  }
+  return connection_pending;
+}
+
+// The worker may have closed the connection, or set it idle, since the event was reported.
+void Server::HandleSessionEvent(SessionId id, bool disconnected) {
+  std::shared_ptr<ReplyWaiter> reply_waiter;
+  SessionRef session;
+  {
+    std::lock_guard lock(mutex_);
+    auto found = sessions_by_id_.find(id);
+    if (found == sessions_by_id_.end()) return;
+    session = found->second;
+    if (session->phase == SessionPhase::kBusy) reply_waiter = session->reply_waiter;
+    // Only a disconnection is of interest now: bytes that stay unread until the worker looks would report the
+    // connection as readable again and again.
+    if (reply_waiter != nullptr && !disconnected) Control(EPOLL_CTL_MOD, *session, 0);
+  }
+  if (reply_waiter != nullptr) {
+    reply_waiter->NotifyEvent(disconnected);
+  } else {
+    Receive(session);
+  }
+}
+
+// Whether there may be more connections to accept.
+bool Server::AcceptSome() {
+  for (int i = 0; i < kMaxPerTurn; ++i) {
+    Fd accepted = Accept(listener_, 0);
+    if (!accepted.Valid()) return false;
+    ClientConnection connection(std::move(accepted), tls_);
+    Micros now_us = clock_.Now();
+    AdmissionDecision decision;
+    {
+      std::lock_guard lock(mutex_);
+      decision = AdmitConnection(sessions_, max_connections_, now_us);
+    }
+    if (decision.evict) {
+      counters_.evicted.Add();
+      Remove(*decision.evict).Finish();
+    }
+    if (decision.admit) {
+      AddSession(std::move(connection), now_us);
+    } else {
+      RejectConnection(std::move(connection));
+    }
+  }
+  return true;
+}
+
+void Server::AddSession(ClientConnection connection, Micros now_us) {
+  SessionRef session;
+  {
+    std::lock_guard lock(mutex_);
+    session = sessions_.emplace(sessions_.end());
+    session->id = ++last_id_;
+    sessions_by_id_[session->id] = session;
+  }
+  session->connection = std::move(connection);
+  session->phase_since_us = now_us;
+  session->request_deadline_us = now_us + kFirstRequestTimeout;
+  Control(EPOLL_CTL_ADD, *session, EPOLLIN);
+}
+
+void Server::RejectConnection(ClientConnection connection) {
+  counters_.turned_away.Add();
+  connection.Write(Format(handler_.Overloaded(nullptr), true), 0);
+  lingering_closer_.Take(connection.Finish());
+}
+
+// While stopping: closes the sessions without a request; whether none is left. A request that has begun to
+// arrive is waited for, and a connection that was just accepted gets a moment to send one.
+bool Server::CloseUnused(Micros now_us) {
+  std::vector<SessionRef> not_busy;
+  {
+    std::lock_guard lock(mutex_);
+    for (SessionRef session = sessions_.begin(); session != sessions_.end(); ++session) {
+      if (session->phase != SessionPhase::kBusy) not_busy.push_back(session);
+    }
+  }
+  for (SessionRef session : not_busy) {
+    bool just_accepted =
+        session->phase == SessionPhase::kNew && now_us - session->phase_since_us < kMinIdleTime;
+    bool request_begun = session->received_us != 0;
+    if (just_accepted || request_begun) continue;
+    if (Peek(session->connection.fd()) == SocketState::kBytes) {
+      Receive(session);
+    } else {
+      Remove(session).Finish();
+    }
+  }
+  std::lock_guard lock(mutex_);
+  return sessions_.empty();
+}
+
+void Server::CloseExpired(Micros now_us) {
+  if (now_us - last_expiry_us_ < kMinExpiryInterval) return;
+  last_expiry_us_ = now_us;
+  ExpiryRules rules;
+  rules.closing_idle = admin_drain_since_us_ != 0 && ClosesAfterResponse();
+  ExpiredSessions found;
+  {
+    std::lock_guard lock(mutex_);
+    rules.max_connections = max_connections_;
+    rules.max_requests = max_requests_;
+    found = FindExpired(sessions_, rules, now_us);
+  }
+  counters_.evicted.Add(static_cast<std::int64_t>(found.evicted.size()));
+  for (SessionRef session : found.expired) {
+    if (session->received_us == 0) {
+      Remove(session).Finish();
+      continue;
+    }
+    counters_.malformed.Add();
+    RejectAndClose(session, handler_.Malformed(408));
+  }
+  for (SessionRef session : found.evicted) Remove(session).Finish();
+}
+
+void Server::LimitHandshakes() {
+  std::vector<SessionRef> excess;
+  {
+    std::lock_guard lock(mutex_);
+    excess = FindExcessHandshakes(sessions_, max_connections_);
+  }
+  for (SessionRef session : excess) {
+    counters_.evicted.Add();
+    Remove(session).Finish();
+  }
+}
+
+void Server::Receive(SessionRef session) {
+  try {
+    // Synchronizes with the worker that had the session before: it armed the connection under the lock.
+    { std::lock_guard lock(mutex_); }
+    bool complete = ReadRequest(session);
+    if (complete) Submit(session);
+  } catch (const std::exception& error) {
+    log::Error("client connection: {}", error.what());
+    Remove(session);
+  }
+}
+
+// Reads what has arrived. True when a request is complete; else the session waits for more or was closed.
+bool Server::ReadRequest(SessionRef session) {
+  std::size_t read_bytes = 0;
+  while (read_bytes <= kMaxReadBytes) {
+    Io status = session->connection.Read(session->unparsed);
+    if (status == Io::kTimeout) break;
+    if (status != Io::kOk) {
+      Remove(session);
+      return false;
+    }
+    if (session->received_us == 0) {
+      session->received_us = clock_.Now();
+      if (session->phase == SessionPhase::kIdle) {
+        session->request_deadline_us = session->received_us + kRequestTimeout;
+      }
+    }
+    read_bytes += session->unparsed.size();
+    HttpParser::State state = session->parser.Feed(session->unparsed);
+    bool complete = state == HttpParser::State::kDone;
+    // Requests are not pipelined: of several sent at once none is begun.
+    bool pipelined =
+        complete && (!session->unparsed.empty() || session->connection.Probe() == SocketState::kBytes);
+    if (state == HttpParser::State::kBad || pipelined) {
+      counters_.malformed.Add();
+      RejectAndClose(session, handler_.Malformed(400));
+      return false;
+    }
+    if (complete) return true;
+  }
+  AwaitReadable(*session);
+  return false;
+}
+
+// Hands a complete request to a worker, or rejects it.
+void Server::Submit(SessionRef session) {
+  if (TrySubmit(session)) return;
+  counters_.turned_away.Add();
+  std::string response = Format(handler_.Overloaded(&session->parser.message()), false);
+  if (session->connection.Write(response, 0).status != Io::kOk) {
+    Remove(session);
+  } else {
+    AwaitNextRequest(session);
+  }
+}
+
+// False when there are as many requests as allowed, or no thread for this one.
+bool Server::TrySubmit(SessionRef session) {
+  std::lock_guard lock(mutex_);
+  bool accepted = busy_sessions_ < max_requests_ && workers_.Reserve();
+  if (!accepted) return false;
+  ++busy_sessions_;
+  session->phase = SessionPhase::kBusy;
+  session->reply_waiter = NewReplyWaiter(session->id);
+  AwaitReadable(*session);
+  workers_.Submit(session);
+  return true;
+}
+
+// It holds the session's id and not its descriptor, which may be another connection's by the time it is used.
+std::shared_ptr<ReplyWaiter> Server::NewReplyWaiter(SessionId id) {
+  return std::make_shared<ReplyWaiter>([this, id] {
+    std::lock_guard lock(mutex_);
+    auto found = sessions_by_id_.find(id);
+    if (found != sessions_by_id_.end()) AwaitReadable(*found->second);
+  });
+}
+
+void Server::RejectAndClose(SessionRef session, const HttpResponse& response) {
+  session->connection.Write(Format(response, true), 0);
+  CloseGracefully(session);
+}
+
+}  // namespace liftrudder::net
--- /dev/null
+++ b/src/net/session_eviction.cpp
@@ -0,0 +1,94 @@
+#include "net/session_eviction.h"
+
+#include <algorithm>
+#include <compare>
+
+namespace liftrudder::net {
+namespace {
+
+// Near the limit, connections are evicted that have been idle or silent for longer than these; at the limit
+// any that is not busy.
+constexpr Micros kOldIdleTime = 2'000'000;
+constexpr Micros kOldSilentTime = 500'000;
+// A new connection that has sent nothing for longer than this counts as silent.
+constexpr Micros kFirstByteGrace = 50'000;
+// The divisor of the connections that may be in a TLS handshake.
+constexpr int kHandshakeShare = 4;
+
+// The greatest is evicted first. Silent connections precede idle ones: a client that loses an idle connection
+// reconnects, which would add to a flood of silent ones.
+struct EvictionRank {
+  bool old = false;
+  bool silent = false;
+  bool idle = false;
+  Micros age_us = 0;
+  auto operator<=>(const EvictionRank&) const = default;
+};
+
+EvictionRank RankOf(const ClientSession& session, Micros now_us) {
+  Micros age_us = now_us - session.phase_since_us;
+  bool idle = session.phase == SessionPhase::kIdle;
+  return {.old = age_us > (idle ? kOldIdleTime : kOldSilentTime),
+          .silent = !idle && age_us > kFirstByteGrace,
+          .idle = idle,
+          .age_us = age_us};
+}
+
+}  // namespace
+
+AdmissionDecision AdmitConnection(SessionList& sessions, int max_connections, Micros now_us) {
+  int open = static_cast<int>(sessions.size());
+  if (open < max_connections * 3 / 4) return {};
+  bool at_limit = open >= max_connections;
+  auto victim = sessions.end();
+  EvictionRank victim_rank;
+  for (auto session = sessions.begin(); session != sessions.end(); ++session) {
+    if (session->phase == SessionPhase::kBusy) continue;
+    EvictionRank rank = RankOf(*session, now_us);
+    if (victim != sessions.end() && rank <= victim_rank) continue;
+    // A connection with bytes to read is about to be used.
+    if (Peek(session->connection.fd()) == SocketState::kBytes) continue;
+    victim = session;
+    victim_rank = rank;
+  }
+  if (victim == sessions.end()) return {.admit = !at_limit, .evict = {}};
+  if (!at_limit && !victim_rank.old) return {};
+  return {.admit = true, .evict = victim};
+}
+
+ExpiredSessions FindExpired(SessionList& sessions, const ExpiryRules& rules, Micros now_us) {
+  ExpiredSessions found;
+  int past_first_request = 0;
+  for (auto session = sessions.begin(); session != sessions.end(); ++session) {
+    past_first_request += session->phase != SessionPhase::kNew ? 1 : 0;
+    if (session->phase == SessionPhase::kBusy) continue;
+    bool unused = session->received_us == 0 && now_us - session->phase_since_us > kMinIdleTime;
+    bool close_for_drain = rules.closing_idle && unused;
+    if (now_us >= session->request_deadline_us) {
+      found.expired.push_back(session);
+    } else if (close_for_drain && Peek(session->connection.fd()) == SocketState::kNothing) {
+      found.expired.push_back(session);
+    } else if (unused && session->phase == SessionPhase::kIdle) {
+      found.evicted.push_back(session);
+    }
+  }
+  std::ranges::sort(found.evicted, {}, [](SessionRef session) { return session->phase_since_us; });
+  int over_limit = static_cast<int>(sessions.size()) - rules.max_connections;
+  int excess = std::max({0, past_first_request - rules.max_requests / 2, over_limit});
+  found.evicted.resize(std::min(found.evicted.size(), static_cast<std::size_t>(excess)));
+  return found;
+}
+
+std::vector<SessionRef> FindExcessHandshakes(SessionList& sessions, int max_connections) {
+  std::vector<SessionRef> handshakes;
+  for (auto session = sessions.begin(); session != sessions.end(); ++session) {
+    bool in_handshake = session->phase != SessionPhase::kBusy && session->connection.InHandshake();
+    if (in_handshake) handshakes.push_back(session);
+  }
+  auto allowed = static_cast<std::size_t>(std::max(1, max_connections / kHandshakeShare));
+  std::size_t excess = handshakes.size() > allowed ? handshakes.size() - allowed : 0;
+  handshakes.resize(excess);
+  return handshakes;
+}
+
+}  // namespace liftrudder::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-Micros Until(Micros wait_us) { return ReadClock(CLOCK_MONOTONIC) + std::max<Micros>(0, wait_us); }
+Micros DeadlineAfter(Micros wait_us) { return ReadClock(CLOCK_MONOTONIC) + std::max<Micros>(0, wait_us); }
 
 void* Enter(void* raw) {
   std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()>*>(raw));
@@ -123,9 +123,9 @@
 bool OutOfDescriptors() { return errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM; }
 
 Fd Connect(const std::string& address, Micros wait_us) {
-  Micros until = Until(wait_us);
+  Micros until_us = DeadlineAfter(wait_us);
   Fd fd = BeginConnect(address);
-  if (!fd.Valid() || Wait(fd.Get(), POLLOUT, until) == 0 || ConnectError(fd) != 0) return Fd();
+  if (!fd.Valid() || Wait(fd.Get(), POLLOUT, until_us) == 0 || ConnectError(fd) != 0) return Fd();
   int flags = fcntl(fd.Get(), F_GETFL);
   fcntl(fd.Get(), F_SETFL, flags & ~O_NONBLOCK);
   return fd;
@@ -181,34 +181,34 @@
 }
 
 Fd Accept(const Fd& listener, Micros wait_us) {
-  if (Wait(listener.Get(), POLLIN, Until(wait_us)) == 0) return Fd();
+  if (Wait(listener.Get(), POLLIN, DeadlineAfter(wait_us)) == 0) return Fd();
   Fd fd(::accept4(listener.Get(), nullptr, nullptr, SOCK_CLOEXEC));
   int on = 1;
   if (fd.Valid()) setsockopt(fd.Get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return fd;
 }
 
-Io WriteNow(const Fd& fd, std::string_view bytes, std::size_t& written) {
+Written WriteNow(const Fd& fd, std::string_view bytes) {
   while (true) {
     ssize_t sent = ::send(fd.Get(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    written = sent > 0 ? static_cast<std::size_t>(sent) : 0;
-    if (sent > 0) return Io::kOk;
+    if (sent > 0) return {Io::kOk, static_cast<std::size_t>(sent)};
     if (sent < 0 && errno == EINTR) continue;
-    return sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK) ? Io::kTimeout : Io::kError;
+    bool would_block = sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return {would_block ? Io::kTimeout : Io::kError, 0};
   }
 }
 
 Written WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us) {
-  Written out;
-  Micros until = Until(wait_us);
-  while (out.bytes < bytes.size()) {
-    std::size_t sent = 0;
-    Io got = WriteNow(fd, bytes.substr(out.bytes), sent);
-    out.bytes += sent;
-    if (got == Io::kError) return {Io::kError, out.bytes};
-    if (got == Io::kTimeout && Wait(fd.Get(), POLLOUT, until) == 0) return {Io::kTimeout, out.bytes};
+  std::size_t written_bytes = 0;
+  Micros until_us = DeadlineAfter(wait_us);
+  while (written_bytes < bytes.size()) {
+    Written step = WriteNow(fd, bytes.substr(written_bytes));
+    written_bytes += step.bytes;
+    if (step.status == Io::kError) return {Io::kError, written_bytes};
+    bool timed_out = step.status == Io::kTimeout && Wait(fd.Get(), POLLOUT, until_us) == 0;
+    if (timed_out) return {Io::kTimeout, written_bytes};
   }
-  return out;
+  return {Io::kOk, written_bytes};
 }
 
 Io ReadNow(const Fd& fd, std::string& out) {
@@ -224,26 +224,26 @@
 }
 
 Io ReadSome(const Fd& fd, std::string& out, Micros wait_us) {
-  Micros until = Until(wait_us);
+  Micros until_us = DeadlineAfter(wait_us);
   while (true) {
-    if (Wait(fd.Get(), POLLIN, until) == 0) return Io::kTimeout;
+    if (Wait(fd.Get(), POLLIN, until_us) == 0) return Io::kTimeout;
     Io got = ReadNow(fd, out);
     if (got != Io::kTimeout) return got;
   }
 }
 
-bool Readable(int fd, Micros wait_us) { return Wait(fd, POLLIN, Until(wait_us)) != 0; }
+bool Readable(int fd, Micros wait_us) { return Wait(fd, POLLIN, DeadlineAfter(wait_us)) != 0; }
 
 void ShutDown(const Fd& fd) { ::shutdown(fd.Get(), SHUT_RDWR); }
 void ShutDownWriting(const Fd& fd) { ::shutdown(fd.Get(), SHUT_WR); }
 void ShutDownReading(int fd) { ::shutdown(fd, SHUT_RD); }
 
-Sight Peek(int fd) {
+SocketState Peek(int fd) {
   char byte = 0;
   ssize_t got = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (got > 0) return Sight::kBytes;
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return Sight::kNothing;
-  return Sight::kEnd;
+  if (got > 0) return SocketState::kBytes;
+  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return SocketState::kNothing;
+  return SocketState::kEnd;
 }
 
 std::optional<std::size_t> Discard(const Fd& fd, std::size_t most) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -67,7 +67,7 @@
 // Appends what is there to `out`; waits at most so long for the first byte.
 Io ReadSome(const Fd& fd, std::string& out, Micros wait_us);
 // The same two without waiting: kTimeout when nothing can be moved now.
-Io WriteNow(const Fd& fd, std::string_view bytes, std::size_t& written);
+Written WriteNow(const Fd& fd, std::string_view bytes);
 // What ReadNow takes at once at most; less than that was all there was.
 constexpr std::size_t kReadBytes = 8192;
 Io ReadNow(const Fd& fd, std::string& out);
@@ -78,8 +78,8 @@
 // The other side's bytes that are there can still be read; then comes the end.
 void ShutDownReading(int fd);
 // What there is to see without taking it: nothing yet, a byte, or the end.
-enum class Sight { kNothing, kBytes, kEnd };
-Sight Peek(int fd);
+enum class SocketState { kNothing, kBytes, kEnd };
+SocketState Peek(int fd);
 // Throws away what is there, at most so much, without copying it; nothing at the connection's end.
 std::optional<std::size_t> Discard(const Fd& fd, std::size_t most);
 
--- /dev/null
+++ b/src/net/tls_certificate.h
@@ -0,0 +1,46 @@
+// Reads certificates with OpenSSL: PEM texts, names, dates. Also the owning handles of OpenSSL's types that
+// the TLS files share. No state; any thread.
+#ifndef LIFTRUDDER_NET_TLS_CERTIFICATE_H_
+#define LIFTRUDDER_NET_TLS_CERTIFICATE_H_
+
+#include <openssl/bio.h>
+#include <openssl/evp.h>
+#include <openssl/x509.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace liftrudder::net {
+
+template <typename T, void (*Free)(T*)>
+struct OpenSslDeleter {
+  void operator()(T* object) const { Free(object); }
+};
+using BioHandle = std::unique_ptr<BIO, OpenSslDeleter<BIO, BIO_free_all>>;
+using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509, X509_free>>;
+using RevocationList = std::unique_ptr<X509_CRL, OpenSslDeleter<X509_CRL, X509_CRL_free>>;
+using PrivateKey = std::unique_ptr<EVP_PKEY, OpenSslDeleter<EVP_PKEY, EVP_PKEY_free>>;
+using StoreContext = std::unique_ptr<X509_STORE_CTX, OpenSslDeleter<X509_STORE_CTX, X509_STORE_CTX_free>>;
+
+// All certificates of a PEM text, up to the first part that is none.
+std::vector<Certificate> ReadCertificates(const std::string& pem);
+std::vector<RevocationList> ReadRevocationLists(const std::string& pem);
+// The first private key of a PEM text; null when there is none or it needs a passphrase.
+PrivateKey ReadPrivateKey(const std::string& pem);
+
+// The names in its subjectAltName, prefixed with dns:, uri: or email:; bounded in number and length.
+std::vector<std::string> SubjectAltNames(X509* certificate);
+// The subject in one line (RFC 2253), bounded in length.
+std::string SubjectOf(X509* certificate);
+// In seconds of Unix time; 0 when it cannot be represented.
+std::int64_t UnixSeconds(const ASN1_TIME* time);
+
+// The reason of OpenSSL's last error, which it clears; `fallback` when there is none.
+std::string LastOpenSslError(const char* fallback);
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_TLS_CERTIFICATE_H_
--- /dev/null
+++ b/src/net/tls_channel.h
@@ -0,0 +1,57 @@
+// The server's side of TLS on one connection, without I/O: bytes that arrived go in, plain text and bytes to
+// be written come out. The owner of the socket bounds time and number.
+#ifndef LIFTRUDDER_NET_TLS_CHANNEL_H_
+#define LIFTRUDDER_NET_TLS_CHANNEL_H_
+
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "net/tls.h"
+
+struct ssl_st;
+
+namespace liftrudder::net {
+
+// Used by one thread at a time.
+class TlsChannel {
+ public:
+  enum class State {
+    kHandshake,
+    kOpen,
+    kEnded,   // the client sent close_notify; without it, the end of a connection is a cut
+    kFailed,  // see fault()
+  };
+
+  explicit TlsChannel(std::shared_ptr<const TlsContext> context);
+
+  // Takes bytes that arrived; appends their plain text to `plain` and what must be written, alerts included,
+  // to `wire`.
+  State Feed(std::string_view arrived, std::string& plain, std::string& wire);
+  // Appends `plain` encrypted to `wire`; false before the handshake is complete and after a failure.
+  bool Seal(std::string_view plain, std::string& wire);
+  // Appends the close_notify.
+  void Close(std::string& wire);
+
+  State state() const { return state_; }
+  const std::string& fault() const { return fault_; }  // why it failed; empty while it has not
+  // Null when the client has shown no certificate.
+  const TlsPeer* peer() const { return peer_.get(); }
+  bool resumed() const;
+  std::string protocol() const;
+
+ private:
+  void TakeOutput(std::string& wire);
+  State StateAfter(int result);
+  void ReadPeer();
+
+  std::shared_ptr<const TlsContext> context_;
+  std::unique_ptr<ssl_st, void (*)(ssl_st*)> ssl_;
+  State state_ = State::kHandshake;
+  std::string fault_;
+  std::unique_ptr<TlsPeer> peer_;
+};
+
+}  // namespace liftrudder::net
+
+#endif  // LIFTRUDDER_NET_TLS_CHANNEL_H_
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -53,12 +53,12 @@
 
 }  // namespace
 
-std::string SearchProtocol::Id(const coordinator::AttemptRequest& order) const {
+std::string SearchProtocol::AttemptId(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string SearchProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders,
-                               const std::string& endpoint, coordinator::Micros now_us) const {
+std::string SearchProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+                                          const std::string& endpoint, coordinator::Micros now_us) const {
   const coordinator::AttemptRequest& order = *orders.front();  // one a call
   const coordinator::Payload& payload = *order.payload;
   return fmt::format(
@@ -69,6 +69,8 @@
       payload.statement.size(), payload.statement);
 }
 
-std::unique_ptr<net::ResponseReader> SearchProtocol::Reader() const { return std::make_unique<SearchReader>(); }
+std::unique_ptr<net::ResponseReader> SearchProtocol::NewReader() const {
+  return std::make_unique<SearchReader>();
+}
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/endpoint_protocol.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "net/endpoint_connection_pool.h"
+#include "net/endpoint_protocol.h"
 
 namespace liftrudder::opensearch {
 
@@ -13,12 +13,12 @@
 
 class SearchProtocol : public net::EndpointProtocol {
  public:
-  std::string Id(const coordinator::AttemptRequest& order) const override;
-  std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
-                  coordinator::Micros now_us) const override;
+  std::string AttemptId(const coordinator::AttemptRequest& order) const override;
+  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+                            const std::string& endpoint, coordinator::Micros now_us) const override;
   // A search is given up by closing its connection.
-  std::string GiveUp(const std::string&) const override { return {}; }
-  std::unique_ptr<net::ResponseReader> Reader() const override;
+  std::string EncodeCancellation(const std::string&) const override { return {}; }
+  std::unique_ptr<net::ResponseReader> NewReader() const override;
 };
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -79,7 +79,8 @@
   return ErrorResponse(error);
 }
 
-void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                  bool whole) {
   coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
@@ -168,8 +169,10 @@
   static const std::string kSeveral;
   std::size_t tokens = request.Count("Authorization");
   if (tokens > 0) shown.authorization = tokens == 1 ? request.Header("Authorization") : &kSeveral;
-  shown.address = net::PeerHost(exchange.line->fd());
-  if (const net::TlsPeer* peer = exchange.line->Peer(clock_.Now(), shown.wrong)) shown.names = peer->names;
+  shown.address = net::PeerHost(exchange.connection->fd());
+  net::VerifiedPeer verified = exchange.connection->Peer(clock_.Now());
+  if (verified.peer != nullptr) shown.names = verified.peer->names;
+  shown.wrong = std::move(verified.fault);
   auto admitted = authenticator_->Admit(shown, clock_.Now());
   if (auto* principal = std::get_if<Principal>(&admitted)) {
     out = std::move(*principal);
@@ -253,21 +256,21 @@
     error.retry_after_us = kBusyRetryUs;
     return error;
   }
-  switch (asked.reply->Wait(*exchange.line, clock_, asked.deadline_us - kLastMoment)) {
-    case net::WaitingReply::End::kGone:
+  switch (asked.reply->Wait(*exchange.connection, clock_, asked.deadline_us - kLastMoment)) {
+    case net::WaitingReply::WaitResult::kDisconnected:
       coordinator_.Post(coordinator::ClientDisconnect{*asked.id});
       return Gone{};
-    case net::WaitingReply::End::kLate:
+    case net::WaitingReply::WaitResult::kDeadline:
       coordinator_.Post(coordinator::ClientDisconnect{*asked.id, decision_log::IntakeResult::kLate});
       counters_.late.Add();
       return OutOfTime();
-    case net::WaitingReply::End::kCrowded: {
+    case net::WaitingReply::WaitResult::kPipelined: {
       coordinator_.Post(coordinator::ClientDisconnect{*asked.id, decision_log::IntakeResult::kCrowded});
       ApiError error = BadRequest("one request at a time");
       error.close = true;
       return error;
     }
-    case net::WaitingReply::End::kAnswered:
+    case net::WaitingReply::WaitResult::kAnswered:
       break;
   }
   coordinator::FinalAnswer& answer = asked.reply->answer();
@@ -276,7 +279,8 @@
   if (answer.verdict != coordinator::Verdict::kAnswered && over) return OutOfTime();
   if (answer.verdict == coordinator::Verdict::kRejected) return Busy(answer.retry_after_us);
   if (answer.verdict == coordinator::Verdict::kFailed) return Unanswered("too few shards answered");
-  if (asked.whole && !answer.complete) return Unanswered("not all shards answered, and a part was not allowed");
+  if (asked.whole && !answer.complete)
+    return Unanswered("not all shards answered, and a part was not allowed");
   return std::move(answer);
 }
 
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -104,26 +104,26 @@
 
 }  // namespace
 
-std::string FrameProtocol::Id(const coordinator::AttemptRequest& order) const {
+std::string FrameProtocol::AttemptId(const coordinator::AttemptRequest& order) const {
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string FrameProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string&,
-                              coordinator::Micros now_us) const {
+std::string FrameProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+                                         const std::string&, coordinator::Micros now_us) const {
   std::string all;
   for (const coordinator::AttemptRequest* order : orders) {
     std::string list =
         fmt::format("d={}", std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / 1000));
     if (!order->payload->idempotency_key.empty()) list += ",k=" + order->payload->idempotency_key;
     const std::string& text = order->payload->statement;
-    all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, list, text.size(), text);
+    all += fmt::format("{} {} {} {}\n{}", AttemptId(*order), order->shard, list, text.size(), text);
   }
   return Frame('q', all);
 }
 
-std::string FrameProtocol::GiveUp(const std::string& id) const { return Frame('c', id); }
+std::string FrameProtocol::EncodeCancellation(const std::string& id) const { return Frame('c', id); }
 
-std::unique_ptr<net::ResponseReader> FrameProtocol::Reader() const {
+std::unique_ptr<net::ResponseReader> FrameProtocol::NewReader() const {
   return std::make_unique<FrameReader>(load_names_);
 }
 
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "net/endpoint_connection_pool.h"
+#include "net/endpoint_protocol.h"
 
 namespace liftrudder::platform {
 
@@ -13,11 +13,11 @@
  public:
   explicit FrameProtocol(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
-  std::string Id(const coordinator::AttemptRequest& order) const override;
-  std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
-                  coordinator::Micros now_us) const override;
-  std::string GiveUp(const std::string& id) const override;
-  std::unique_ptr<net::ResponseReader> Reader() const override;
+  std::string AttemptId(const coordinator::AttemptRequest& order) const override;
+  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+                            const std::string& endpoint, coordinator::Micros now_us) const override;
+  std::string EncodeCancellation(const std::string& id) const override;
+  std::unique_ptr<net::ResponseReader> NewReader() const override;
 
  private:
   std::vector<std::string> load_names_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -103,7 +103,8 @@
   return Refusal(503, kBusyRetryUs, "too many connections");
 }
 
-void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                  bool whole) {
   coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
@@ -217,27 +218,28 @@
   auto id = coordinator_.Admit(std::move(query), reply);
   if (!id) return Refusal(503, kBusyRetryUs, "too many queries are open");
   exchange.answered_queries->push_back({*id, 0});
-  switch (reply->Wait(*exchange.line, clock_, deadline_us - kLastMoment)) {
-    case net::WaitingReply::End::kGone:
+  switch (reply->Wait(*exchange.connection, clock_, deadline_us - kLastMoment)) {
+    case net::WaitingReply::WaitResult::kDisconnected:
       coordinator_.Post(coordinator::ClientDisconnect{*id});
       return std::nullopt;
-    case net::WaitingReply::End::kLate:
+    case net::WaitingReply::WaitResult::kDeadline:
       coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kLate});
       counters_.late.Add();
       return Problem(504, "no answer in time");
-    case net::WaitingReply::End::kCrowded: {
+    case net::WaitingReply::WaitResult::kPipelined: {
       coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kCrowded});
       counters_.malformed.Add();
       net::HttpResponse out = Problem(400, "one request at a time");
       out.close = true;
       return out;
     }
-    case net::WaitingReply::End::kAnswered:
+    case net::WaitingReply::WaitResult::kAnswered:
       break;
   }
   const coordinator::FinalAnswer& answer = reply->answer();
   if (answer.verdict == coordinator::Verdict::kAnswered) return Answer(answer);
-  if (answer.verdict == coordinator::Verdict::kRejected) return Refusal(429, answer.retry_after_us, "not now");
+  if (answer.verdict == coordinator::Verdict::kRejected)
+    return Refusal(429, answer.retry_after_us, "not now");
   return Problem(504, "the query failed");
 }
 
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -5,6 +5,8 @@
 #include <catch2/catch.hpp>
 
 #include "net/server.h"
+#include "net/tls_channel.h"
+#include "net/tls_ticket_keys.h"
 #include "support/token_issuer.h"
 
 using namespace liftrudder;
@@ -29,14 +31,14 @@
 Context Made(TlsMaterial material, const coordinator::Clock& clock = kClock,
              const TlsContext* before = nullptr) {
   auto made = TlsContext::Make(std::move(material), clock, before);
-  INFO((made.index() == 1 ? std::get<1>(made) : "made"));
-  REQUIRE(made.index() == 0);
-  return std::get<0>(made);
+  INFO((made ? "made" : made.error().Message()));
+  REQUIRE(made);
+  return *made;
 }
 
 std::string Wrong(TlsMaterial material) {
   auto made = TlsContext::Make(std::move(material), kClock);
-  return made.index() == 1 ? std::get<1>(made) : "";
+  return made ? "" : made.error().Message();
 }
 
 net::TlsPair Pair(const Issued& one) { return {one.CertificatePem(), one.KeyPem()}; }
@@ -56,7 +58,7 @@
 class Echo : public net::Handler {
  public:
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override {
-    CHECK(exchange.line->channel() != nullptr);
+    CHECK(exchange.connection->channel() != nullptr);
     net::HttpResponse out;
     out.body = request.target;
     return out;
@@ -148,14 +150,14 @@
   TlsChannel server(context);
   Shake(old, server);
   CHECK(server.state() == State::kFailed);
-  CHECK(server.wrong() == "unsupported protocol");
+  CHECK(server.fault() == "unsupported protocol");
   std::string plain, wire;
   CHECK_FALSE(server.Seal("x", wire));
   for (const std::string& junk : {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(70'000, '\x16'),
                                   std::string("\x16\x03\x01\xff\xff", 5) + std::string(70'000, 'a')}) {
     TlsChannel other(context);
     CHECK(other.Feed(junk, plain, wire) == State::kFailed);
-    CHECK_FALSE(other.wrong().empty());
+    CHECK_FALSE(other.fault().empty());
   }
   CHECK(plain.empty());
   // One bit of a sealed record changed.
@@ -174,7 +176,7 @@
   std::string told;
   wire.clear();
   State state = fourth.Feed(again.Step("", told), plain, wire);
-  CHECK(state != State::kShaking);
+  CHECK(state != State::kHandshake);
   CHECK(plain.empty());
 }
 
@@ -250,7 +252,7 @@
       Shake(client, server);
       CHECK((server.state() == State::kOpen) == one.let_in);
       CHECK((server.peer() != nullptr) == (one.let_in && one.shows));
-      CHECK(server.wrong().empty() == one.let_in);
+      CHECK(server.fault().empty() == one.let_in);
     }
   }
   Context before = Made({{pair}, issuer.Pem(), issuer.Revoked({}), true});
@@ -263,21 +265,21 @@
         std::vector<std::string>{"dns:north.example", "uri:urn:school:north", "email:n@example"});
   CHECK(peer.subject == "CN=north");
   // Newer files count on connections that are open.
-  CHECK(before->StillGood(peer) == "");
-  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({good}), true})->StillGood(peer) == "certificate revoked");
-  CHECK(Made({{pair}, other.Pem(), "", true})->StillGood(peer) != "");
-  CHECK(Made({{pair}, "", "", false})->StillGood(peer) != "");
+  CHECK(before->Verify(peer) == "");
+  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({good}), true})->Verify(peer) == "certificate revoked");
+  CHECK(Made({{pair}, other.Pem(), "", true})->Verify(peer) != "");
+  CHECK(Made({{pair}, "", "", false})->Verify(peer) != "");
   // A list that is out of date, or none for one of two issuers, lets nobody in.
-  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({}, -30), true})->StillGood(peer) == "CRL has expired");
+  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({}, -30), true})->Verify(peer) == "CRL has expired");
   std::string two = issuer.Pem() + other.Pem();
-  CHECK(Made({{pair}, two, issuer.Revoked({}), true})->StillGood(peer) == "");
-  CHECK(Made({{pair}, two, other.Revoked({}), true})->StillGood(peer) == "unable to get certificate CRL");
+  CHECK(Made({{pair}, two, issuer.Revoked({}), true})->Verify(peer) == "");
+  CHECK(Made({{pair}, two, other.Revoked({}), true})->Verify(peer) == "unable to get certificate CRL");
   // Shown again it is checked again: nothing is resumed.
   client.Begin();
   TlsChannel second(Made({{pair}, issuer.Pem(), issuer.Revoked({good}), true}));
   Shake(client, second);
   CHECK(second.state() == State::kFailed);
-  CHECK(second.wrong().find("certificate revoked") != std::string::npos);
+  CHECK(second.fault().find("certificate revoked") != std::string::npos);
 }
 
 TEST_CASE("files that are wrong are told with what and where") {
@@ -321,7 +323,7 @@
     CHECK(Ask(addr, good, fd).find("HTTP/1.1 200") == 0);
   }
   int open = 0;
-  for (const net::Fd& one : left) open += net::Peek(one.Get()) != net::Sight::kEnd ? 1 : 0;
+  for (const net::Fd& one : left) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
   CHECK(open <= kPlaces / 4);
   CHECK(serving.counters.evicted.Value() >= kLeft - kPlaces / 4);
 }
@@ -345,7 +347,7 @@
   net::Fd fd;
   CHECK(Ask(serving.addr, good, fd).find("HTTP/1.1 200") == 0);
   int open = 0;
-  for (const net::Fd& one : mute) open += net::Peek(one.Get()) != net::Sight::kEnd ? 1 : 0;
+  for (const net::Fd& one : mute) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
   CHECK(open <= kPlaces / 4);
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -186,7 +186,7 @@
     std::string rest = "ax.1 served 7 " + report + "\nv", in{static_cast<char>(rest.size()), 0, 0, 0};
     in += rest;
     std::vector<net::EndpointResponse> out;
-    CHECK(protocol.Reader()->Take(in, "", out));
+    CHECK(protocol.NewReader()->Take(in, "", out));
     return out.at(0).load;
   };
   CHECK(load("queue=3,inflight=2,other=1") == std::vector<double>{3, 2});
