--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -4,23 +4,33 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
+#include <cstdint>
 #include <exception>
+#include <optional>
+#include <utility>
 
 #include "log/log.h"
 
 namespace liftrudder::net {
 namespace {
 
-constexpr int kAtOnce = 16;
-constexpr int kLookMs = 100;  // how often it looks for callers that are overdue, while there are any
-constexpr Micros kCallWait = 1'500'000;    // from connecting to the end of the call
-constexpr Micros kLingerWait = 1'000'000;  // from the answer to the caller's end
-constexpr std::size_t kMostBody = 4096;    // a call has none that is of use
-constexpr std::size_t kMostPending = kMaxHeadBytes + kMostBody;
+constexpr int kMaxPerTurn = 16;                   // connections accepted, and events handled, in one turn
+constexpr int kPollMs = 100;                      // at least this often it looks for expired connections
+constexpr Micros kRequestTimeout = 1'500'000;     // from accepting to the end of the request
+constexpr Micros kLingerTime = 1'000'000;         // from the response to the client's close
+constexpr std::size_t kMaxAdminBodyBytes = 4096;  // no request has a body that is used
+constexpr std::size_t kMaxRequestBytes = kMaxHeadBytes + kMaxAdminBodyBytes;
+
+HttpResponse MalformedRequest() {
+  HttpResponse response;
+  response.status = 400;
+  response.body = R"({"error":"the call cannot be read"})";
+  return response;
+}
 
 }  // namespace
 
-AdminServer::Caller::Caller() : parser(HttpParser::Kind::kRequest, kMostBody) {}
+AdminServer::Connection::Connection() : parser(HttpParser::Kind::kRequest, kMaxAdminBodyBytes) {}
 
 AdminServer::AdminServer(Fd listener, Answer answer)
     : answer_(std::move(answer)),
@@ -30,7 +40,7 @@
   epoll_event event{EPOLLIN, {nullptr}};
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, listener_.Get(), &event);
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, waker_.Get(), &event);
-  thread_ = Thread([this] { Loop(); });
+  thread_ = Thread([this] { Run(); });
 }
 
 AdminServer::~AdminServer() {
@@ -40,74 +50,90 @@
   thread_.Join();
 }
 
-void AdminServer::Loop() {
+void AdminServer::Run() {
   while (!stopping_) {
-    epoll_event events[kAtOnce];
-    // Nobody there: it sleeps until somebody comes. A share of a core is not to be spent on looking.
-    int got = ::epoll_wait(epoll_.Get(), events, kAtOnce, authenticator_.empty() ? -1 : kLookMs);
-    bool knock = false;
-    for (int i = 0; i < got; ++i) {
-      if (events[i].data.ptr == nullptr) {
-        knock = true;
-        continue;
-      }
-      auto* caller = static_cast<Caller*>(events[i].data.ptr);
-      try {
-        Handle(*caller);
-      } catch (const std::exception& error) {
-        log::Error("call: {}", error.what());
-        authenticator_.erase(caller->self);
+    epoll_event events[kMaxPerTurn];
+    // Without connections nothing can expire: it sleeps until one arrives and uses no processor time.
+    int count = ::epoll_wait(epoll_.Get(), events, kMaxPerTurn, connections_.empty() ? -1 : kPollMs);
+    bool connection_pending = false;
+    for (int i = 0; i < count; ++i) {
+      auto* connection = static_cast<Connection*>(events[i].data.ptr);
+      if (connection == nullptr) {
+        connection_pending = true;
+      } else {
+        HandleEvent(*connection);
       }
     }
-    // After the events: taking one in may end another, of which an event could be left.
-    if (knock) TakeIn();
-    EndOverdue(clock_.Now());
+    // Accepting may close another connection, so all events that name one are handled before.
+    if (connection_pending) AcceptSome();
+    CloseExpired(clock_.Now());
+  }
+}
+
+void AdminServer::HandleEvent(Connection& connection) {
+  try {
+    if (connection.answered) {
+      DiscardInput(connection);
+    } else {
+      Receive(connection);
+    }
+  } catch (const std::exception& error) {
+    log::Error("admin request: {}", error.what());
+    Close(connection);
   }
 }
 
-// At the cap whoever came first makes room: it has had the most time to say something.
-void AdminServer::TakeIn() {
-  for (int i = 0; i < kAtOnce; ++i) {
-    Fd taken = Accept(listener_, 0);
-    if (!taken.Valid()) return;
-    if (authenticator_.size() >= kMostCallers) authenticator_.pop_front();
-    auto place = authenticator_.emplace(authenticator_.end());
-    place->self = place;
-    place->fd = std::move(taken);
-    place->until_us = clock_.Now() + kCallWait;
-    epoll_event event{EPOLLIN | EPOLLRDHUP, {&*place}};
-    ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, place->fd.Get(), &event);
+// At the limit the oldest connection is closed: it has had the most time to send its request.
+void AdminServer::AcceptSome() {
+  for (int i = 0; i < kMaxPerTurn; ++i) {
+    Fd accepted = Accept(listener_, 0);
+    if (!accepted.Valid()) return;
+    if (connections_.size() >= kMaxConnections) connections_.pop_front();
+    auto connection = connections_.emplace(connections_.end());
+    connection->self = connection;
+    connection->fd = std::move(accepted);
+    connection->deadline_us = clock_.Now() + kRequestTimeout;
+    epoll_event event{EPOLLIN | EPOLLRDHUP, {&*connection}};
+    ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, connection->fd.Get(), &event);
   }
 }
 
-void AdminServer::Handle(Caller& caller) {
-  if (caller.answered) {
-    auto dropped = Discard(caller.fd, kMostPending);
-    if (!dropped || *dropped >= kMostPending) authenticator_.erase(caller.self);
+void AdminServer::DiscardInput(Connection& connection) {
+  std::optional<std::size_t> discarded = Discard(connection.fd, kMaxRequestBytes);
+  if (!discarded || *discarded >= kMaxRequestBytes) Close(connection);
+}
+
+void AdminServer::Receive(Connection& connection) {
+  Io status = ReadNow(connection.fd, connection.unparsed);
+  if (status == Io::kTimeout) return;
+  if (status != Io::kOk) {
+    Close(connection);
     return;
   }
-  Io got = ReadNow(caller.fd, caller.pending);
-  if (got == Io::kTimeout) return;
-  if (got != Io::kOk) return static_cast<void>(authenticator_.erase(caller.self));
-  HttpParser::State state = caller.parser.Feed(caller.pending);
-  HttpResponse bad;
-  bad.status = 400;
-  bad.body = "{\"error\":\"the call cannot be read\"}";
-  if (state == HttpParser::State::kBad || caller.pending.size() > kMostPending) return Reply(caller, bad);
-  if (state == HttpParser::State::kDone) Reply(caller, answer_(caller.parser.message()));
+  HttpParser::State state = connection.parser.Feed(connection.unparsed);
+  if (state == HttpParser::State::kBad || connection.unparsed.size() > kMaxRequestBytes) {
+    Reply(connection, MalformedRequest());
+  } else if (state == HttpParser::State::kDone) {
+    Reply(connection, answer_(connection.parser.message()));
+  }
 }
 
-// An answer fits into any socket's buffer; who takes nothing in gets no second try.
-void AdminServer::Reply(Caller& caller, const HttpResponse& response) {
-  if (WriteAll(caller.fd, Format(response, true), 0).status != Io::kOk)
-    return static_cast<void>(authenticator_.erase(caller.self));
-  ShutDownWriting(caller.fd);
-  caller.answered = true;
-  caller.until_us = clock_.Now() + kLingerWait;
+// A response fits into any socket's buffer, so a partial write means a client that does not read.
+void AdminServer::Reply(Connection& connection, const HttpResponse& response) {
+  if (WriteAll(connection.fd, Format(response, true), 0).status != Io::kOk) {
+    Close(connection);
+    return;
+  }
+  ShutDownWriting(connection.fd);
+  connection.answered = true;
+  connection.deadline_us = clock_.Now() + kLingerTime;
 }
 
-void AdminServer::EndOverdue(Micros now) {
-  std::erase_if(authenticator_, [now](const Caller& caller) { return now >= caller.until_us; });
+void AdminServer::Close(Connection& connection) { connections_.erase(connection.self); }
+
+void AdminServer::CloseExpired(Micros now_us) {
+  std::erase_if(connections_,
+                [now_us](const Connection& connection) { return now_us >= connection.deadline_us; });
 }
 
 }  // namespace liftrudder::net
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,7 +1,7 @@
-// Answers short calls at an address of its own: one call a connection, each answered at once by a function
-// that waits for nothing. One thread of its own does it all, so that no load on the other addresses delays
-// it; it never touches a client's connection. Callers that say nothing or stop half way are bounded in
-// number, time and bytes.
+// Serves short administrative requests at an address of its own: one request a connection, answered at once
+// by a function that does not block. One thread of its own does all of it, so that load on the other
+// listeners does not delay it. Clients that send nothing or stop half way are bounded in number, time and
+// bytes.
 #ifndef LIFTRUDDER_NET_ADMIN_SERVER_H_
 #define LIFTRUDDER_NET_ADMIN_SERVER_H_
 
@@ -17,37 +17,45 @@
 
 class AdminServer {
  public:
-  // Descriptors it may hold beside its listener.
-  static constexpr int kMostCallers = 12;
-  static constexpr int kDescriptors = kMostCallers + 4;  // the listener, the one being taken, poll and waker
+  static constexpr int kMaxConnections = 12;
+  // Descriptors that it may hold: also the listener, a connection being accepted, the poll and the waker.
+  static constexpr int kDescriptors = kMaxConnections + 4;
 
-  // On the server's thread, and on no other.
+  // Called on the server's thread, and on no other.
   using Answer = std::function<HttpResponse(const HttpMessage& request)>;
   AdminServer(Fd listener, Answer answer);
   ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
  private:
-  struct Caller {
-    std::list<Caller>::iterator self;
+  struct Connection {
+    Connection();
+    std::list<Connection>::iterator self;
     Fd fd;
-    Micros until_us = 0;
-    bool answered = false;  // read to its end only, so that the answer is not lost to a reset
+    Micros deadline_us = 0;
+    bool answered = false;  // it is only read to its end, so that no reset loses the response
     HttpParser parser;
-    std::string pending;
-    Caller();
+    std::string unparsed;
   };
-  void Loop();
-  void TakeIn();
-  void Handle(Caller& caller);
-  void Reply(Caller& caller, const HttpResponse& response);
-  void EndOverdue(Micros now);
+
+  void Run();
+  void HandleEvent(Connection& connection);
+  void AcceptSome();
+  void Receive(Connection& connection);
+  void Reply(Connection& connection, const HttpResponse& response);
+  void DiscardInput(Connection& connection);
+  void Close(Connection& connection);
+  void CloseExpired(Micros now_us);
 
   const Answer answer_;
-  SteadyClock clock_;
-  Fd listener_, epoll_, waker_;
-  std::list<Caller> authenticator_;  // in the order in which they came
+  const SteadyClock clock_;
+  const Fd listener_;
+  const Fd epoll_;
+  const Fd waker_;                     // an eventfd
+  std::list<Connection> connections_;  // the server's thread's; the oldest first
   std::atomic<bool> stopping_{false};
-  Thread thread_;
+  Thread thread_;  // last: it uses everything above
 };
 
 }  // namespace liftrudder::net
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <exception>
+#include <ranges>
 #include <string_view>
 #include <utility>
 
@@ -78,8 +79,9 @@
     if (!connection.IsWriting()) BeginCancellationFrame(connection);
     bool nothing_written = !connection.frame_attempts.empty() && connection.written_bytes == 0;
     if (nothing_written && !EncodeFrame(connection)) continue;
-    Written written =
-        WriteNow(connection.fd, std::string_view(connection.frame).substr(connection.written_bytes));
+    std::string_view unwritten = connection.frame;
+    unwritten.remove_prefix(connection.written_bytes);
+    Written written = WriteNow(connection.fd, unwritten);
     connection.written_bytes += written.bytes;
     if (written.status == Io::kError) {
       HandleWriteError(id, connection);
@@ -138,13 +140,13 @@
 void EndpointConnectionIo::HandleWriteError(ConnectionId id, EndpointConnection& connection) {
   std::vector<coordinator::AttemptKey> keys = std::exchange(connection.frame_attempts, {});
   if (connection.written_bytes == 0) {
-    for (auto key = keys.rbegin(); key != keys.rend(); ++key) {
-      Attempt* attempt = attempts_.Find(*key);
+    for (const coordinator::AttemptKey& key : std::views::reverse(keys)) {
+      Attempt* attempt = attempts_.Find(key);
       if (attempt == nullptr) continue;
       ++attempt->broken_connections;
       if (attempt->broken_connections >= kMaxBrokenConnections) continue;
-      connection.queue->pending.push_front(*key);
-      RemoveFromFrame(connection, *key);
+      connection.queue->pending.push_front(key);
+      RemoveFromFrame(connection, key);
     }
   }
   connection.frame.clear();
--- a/src/net/explain_page.cpp
+++ b/src/net/explain_page.cpp
@@ -5,26 +5,28 @@
 namespace liftrudder::net {
 
 HttpResponse ExplainPage(decision_log::ExplainService* explain_service, const HttpMessage& request) {
-  HttpResponse out;
-  out.type = "text/plain";
+  constexpr double kMicrosPerSecond = 1e6;
+  HttpResponse response;
+  response.type = "text/plain";
   if (explain_service == nullptr) {
-    out.status = 404;
-    out.body = "the record of decisions is off (why.bytes is 0)\n";
-    return out;
+    response.status = 404;
+    response.body = "the record of decisions is off (why.bytes is 0)\n";
+    return response;
   }
   if (request.method != "GET") {
-    out.status = 405;
-    out.body = "only GET\n";
-    return out;
+    response.status = 405;
+    response.body = "only GET\n";
+    return response;
   }
   decision_log::Reply reply = explain_service->Ask(request.Parameters());
-  out.status = reply.status;
-  if (reply.json) out.type = "application/json";
-  if (reply.retry_after_us > 0)
-    out.headers.emplace_back("Retry-After",
-                             fmt::format("{:.3f}", static_cast<double>(reply.retry_after_us) / 1e6));
-  out.body = std::move(reply.body);
-  return out;
+  response.status = reply.status;
+  if (reply.json) response.type = "application/json";
+  if (reply.retry_after_us > 0) {
+    double seconds = static_cast<double>(reply.retry_after_us) / kMicrosPerSecond;
+    response.headers.emplace_back("Retry-After", fmt::format("{:.3f}", seconds));
+  }
+  response.body = std::move(reply.body);
+  return response;
 }
 
 }  // namespace liftrudder::net
--- a/src/net/explain_page.h
+++ b/src/net/explain_page.h
@@ -1,4 +1,4 @@
-// The `/-/why` page, the same on every front: what the record of decisions has to say.
+// The `/-/why` page, the same on every front: answers questions about past decisions from the decision log.
 #ifndef LIFTRUDDER_NET_EXPLAIN_PAGE_H_
 #define LIFTRUDDER_NET_EXPLAIN_PAGE_H_
 
@@ -7,7 +7,7 @@
 
 namespace liftrudder::net {
 
-// `desk` may be null: the record is off, and the page says so. Any thread.
+// `explain_service` null: the decision log is off, and the page says so with 404. May block. Any thread.
 HttpResponse ExplainPage(decision_log::ExplainService* explain_service, const HttpMessage& request);
 
 }  // namespace liftrudder::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -9,6 +9,7 @@
 namespace liftrudder::net {
 namespace {
 
+// Compares header names and values case-insensitively (ASCII).
 bool SameName(std::string_view a, std::string_view b) {
   auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
   return std::ranges::equal(a, b, {}, lower, lower);
@@ -20,22 +21,28 @@
   return text;
 }
 
+// RFC 9110 section 5.6.2.
 bool IsToken(std::string_view text) {
-  constexpr std::string_view kAlso = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::ranges::all_of(text, [&](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-           kAlso.find(c) != std::string_view::npos;
+           kTokenPunctuation.find(c) != std::string_view::npos;
   });
 }
 
-// The whole text as a number in this base: no sign, no blank, nothing left over.
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kForbiddenInHeader("\r\n\0", 3);
+constexpr std::size_t kMaxChunkLineBytes = 256;
+
+// Parses the whole text as a number: no sign, no blanks, nothing left over.
 template <typename T>
-bool Whole(std::string_view text, T& out, int base = 10) {
+bool ParseWhole(std::string_view text, T& out, int base = 10) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
   return !text.empty() && text.front() != '-' && error == std::errc() && end == text.data() + text.size();
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -62,6 +69,25 @@
   }
 }
 
+struct QueryParameter {
+  std::string_view name;
+  std::string_view value;
+};
+
+// Removes the next parameter from the front of `query`.
+QueryParameter NextParameter(std::string_view& query) {
+  std::string_view pair = query.substr(0, query.find('&'));
+  query.remove_prefix(std::min(query.size(), pair.size() + 1));
+  auto equals = pair.find('=');
+  if (equals == std::string_view::npos) return {pair, {}};
+  return {pair.substr(0, equals), pair.substr(equals + 1)};
+}
+
+std::string_view QueryOf(std::string_view target) {
+  auto mark = target.find('?');
+  return mark == std::string_view::npos ? std::string_view() : target.substr(mark + 1);
+}
+
 }  // namespace
 
 const std::string* HttpMessage::Header(std::string_view name) const {
@@ -73,184 +99,237 @@
 
 std::size_t HttpMessage::Count(std::string_view name) const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(headers, [name](const auto& one) { return SameName(one.first, name); }));
+      std::ranges::count_if(headers, [name](const auto& header) { return SameName(header.first, name); }));
 }
 
-std::string_view HttpMessage::Path() const { return std::string_view(target).substr(0, target.find('?')); }
+std::string_view HttpMessage::Path() const {
+  std::string_view path = target;
+  return path.substr(0, path.find('?'));
+}
 
 std::string Unescape(std::string_view text) {
-  std::string out;
+  std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned code = 0;
-    if (text[i] == '%' && i + 2 < text.size() &&
-        std::from_chars(text.data() + i + 1, text.data() + i + 3, code, 16).ptr == text.data() + i + 3) {
-      out.push_back(static_cast<char>(code));
+    const char* digits = text.data() + i + 1;
+    bool escaped = text[i] == '%' && i + 2 < text.size() &&
+                   std::from_chars(digits, digits + 2, code, 16).ptr == digits + 2;
+    if (escaped) {
+      decoded.push_back(static_cast<char>(code));
       i += 2;
     } else {
-      out.push_back(text[i] == '+' ? ' ' : text[i]);
+      decoded.push_back(text[i] == '+' ? ' ' : text[i]);
     }
   }
-  return out;
+  return decoded;
 }
 
 std::vector<std::pair<std::string, std::string>> HttpMessage::Parameters() const {
-  std::vector<std::pair<std::string, std::string>> out;
-  auto mark = target.find('?');
-  std::string_view rest =
-      mark == std::string::npos ? std::string_view() : std::string_view(target).substr(mark + 1);
-  while (!rest.empty()) {
-    std::string_view pair = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
-    auto equals = pair.find('=');
-    if (pair.empty()) continue;
-    out.emplace_back(Unescape(pair.substr(0, equals)),
-                     equals == std::string_view::npos ? std::string() : Unescape(pair.substr(equals + 1)));
+  std::vector<std::pair<std::string, std::string>> parameters;
+  std::string_view query = QueryOf(target);
+  while (!query.empty()) {
+    if (query.starts_with('&')) {
+      query.remove_prefix(1);
+      continue;
+    }
+    QueryParameter next = NextParameter(query);
+    parameters.emplace_back(Unescape(next.name), Unescape(next.value));
   }
-  return out;
+  return parameters;
 }
 
 std::optional<std::string_view> HttpMessage::Parameter(std::string_view name) const {
-  auto mark = target.find('?');
-  if (mark == std::string::npos) return std::nullopt;
-  std::string_view rest = std::string_view(target).substr(mark + 1);
-  while (!rest.empty()) {
-    std::string_view pair = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
-    auto equals = pair.find('=');
-    if (pair.substr(0, equals) != name) continue;
-    return equals == std::string_view::npos ? std::string_view() : pair.substr(equals + 1);
+  std::string_view query = QueryOf(target);
+  while (!query.empty()) {
+    QueryParameter next = NextParameter(query);
+    if (next.name == name) return next.value;
   }
   return std::nullopt;
 }
 
+HttpParser::State HttpParser::Fail(HttpParseError error) {
+  error_ = error;
+  state_ = State::kBad;
+  return state_;
+}
+
 HttpParser::State HttpParser::Feed(std::string& in) {
   started_ = started_ || !in.empty();
   if (state_ == State::kHead) {
-    auto end = in.find("\r\n\r\n");
-    if (std::min(end, in.size()) > kMaxHeadBytes) return state_ = State::kBad;
+    auto end = in.find(kHeadEnd);
+    if (std::min(end, in.size()) > kMaxHeadBytes) return Fail(HttpParseError::kHeadTooLarge);
     if (end == std::string::npos) return state_;
-    state_ = ParseHead(std::string_view(in).substr(0, end)) && Frame() ? State::kBody : State::kBad;
-    in.erase(0, end + 4);
-  }
-  if (state_ == State::kBody) {
-    std::size_t at = 0;
-    if (!TakeBody(in, at)) state_ = State::kBad;
-    in.erase(0, at);
+    std::string_view head = in;
+    HttpParseError error = ParseHead(head.substr(0, end));
+    in.erase(0, end + kHeadEnd.size());
+    if (error != HttpParseError::kNone) return Fail(error);
+    state_ = State::kBody;
   }
+  if (state_ == State::kBody) ConsumeBody(in);
   return state_;
 }
 
 HttpParser::State HttpParser::End() {
-  if (state_ == State::kBody && framing_ == Framing::kUntilEnd) return state_ = State::kDone;
-  return state_ == State::kDone ? state_ : state_ = State::kBad;
+  if (state_ == State::kDone) return state_;
+  bool ends_body = state_ == State::kBody && framing_ == Framing::kUntilEnd;
+  if (!ends_body) return Fail(HttpParseError::kUnexpectedEnd);
+  state_ = State::kDone;
+  return state_;
+}
+
+bool HttpParser::ParseStartLine(std::string_view line) {
+  return kind_ == Kind::kResponse ? ParseStatusLine(line) : ParseRequestLine(line);
 }
 
-bool HttpParser::ParseStart(std::string_view line) {
-  auto first = line.find(' ');
-  if (first == std::string_view::npos) return false;
-  if (kind_ == Kind::kResponse) {
-    if (!line.starts_with("HTTP/1.") || line.size() < 12 || first != 8) return false;
-    message_.close = line[7] == '0';
-    return Whole(line.substr(9, 3), message_.status) && (line.size() == 12 || line[12] == ' ');
+// HTTP/1.x SP 3DIGIT [SP reason]
+bool HttpParser::ParseStatusLine(std::string_view line) {
+  constexpr std::size_t kStatusAt = 9;
+  constexpr std::size_t kStatusEnd = 12;
+  if (!line.starts_with("HTTP/1.") || line.size() < kStatusEnd || line.find(' ') != kStatusAt - 1) {
+    return false;
   }
-  auto second = line.find(' ', first + 1);
-  if (second == std::string_view::npos) return false;
-  message_.method = line.substr(0, first);
-  message_.target = line.substr(first + 1, second - first - 1);
-  std::string_view version = line.substr(second + 1);
+  message_.close = line[7] == '0';
+  return ParseWhole(line.substr(kStatusAt, 3), message_.status) &&
+         (line.size() == kStatusEnd || line[kStatusEnd] == ' ');
+}
+
+// method SP target SP HTTP/1.x
+bool HttpParser::ParseRequestLine(std::string_view line) {
+  auto method_end = line.find(' ');
+  if (method_end == std::string_view::npos) return false;
+  auto target_end = line.find(' ', method_end + 1);
+  if (target_end == std::string_view::npos) return false;
+  message_.method = line.substr(0, method_end);
+  message_.target = line.substr(method_end + 1, target_end - method_end - 1);
+  std::string_view version = line.substr(target_end + 1);
   message_.close = version == "HTTP/1.0";
   return IsToken(message_.method) && message_.target.starts_with('/') &&
          (version == "HTTP/1.1" || version == "HTTP/1.0");
 }
 
-bool HttpParser::ParseHead(std::string_view head) {
-  auto line_end = head.find("\r\n");
-  if (!ParseStart(head.substr(0, line_end))) return false;
+HttpParseError HttpParser::ParseHead(std::string_view head) {
+  auto line_end = head.find(kLineEnd);
+  if (!ParseStartLine(head.substr(0, line_end))) return HttpParseError::kStartLine;
   while (line_end != std::string_view::npos) {
-    head.remove_prefix(line_end + 2);
-    line_end = head.find("\r\n");
+    head.remove_prefix(line_end + kLineEnd.size());
+    line_end = head.find(kLineEnd);
     std::string_view line = head.substr(0, line_end);
     auto colon = line.find(':');
     if (colon == std::string_view::npos || !IsToken(line.substr(0, colon)) ||
-        line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) {
-      return false;
+        line.find_first_of(kForbiddenInHeader) != std::string_view::npos) {
+      return HttpParseError::kHeader;
     }
     message_.headers.emplace_back(line.substr(0, colon), Trim(line.substr(colon + 1)));
   }
-  return true;
+  return ParseFraming();
 }
 
-// Guards against smuggling: two lengths, or a length beside chunks, are turned down rather than picked from.
-bool HttpParser::Frame() {
+// RFC 9112 section 6.3. A message with two lengths, or with a length beside chunks, is rejected: choosing one
+// of them would allow request smuggling.
+HttpParseError HttpParser::ParseFraming() {
   int lengths = 0;
   bool chunked = false;
-  left_ = 0;
+  remaining_bytes_ = 0;
   for (const auto& [name, value] : message_.headers) {
     if (SameName(name, "content-length")) {
-      if (++lengths > 1 || !Whole(value, left_)) return false;
+      ++lengths;
+      if (lengths > 1 || !ParseWhole(value, remaining_bytes_)) return HttpParseError::kFraming;
     } else if (SameName(name, "transfer-encoding")) {
-      if (chunked || !SameName(value, "chunked")) return false;
+      if (chunked || !SameName(value, "chunked")) return HttpParseError::kFraming;
       chunked = true;
     } else if (SameName(name, "connection")) {
-      if (SameName(value, "close")) message_.close = true;
-      if (SameName(value, "keep-alive")) message_.close = false;
+      ApplyConnectionHeader(value);
     }
   }
-  if (lengths > 0 && chunked) return false;
+  if (lengths > 0 && chunked) return HttpParseError::kFraming;
   framing_ = chunked ? Framing::kChunkSize : Framing::kLength;
-  bool bodiless = message_.status == 204 || message_.status == 304;
-  if (kind_ == Kind::kResponse && lengths == 0 && !chunked && !bodiless) framing_ = Framing::kUntilEnd;
-  return chunked || left_ <= body_limit_;
+  bool has_no_body = message_.status == 204 || message_.status == 304;
+  bool has_no_length = lengths == 0 && !chunked;
+  if (kind_ == Kind::kResponse && has_no_length && !has_no_body) framing_ = Framing::kUntilEnd;
+  if (!chunked && remaining_bytes_ > body_limit_) return HttpParseError::kBodyTooLarge;
+  return HttpParseError::kNone;
+}
+
+void HttpParser::ApplyConnectionHeader(std::string_view value) {
+  if (SameName(value, "close")) message_.close = true;
+  if (SameName(value, "keep-alive")) message_.close = false;
+}
+
+void HttpParser::ConsumeBody(std::string& in) {
+  std::size_t position = 0;
+  bool more = true;
+  while (more && state_ == State::kBody) {
+    bool in_data =
+        framing_ == Framing::kLength || framing_ == Framing::kChunkData || framing_ == Framing::kUntilEnd;
+    more = in_data ? ConsumeData(in, position) : ConsumeChunkLine(in, position);
+  }
+  in.erase(0, position);
 }
 
-bool HttpParser::TakeChunkLine(std::string_view line) {
+bool HttpParser::ConsumeData(const std::string& in, std::size_t& position) {
+  bool bounded = framing_ != Framing::kUntilEnd;
+  std::size_t size = in.size() - position;
+  if (bounded) size = static_cast<std::size_t>(std::min<std::uint64_t>(size, remaining_bytes_));
+  if (message_.body.size() + size > body_limit_) {
+    Fail(HttpParseError::kBodyTooLarge);
+    return false;
+  }
+  message_.body.append(in, position, size);
+  position += size;
+  if (!bounded) return false;
+  remaining_bytes_ -= size;
+  if (remaining_bytes_ > 0) return false;
+  if (framing_ == Framing::kLength) state_ = State::kDone;
+  framing_ = Framing::kChunkEnd;
+  return true;
+}
+
+bool HttpParser::ConsumeChunkLine(const std::string& in, std::size_t& position) {
+  std::string_view line = in;
+  line.remove_prefix(position);
+  auto end = line.find(kLineEnd);
+  bool complete = end != std::string_view::npos;
+  std::size_t size = complete ? end : line.size();
+  if (size > kMaxChunkLineBytes) {
+    Fail(HttpParseError::kChunk);
+    return false;
+  }
+  if (!complete) return false;
+  if (!ParseChunkLine(line.substr(0, size))) {
+    Fail(HttpParseError::kChunk);
+    return false;
+  }
+  position += size + kLineEnd.size();
+  return true;
+}
+
+bool HttpParser::ParseChunkLine(std::string_view line) {
+  constexpr int kHexadecimal = 16;
   switch (framing_) {
     case Framing::kChunkSize:
-      if (!Whole(Trim(line.substr(0, line.find(';'))), left_, 16)) return false;
-      framing_ = left_ > 0 ? Framing::kChunkData : Framing::kTrailer;
+      if (!ParseWhole(Trim(line.substr(0, line.find(';'))), remaining_bytes_, kHexadecimal)) return false;
+      framing_ = remaining_bytes_ > 0 ? Framing::kChunkData : Framing::kTrailer;
       return true;
     case Framing::kChunkEnd:
       framing_ = Framing::kChunkSize;
       return line.empty();
-    default:  // a trailer's field, or its end
+    default:  // a trailer field, or the empty line that ends the message
       if (line.empty()) state_ = State::kDone;
       return true;
   }
 }
 
-bool HttpParser::TakeBody(std::string& in, std::size_t& at) {
-  constexpr std::size_t kMaxChunkLine = 256;
-  while (state_ == State::kBody) {
-    bool data = framing_ == Framing::kLength || framing_ == Framing::kChunkData;
-    if (data || framing_ == Framing::kUntilEnd) {
-      std::size_t take = in.size() - at;
-      if (data) take = static_cast<std::size_t>(std::min<std::uint64_t>(take, left_));
-      if (message_.body.size() + take > body_limit_) return false;
-      message_.body.append(in, at, take);
-      at += take;
-      left_ -= data ? take : 0;
-      if (!data || left_ > 0) return true;
-      if (framing_ == Framing::kLength) state_ = State::kDone;
-      framing_ = Framing::kChunkEnd;
-      continue;
-    }
-    auto end = in.find("\r\n", at);
-    if (end == std::string::npos) return in.size() - at <= kMaxChunkLine;
-    if (end - at > kMaxChunkLine || !TakeChunkLine(std::string_view(in).substr(at, end - at))) return false;
-    at = end + 2;
-  }
-  return true;
-}
-
 std::string Format(const HttpResponse& response, bool close) {
   std::string out =
       fmt::format("HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n", response.status,
-                  Reason(response.status), response.type, response.body.size());
-  for (const auto& [name, value] : response.headers)
+                  ReasonPhrase(response.status), response.type, response.body.size());
+  for (const auto& [name, value] : response.headers) {
     fmt::format_to(std::back_inserter(out), "{}: {}\r\n", name, value);
+  }
   if (close) out += "Connection: close\r\n";
   out += "\r\n";
-  return out += response.body;
+  out += response.body;
+  return out;
 }
 
 }  // namespace liftrudder::net
--- a/src/net/json.cpp
+++ b/src/net/json.cpp
@@ -2,6 +2,7 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <iterator>
@@ -9,42 +10,52 @@
 namespace liftrudder::net::json {
 namespace {
 
-constexpr int kMaxDepth = 64;  // stacks are small
+constexpr int kMaxDepth = 64;  // of nested values: threads have small stacks
 
-void SkipBlanks(std::string_view& in) {
-  auto at = in.find_first_not_of(" \t\r\n");
-  in.remove_prefix(at == std::string_view::npos ? in.size() : at);
+void SkipWhiteSpace(std::string_view& in) {
+  auto first = in.find_first_not_of(" \t\r\n");
+  in.remove_prefix(std::min(first, in.size()));
 }
 
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 
+bool IsHexDigit(char c) { return IsDigit(c) || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
+
+// The length of the escape sequence at the front, which begins with a backslash; 0 when it is malformed.
+std::size_t EscapeLength(std::string_view text) {
+  constexpr std::string_view kShortEscapes = "\"\\/bfnrt";
+  constexpr std::size_t kShortLength = 2;
+  constexpr std::size_t kUnicodeLength = 6;
+  if (text.size() < kShortLength) return 0;
+  if (kShortEscapes.find(text[1]) != std::string_view::npos) return kShortLength;
+  if (text[1] != 'u' || text.size() < kUnicodeLength) return 0;
+  bool valid = std::ranges::all_of(text.substr(2, 4), IsHexDigit);
+  return valid ? kUnicodeLength : 0;
+}
+
+// Skips a string, of which the opening quote is at the front.
 bool SkipString(std::string_view& in) {
-  for (std::size_t i = 1; i < in.size(); ++i) {
+  constexpr unsigned char kFirstPrintable = 0x20;
+  std::size_t i = 1;
+  while (i < in.size()) {
     auto c = static_cast<unsigned char>(in[i]);
     if (c == '"') {
       in.remove_prefix(i + 1);
       return true;
     }
-    if (c < 0x20) return false;
-    if (c != '\\') continue;
-    if (++i >= in.size() || std::string_view("\"\\/bfnrtu").find(in[i]) == std::string_view::npos)
-      return false;
-    if (in[i] != 'u') continue;
-    for (int k = 0; k < 4; ++k) {
-      if (++i >= in.size() ||
-          std::string_view("0123456789abcdefABCDEF").find(in[i]) == std::string_view::npos) {
-        return false;
-      }
-    }
+    if (c < kFirstPrintable) return false;
+    std::size_t length = c == '\\' ? EscapeLength(in.substr(i)) : 1;
+    if (length == 0) return false;
+    i += length;
   }
   return false;
 }
 
 bool SkipDigits(std::string_view& in) {
-  std::size_t n = 0;
-  while (n < in.size() && IsDigit(in[n])) ++n;
-  in.remove_prefix(n);
-  return n > 0;
+  std::size_t count = 0;
+  while (count < in.size() && IsDigit(in[count])) ++count;
+  in.remove_prefix(count);
+  return count > 0;
 }
 
 bool SkipNumber(std::string_view& in) {
@@ -65,37 +76,37 @@
 
 bool SkipValue(std::string_view& in, int depth);
 
-// The inside of an object or array, from its opening to its closing bracket.
+// Walks an object or array from its opening to its closing bracket; `each` consumes one member or element.
 template <typename Each>
-bool Walk(std::string_view& in, char close, Each&& each) {
+bool Walk(std::string_view& in, char close, const Each& each) {
   in.remove_prefix(1);
-  SkipBlanks(in);
+  SkipWhiteSpace(in);
   if (in.starts_with(close)) {
     in.remove_prefix(1);
     return true;
   }
   while (true) {
     if (!each()) return false;
-    SkipBlanks(in);
+    SkipWhiteSpace(in);
     if (in.empty()) return false;
     char c = in.front();
     in.remove_prefix(1);
     if (c == close) return true;
     if (c != ',') return false;
-    SkipBlanks(in);
+    SkipWhiteSpace(in);
   }
 }
 
-// A key and its colon; the key as it stands between its quotes.
-bool TakeKey(std::string_view& in, std::string_view& key) {
-  std::string_view from = in;
-  if (!in.starts_with('"') || !SkipString(in)) return false;
-  key = from.substr(1, from.size() - in.size() - 2);
-  SkipBlanks(in);
-  if (!in.starts_with(':')) return false;
+// Removes a key and its colon. The key keeps its escapes; nothing when it is malformed.
+std::optional<std::string_view> TakeKey(std::string_view& in) {
+  std::string_view before = in;
+  if (!in.starts_with('"') || !SkipString(in)) return std::nullopt;
+  std::string_view key = before.substr(1, before.size() - in.size() - 2);
+  SkipWhiteSpace(in);
+  if (!in.starts_with(':')) return std::nullopt;
   in.remove_prefix(1);
-  SkipBlanks(in);
-  return true;
+  SkipWhiteSpace(in);
+  return key;
 }
 
 bool SkipValue(std::string_view& in, int depth) {
@@ -104,10 +115,7 @@
     case '"':
       return SkipString(in);
     case '{':
-      return Walk(in, '}', [&] {
-        std::string_view key;
-        return TakeKey(in, key) && SkipValue(in, depth + 1);
-      });
+      return Walk(in, '}', [&] { return TakeKey(in).has_value() && SkipValue(in, depth + 1); });
     case '[':
       return Walk(in, ']', [&] { return SkipValue(in, depth + 1); });
     default:
@@ -139,46 +147,88 @@
   }
 }
 
+// The number in up to four hexadecimal digits at the front.
 std::uint32_t Hex4(std::string_view text) {
   std::uint32_t code = 0;
   std::from_chars(text.data(), text.data() + std::min<std::size_t>(4, text.size()), code, 16);
   return code;
 }
 
+void RemovePrefix(std::string_view& text, std::size_t count) {
+  text.remove_prefix(std::min(count, text.size()));
+}
+
+// Removes the four digits of a \u escape, and the second half of a surrogate pair behind it, from the front.
+std::uint32_t TakeCodePoint(std::string_view& text) {
+  constexpr std::uint32_t kHighSurrogates = 0xd800;
+  constexpr std::uint32_t kLowSurrogates = 0xdc00;
+  constexpr std::uint32_t kSurrogatesEnd = 0xe000;
+  std::uint32_t code = Hex4(text);
+  RemovePrefix(text, 4);
+  if (code < kHighSurrogates || code >= kLowSurrogates || !text.starts_with("\\u")) return code;
+  std::uint32_t low = Hex4(text.substr(2));
+  if (low < kLowSurrogates || low >= kSurrogatesEnd) return code;
+  RemovePrefix(text, 6);
+  return 0x10000 + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
+}
+
+// Removes an escape sequence, of which the backslash has been removed, from the front.
+void DecodeEscape(std::string_view& text, std::string& out) {
+  constexpr std::string_view kEscapes = "bfnrt";
+  constexpr std::string_view kMeanings = "\b\f\n\r\t";
+  if (text.empty()) return;
+  char c = text.front();
+  text.remove_prefix(1);
+  if (c == 'u') {
+    AppendUtf8(out, TakeCodePoint(text));
+    return;
+  }
+  auto position = kEscapes.find(c);
+  out.push_back(position == std::string_view::npos ? c : kMeanings[position]);
+}
+
+template <typename T>
+std::optional<T> ParseWhole(std::string_view text) {
+  T number = 0;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  bool whole = !text.empty() && error == std::errc() && end == text.data() + text.size();
+  return whole ? std::optional(number) : std::nullopt;
+}
+
 }  // namespace
 
 std::optional<std::string_view> Take(std::string_view& in) {
-  SkipBlanks(in);
-  std::string_view from = in;
+  SkipWhiteSpace(in);
+  std::string_view before = in;
   if (!SkipValue(in, 0)) return std::nullopt;
-  std::string_view value = from.substr(0, from.size() - in.size());
-  SkipBlanks(in);
+  std::string_view value = before.substr(0, before.size() - in.size());
+  SkipWhiteSpace(in);
   return value;
 }
 
 bool Valid(std::string_view text) { return Take(text) && text.empty(); }
 
 bool JsonMembers(std::string_view object, const OnMember& each) {
-  SkipBlanks(object);
+  SkipWhiteSpace(object);
   if (!object.starts_with('{')) return false;
   bool ok = Walk(object, '}', [&] {
-    std::string_view key;
-    if (!TakeKey(object, key)) return false;
-    auto value = Take(object);
-    return value && each(key, *value);
+    std::optional<std::string_view> key = TakeKey(object);
+    if (!key) return false;
+    std::optional<std::string_view> value = Take(object);
+    return value && each(*key, *value);
   });
-  SkipBlanks(object);
+  SkipWhiteSpace(object);
   return ok && object.empty();
 }
 
 bool Elements(std::string_view array, const OnElement& each) {
-  SkipBlanks(array);
+  SkipWhiteSpace(array);
   if (!array.starts_with('[')) return false;
   bool ok = Walk(array, ']', [&] {
     auto value = Take(array);
     return value && each(*value);
   });
-  SkipBlanks(array);
+  SkipWhiteSpace(array);
   return ok && array.empty();
 }
 
@@ -197,49 +247,28 @@
 }
 
 std::optional<std::string> String(std::string_view value) {
-  auto raw = RawString(value);
+  std::optional<std::string_view> raw = RawString(value);
   if (!raw) return std::nullopt;
-  std::string out;
-  for (std::size_t i = 0; i < raw->size(); ++i) {
-    if ((*raw)[i] != '\\') {
-      out.push_back((*raw)[i]);
+  std::string decoded;
+  std::string_view rest = *raw;
+  while (!rest.empty()) {
+    if (rest.front() != '\\') {
+      decoded.push_back(rest.front());
+      rest.remove_prefix(1);
       continue;
     }
-    char c = (*raw)[++i];
-    if (c != 'u') {
-      constexpr std::string_view kFrom = "bfnrt", kTo = "\b\f\n\r\t";
-      auto at = kFrom.find(c);
-      out.push_back(at == std::string_view::npos ? c : kTo[at]);
-      continue;
-    }
-    std::uint32_t code = Hex4(raw->substr(i + 1));
-    i += 4;
-    if (code >= 0xd800 && code < 0xdc00 && raw->substr(i + 1, 2) == "\\u") {
-      std::uint32_t low = Hex4(raw->substr(i + 3));
-      if (low >= 0xdc00 && low < 0xe000) {
-        code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
-        i += 6;
-      }
-    }
-    AppendUtf8(out, code);
+    rest.remove_prefix(1);
+    DecodeEscape(rest, decoded);
   }
-  return out;
+  return decoded;
 }
 
 std::optional<double> Number(std::string_view value) {
-  double out = 0;
-  auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-  if (value.empty() || error != std::errc() || end != value.data() + value.size() || !std::isfinite(out))
-    return std::nullopt;
-  return out;
+  std::optional<double> number = ParseWhole<double>(value);
+  return number && std::isfinite(*number) ? number : std::nullopt;
 }
 
-std::optional<std::int64_t> Integer(std::string_view value) {
-  std::int64_t out = 0;
-  auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-  if (value.empty() || error != std::errc() || end != value.data() + value.size()) return std::nullopt;
-  return out;
-}
+std::optional<std::int64_t> Integer(std::string_view value) { return ParseWhole<std::int64_t>(value); }
 
 std::optional<bool> Bool(std::string_view value) {
   if (value == "true") return true;
@@ -259,7 +288,8 @@
       out.push_back(c);
     }
   }
-  return out += '"';
+  out += '"';
+  return out;
 }
 
 }  // namespace liftrudder::net::json
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -1,4 +1,5 @@
-// Scans JSON text and hands out slices of it; what is not asked for stays the bytes that came.
+// Scans JSON text (RFC 8259) and returns slices of it, without building a tree: what nobody asks for is
+// passed on as the bytes that arrived. No I/O, no threads; slices live as long as the text.
 #ifndef LIFTRUDDER_NET_JSON_H_
 #define LIFTRUDDER_NET_JSON_H_
 
@@ -10,27 +11,30 @@
 
 namespace liftrudder::net::json {
 
-// Takes one value off the front, blanks around it included; its text, or nothing when it is malformed.
+// Removes one value, and the white space around it, from the front of `in`. Returns its text, or nothing when
+// it is malformed or nested too deeply.
 std::optional<std::string_view> Take(std::string_view& in);
-// The text is one value and nothing else.
+// Whether the text is one value and nothing else.
 bool Valid(std::string_view text);
 
-// Calls for each member or element; false when malformed, not of that kind, or the callee said stop.
+// Called for each member of an object or element of an array; false stops the walk. Keys keep their escapes.
 using OnMember = std::function<bool(std::string_view key, std::string_view value)>;
 using OnElement = std::function<bool(std::string_view value)>;
+// False when the text is malformed or of another type, or the callback stopped.
 bool JsonMembers(std::string_view object, const OnMember& each);
 bool Elements(std::string_view array, const OnElement& each);
 
-// One member's text; empty when there is none.
+// The text of an object's member, the last of that name; empty when there is none.
 std::string_view Get(std::string_view object, std::string_view key);
 
-// What stands between the quotes, escapes kept.
-std::optional<std::string_view> RawString(std::string_view value);
+// These read the text of one value, as Take returns it; nothing when it is of another type.
+std::optional<std::string_view> RawString(std::string_view value);  // without the quotes, escapes kept
 std::optional<std::string> String(std::string_view value);
-std::optional<double> Number(std::string_view value);
+std::optional<double> Number(std::string_view value);  // finite
 std::optional<std::int64_t> Integer(std::string_view value);
 std::optional<bool> Bool(std::string_view value);
 
+// A JSON string with this text.
 std::string Quote(std::string_view text);
 
 }  // namespace liftrudder::net::json
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -5,72 +5,81 @@
 #include <unistd.h>
 
 #include <chrono>
+#include <cstdint>
+#include <optional>
+#include <utility>
 #include <vector>
 
 namespace liftrudder::net {
 namespace {
 
-// A body of 60 MB that was turned down at its head is let in and thrown away, so that its sender gets to the
-// answer; what is longer or slower finds the connection closed.
-constexpr std::size_t kMostBytes = 80u << 20;
-constexpr Micros kMostTime = 2'000'000;
-constexpr int kSliceMs = 50;
+// Lets a client that sends a body of some 60 MB before it reads get to the response that rejected its head.
+constexpr std::size_t kMaxDiscardedBytes = 80U << 20;
+constexpr Micros kMaxLingerTime = 2'000'000;
+constexpr int kPollMs = 50;
 
 }  // namespace
 
-LingeringCloser::LingeringCloser(std::size_t most)
-    : most_(most), waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)), thread_([this] { Loop(); }) {}
+LingeringCloser::LingeringCloser(std::size_t max_connections)
+    : waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)),
+      max_connections_(max_connections),
+      thread_([this] { Run(); }) {}
 
 LingeringCloser::~LingeringCloser() {
   stopping_ = true;
+  Wake();
+  thread_.Join();
+}
+
+void LingeringCloser::Wake() const {
   std::uint64_t one = 1;
   [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
-  thread_.Join();
 }
 
 void LingeringCloser::Take(Fd fd) {
   ShutDownWriting(fd);
   std::lock_guard lock(mutex_);
-  if (all_.size() >= most_) all_.pop_front();
-  all_.push_back({std::move(fd), clock_.Now() + kMostTime, kMostBytes});
-  std::uint64_t one = 1;
-  [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
+  if (connections_.size() >= max_connections_) connections_.pop_front();
+  connections_.push_back({std::move(fd), clock_.Now() + kMaxLingerTime, kMaxDiscardedBytes});
+  Wake();
 }
 
-void LingeringCloser::Resize(std::size_t most) {
+void LingeringCloser::Resize(std::size_t max_connections) {
   std::lock_guard lock(mutex_);
-  most_ = most;
+  max_connections_ = max_connections;
 }
 
 bool LingeringCloser::WaitEmpty(Micros wait_us) {
   std::unique_lock lock(mutex_);
-  return emptied_.wait_for(lock, std::chrono::microseconds(wait_us), [this] { return all_.empty(); });
+  return emptied_.wait_for(lock, std::chrono::microseconds(wait_us), [this] { return connections_.empty(); });
 }
 
-void LingeringCloser::Loop() {
+void LingeringCloser::Run() {
   while (!stopping_) {
-    std::vector<pollfd> fds{{waker_.Get(), POLLIN, 0}};
+    std::vector<pollfd> polled{{waker_.Get(), POLLIN, 0}};
     {
       std::lock_guard lock(mutex_);
-      for (const One& one : all_) fds.push_back({one.fd.Get(), POLLIN, 0});
+      for (const Connection& connection : connections_) polled.push_back({connection.fd.Get(), POLLIN, 0});
+    }
+    ::poll(polled.data(), polled.size(), polled.size() > 1 ? kPollMs : -1);
+    if (polled[0].revents != 0) {
+      std::uint64_t wakes = 0;
+      [[maybe_unused]] ssize_t taken = ::read(waker_.Get(), &wakes, sizeof wakes);
     }
-    ::poll(fds.data(), fds.size(), fds.size() > 1 ? kSliceMs : -1);
-    std::uint64_t count = 0;
-    if (fds[0].revents != 0) [[maybe_unused]]
-      ssize_t got = ::read(waker_.Get(), &count, sizeof count);
-    Sweep();
+    DiscardAll();
   }
 }
 
-void LingeringCloser::Sweep() {
+void LingeringCloser::DiscardAll() {
   std::lock_guard lock(mutex_);
-  Micros now = clock_.Now();
-  std::erase_if(all_, [now](One& one) {
-    auto dropped = Discard(one.fd, one.left);
-    one.left -= dropped.value_or(0);
-    return !dropped || one.left == 0 || now >= one.until_us;
+  Micros now_us = clock_.Now();
+  std::erase_if(connections_, [now_us](Connection& connection) {
+    std::optional<std::size_t> discarded = Discard(connection.fd, connection.remaining_bytes);
+    connection.remaining_bytes -= discarded.value_or(0);
+    bool ended = !discarded.has_value();
+    return ended || connection.remaining_bytes == 0 || now_us >= connection.deadline_us;
   });
-  if (all_.empty()) emptied_.notify_all();
+  if (connections_.empty()) emptied_.notify_all();
 }
 
 }  // namespace liftrudder::net
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -142,11 +142,11 @@
   std::vector<SessionRef> not_busy;
   {
     std::lock_guard lock(mutex_);
-    for (SessionRef session = sessions_.begin(); session != sessions_.end(); ++session) {
+    for (auto session = sessions_.begin(); session != sessions_.end(); ++session) {
       if (session->phase != SessionPhase::kBusy) not_busy.push_back(session);
     }
   }
-  for (SessionRef session : not_busy) {
+  for (auto session : not_busy) {
     bool just_accepted =
         session->phase == SessionPhase::kNew && now_us - session->phase_since_us < kMinIdleTime;
     bool request_begun = session->received_us != 0;
@@ -174,7 +174,7 @@
     found = FindExpired(sessions_, rules, now_us);
   }
   counters_.evicted.Add(static_cast<std::int64_t>(found.evicted.size()));
-  for (SessionRef session : found.expired) {
+  for (auto session : found.expired) {
     if (session->received_us == 0) {
       Remove(session).Finish();
       continue;
@@ -182,7 +182,7 @@
     counters_.malformed.Add();
     RejectAndClose(session, handler_.Malformed(408));
   }
-  for (SessionRef session : found.evicted) Remove(session).Finish();
+  for (auto session : found.evicted) Remove(session).Finish();
 }
 
 void Server::LimitHandshakes() {
@@ -191,7 +191,7 @@
     std::lock_guard lock(mutex_);
     excess = FindExcessHandshakes(sessions_, max_connections_);
   }
-  for (SessionRef session : excess) {
+  for (auto session : excess) {
     counters_.evicted.Add();
     Remove(session).Finish();
   }
--- a/src/net/session_eviction.cpp
+++ b/src/net/session_eviction.cpp
@@ -22,6 +22,7 @@
   bool silent = false;
   bool idle = false;
   Micros age_us = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false finding on a defaulted comparison.
   auto operator<=>(const EvictionRank&) const = default;
 };
 
@@ -63,10 +64,10 @@
     past_first_request += session->phase != SessionPhase::kNew ? 1 : 0;
     if (session->phase == SessionPhase::kBusy) continue;
     bool unused = session->received_us == 0 && now_us - session->phase_since_us > kMinIdleTime;
-    bool close_for_drain = rules.closing_idle && unused;
-    if (now_us >= session->request_deadline_us) {
-      found.expired.push_back(session);
-    } else if (close_for_drain && Peek(session->connection.fd()) == SocketState::kNothing) {
+    bool closable = rules.closing_idle && unused;
+    bool expired = now_us >= session->request_deadline_us ||
+                   (closable && Peek(session->connection.fd()) == SocketState::kNothing);
+    if (expired) {
       found.expired.push_back(session);
     } else if (unused && session->phase == SessionPhase::kIdle) {
       found.evicted.push_back(session);
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -8,13 +8,13 @@
 #include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <cerrno>
 #include <charconv>
 #include <cstring>
+#include <ctime>
 #include <memory>
 #include <optional>
 #include <stdexcept>
@@ -28,13 +28,18 @@
 constexpr std::size_t kStackBytes = 128 * 1024;
 #endif
 
+constexpr Micros kMicrosPerSecond = 1'000'000;
+constexpr Micros kNanosPerMicro = 1'000;
+
+using PollEvents = decltype(pollfd::events);
+
 Micros ReadClock(clockid_t id) {
-  timespec at{};
-  clock_gettime(id, &at);
-  return Micros{at.tv_sec} * 1'000'000 + at.tv_nsec / 1000;
+  timespec now{};
+  clock_gettime(id, &now);
+  return Micros{now.tv_sec} * kMicrosPerSecond + now.tv_nsec / kNanosPerMicro;
 }
 
-std::optional<sockaddr_in> Parse(const std::string& address) {
+std::optional<sockaddr_in> ParseAddress(const std::string& address) {
   auto colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
   sockaddr_in out{};
@@ -47,37 +52,37 @@
   return out;
 }
 
-// Waits for `events` on `fd` until the monotonic time `until`; the events seen, 0 at the end of the time.
-short Wait(int fd, short events, Micros until) {
+// Waits for `events` on `fd` until the monotonic time `until_us`; returns the events that occurred, 0: none.
+PollEvents Wait(int fd, PollEvents events, Micros until_us) {
   while (true) {
-    Micros left = std::max<Micros>(0, until - ReadClock(CLOCK_MONOTONIC));
-    pollfd one{fd, events, 0};
-    timespec span{left / 1'000'000, (left % 1'000'000) * 1000};
-    int got = ppoll(&one, 1, &span, nullptr);
-    if (got > 0) return one.revents;
-    if (got == 0) return 0;
+    Micros left_us = std::max<Micros>(0, until_us - ReadClock(CLOCK_MONOTONIC));
+    pollfd polled{fd, events, 0};
+    timespec timeout{left_us / kMicrosPerSecond, (left_us % kMicrosPerSecond) * kNanosPerMicro};
+    int count = ppoll(&polled, 1, &timeout, nullptr);
+    if (count > 0) return polled.revents;
+    if (count == 0) return 0;
     if (errno != EINTR) return POLLERR;
   }
 }
 
 Micros DeadlineAfter(Micros wait_us) { return ReadClock(CLOCK_MONOTONIC) + std::max<Micros>(0, wait_us); }
 
-void* Enter(void* raw) {
+void* RunBody(void* raw) {
   std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()>*>(raw));
   (*body)();
   return nullptr;
 }
 
-bool Spawn(pthread_t& handle, std::function<void()> body, bool joinable) {
+bool StartThread(pthread_t& handle, std::function<void()> body, bool joinable) {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
   pthread_attr_setstacksize(&attributes, kStackBytes);
   if (!joinable) pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
   auto owned = std::make_unique<std::function<void()>>(std::move(body));
-  bool ok = pthread_create(&handle, &attributes, Enter, owned.get()) == 0;
+  bool started = pthread_create(&handle, &attributes, RunBody, owned.get()) == 0;
   pthread_attr_destroy(&attributes);
-  if (ok) static_cast<void>(owned.release());
-  return ok;
+  if (started) static_cast<void>(owned.release());  // the thread owns it
+  return started;
 }
 
 }  // namespace
@@ -98,7 +103,7 @@
 Micros SteadyClock::Now() const { return ReadClock(CLOCK_MONOTONIC) + offset_us_; }
 
 Fd BeginConnect(const std::string& address) {
-  auto to = Parse(address);
+  auto to = ParseAddress(address);
   errno = EINVAL;
   if (!to) return Fd();
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
@@ -125,37 +130,42 @@
 Fd Connect(const std::string& address, Micros wait_us) {
   Micros until_us = DeadlineAfter(wait_us);
   Fd fd = BeginConnect(address);
-  if (!fd.Valid() || Wait(fd.Get(), POLLOUT, until_us) == 0 || ConnectError(fd) != 0) return Fd();
+  bool connected = fd.Valid() && Wait(fd.Get(), POLLOUT, until_us) != 0 && ConnectError(fd) == 0;
+  if (!connected) return Fd();
   int flags = fcntl(fd.Get(), F_GETFL);
   fcntl(fd.Get(), F_SETFL, flags & ~O_NONBLOCK);
   return fd;
 }
 
 Fd Listen(const std::string& address) {
-  auto at = Parse(address);
+  auto at = ParseAddress(address);
   if (!at) return Fd();
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   int on = 1;
   setsockopt(fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(fd.Get(), reinterpret_cast<sockaddr*>(&*at), sizeof *at) != 0 ||
-      ::listen(fd.Get(), SOMAXCONN) != 0)
+      ::listen(fd.Get(), SOMAXCONN) != 0) {
     return Fd();
+  }
   return fd;
 }
 
 Fd Inherit(const std::string& text) {
   int number = -1;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (error != std::errc() || end != text.data() + text.size() || number < 0)
-    throw std::runtime_error(fmt::format("passed socket: '{}' is no descriptor's number", text));
+  if (error != std::errc() || end != text.data() + text.size() || number < 0) {
+    throw InheritedSocketError(fmt::format("passed socket: '{}' is no descriptor's number", text));
+  }
   int listens = 0;
   socklen_t size = sizeof listens;
-  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0)
-    throw std::runtime_error(fmt::format("passed socket: descriptor {}: {}", number, std::strerror(errno)));
-  if (listens == 0)
-    throw std::runtime_error(fmt::format("passed socket: descriptor {} does not listen", number));
+  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0) {
+    throw InheritedSocketError(fmt::format("passed socket: descriptor {}: {}", number, std::strerror(errno)));
+  }
+  if (listens == 0) {
+    throw InheritedSocketError(fmt::format("passed socket: descriptor {} does not listen", number));
+  }
   Fd fd(number);
-  // Another process may hold it too and take the connection that both were woken for.
+  // Non-blocking, for another process may share it and accept the connection that woke both.
   ::fcntl(number, F_SETFL, ::fcntl(number, F_GETFL) | O_NONBLOCK);
   ::fcntl(number, F_SETFD, FD_CLOEXEC);
   return fd;
@@ -175,8 +185,10 @@
   socklen_t size = sizeof at;
   if (getpeername(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0) return {};
   char text[NI_MAXHOST] = {};
-  if (getnameinfo(reinterpret_cast<sockaddr*>(&at), size, text, sizeof text, nullptr, 0, NI_NUMERICHOST) != 0)
+  if (getnameinfo(reinterpret_cast<sockaddr*>(&at), size, text, sizeof text, nullptr, 0, NI_NUMERICHOST) !=
+      0) {
     return {};
+  }
   return text;
 }
 
@@ -215,8 +227,10 @@
   char buffer[kReadBytes];
   while (true) {
     ssize_t got = ::recv(fd.Get(), buffer, sizeof buffer, MSG_DONTWAIT);
-    if (got > 0) out.append(buffer, static_cast<std::size_t>(got));
-    if (got > 0) return Io::kOk;
+    if (got > 0) {
+      out.append(buffer, static_cast<std::size_t>(got));
+      return Io::kOk;
+    }
     if (got == 0) return Io::kEnd;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return Io::kTimeout;
     if (errno != EINTR) return Io::kError;
@@ -246,12 +260,12 @@
   return SocketState::kEnd;
 }
 
-std::optional<std::size_t> Discard(const Fd& fd, std::size_t most) {
-  std::size_t dropped = 0;
-  while (dropped < most) {
-    ssize_t got = ::recv(fd.Get(), nullptr, most - dropped, MSG_TRUNC | MSG_DONTWAIT);
+std::optional<std::size_t> Discard(const Fd& fd, std::size_t max_bytes) {
+  std::size_t discarded = 0;
+  while (discarded < max_bytes) {
+    ssize_t got = ::recv(fd.Get(), nullptr, max_bytes - discarded, MSG_TRUNC | MSG_DONTWAIT);
     if (got > 0) {
-      dropped += static_cast<std::size_t>(got);
+      discarded += static_cast<std::size_t>(got);
     } else if (got < 0 && errno == EINTR) {
       continue;
     } else if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
@@ -260,10 +274,10 @@
       return std::nullopt;
     }
   }
-  return dropped;
+  return discarded;
 }
 
-Thread::Thread(std::function<void()> body) : running_(Spawn(handle_, std::move(body), true)) {}
+Thread::Thread(std::function<void()> body) : running_(StartThread(handle_, std::move(body), true)) {}
 Thread::Thread(Thread&& other) noexcept
     : handle_(other.handle_), running_(std::exchange(other.running_, false)) {}
 Thread& Thread::operator=(Thread&& other) noexcept {
@@ -278,7 +292,7 @@
 
 bool Detach(std::function<void()> body) {
   pthread_t handle{};
-  return Spawn(handle, std::move(body), false);
+  return StartThread(handle, std::move(body), false);
 }
 
 }  // namespace liftrudder::net
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,11 +1,14 @@
-// Descriptors, deadlines on blocking sockets, and threads with small stacks.
+// Sockets, descriptors, the steady clock and threads: RAII over POSIX calls, with a time limit on every call
+// that waits. IPv4 addresses in numbers only; no name look-ups.
 #ifndef LIFTRUDDER_NET_SOCKET_H_
 #define LIFTRUDDER_NET_SOCKET_H_
 
 #include <pthread.h>
 
+#include <cstddef>
 #include <functional>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -16,6 +19,7 @@
 
 using coordinator::Micros;
 
+// Owns a descriptor.
 class Fd {
  public:
   Fd() = default;
@@ -30,7 +34,8 @@
   int fd_ = -1;
 };
 
-// Monotonic, with the wall's origin at the program's start: wall times of others can be set against it.
+// Monotonic time, offset to Unix time as it was when the clock was made, so that it can be compared with the
+// wall time of other hosts.
 class SteadyClock : public coordinator::Clock {
  public:
   SteadyClock();
@@ -40,50 +45,72 @@
   Micros offset_us_;
 };
 
-enum class Io { kOk, kEnd, kTimeout, kError };
+enum class Io {
+  kOk,
+  kEnd,      // the other side has closed the connection
+  kTimeout,  // nothing could be transferred in time
+  kError,
+};
 
 struct Written {
   Io status = Io::kOk;
   std::size_t bytes = 0;
 };
 
-// `address` is HOST:PORT in numbers. Waits at most so long for the connection.
+// ---- Opening connections. An invalid Fd means failure. Addresses are HOST:PORT. ----
+
 Fd Connect(const std::string& address, Micros wait_us);
-// The same without waiting: it is up, or has failed, when it can be written; `ConnectError` says which.
+// Begins to connect without waiting. When the socket becomes writable it is connected or has failed, which
+// ConnectError tells. A failure leaves its reason in errno.
 Fd BeginConnect(const std::string& address);
+// An errno value; 0: connected.
 int ConnectError(const Fd& fd);
-// Why a call just failed to give a descriptor: this program or the machine has no more of them.
+// Whether errno says that the process or the machine has run out of descriptors.
 bool OutOfDescriptors();
+
+// ---- Listening ----
+
+// The descriptor that was passed by the process which started this one is not a listening socket.
+class InheritedSocketError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
 Fd Listen(const std::string& address);
-// A listener that was opened by who started the program, as the number in `text` says; throws
-// std::runtime_error with what is wrong about it.
+// Takes over the listening socket whose descriptor's number is `text`. Throws InheritedSocketError.
 Fd Inherit(const std::string& text);
+Fd Accept(const Fd& listener, Micros wait_us);
 std::string LocalAddress(const Fd& fd);
-// The other side's address without its port, in numbers; empty when it has gone.
+// The other side's address in numbers, without its port; empty when it has disconnected.
 std::string PeerHost(int fd);
-Fd Accept(const Fd& listener, Micros wait_us);
+
+// ---- Transfer ----
 
 Written WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us);
-// Appends what is there to `out`; waits at most so long for the first byte.
+// Appends what has arrived to `out`; waits for the first byte.
 Io ReadSome(const Fd& fd, std::string& out, Micros wait_us);
-// The same two without waiting: kTimeout when nothing can be moved now.
+// The same two without waiting; kTimeout when nothing can be transferred now.
 Written WriteNow(const Fd& fd, std::string_view bytes);
-// What ReadNow takes at once at most; less than that was all there was.
-constexpr std::size_t kReadBytes = 8192;
 Io ReadNow(const Fd& fd, std::string& out);
-// Whether there is something to read or an end to see; waits at most so long.
+// The most that ReadNow takes; less means that there is no more.
+constexpr std::size_t kReadBytes = 8192;
+// Discards up to `max_bytes` that have arrived; returns how many, nothing at the end of the connection.
+std::optional<std::size_t> Discard(const Fd& fd, std::size_t max_bytes);
+
+// Whether there is a byte or an end to read; waits for it.
 bool Readable(int fd, Micros wait_us);
+enum class SocketState { kNothing, kBytes, kEnd };
+// What the next read would find, without waiting.
+SocketState Peek(int fd);
+
 void ShutDown(const Fd& fd);
 void ShutDownWriting(const Fd& fd);
-// The other side's bytes that are there can still be read; then comes the end.
+// What has arrived can still be read; then comes the end.
 void ShutDownReading(int fd);
-// What there is to see without taking it: nothing yet, a byte, or the end.
-enum class SocketState { kNothing, kBytes, kEnd };
-SocketState Peek(int fd);
-// Throws away what is there, at most so much, without copying it; nothing at the connection's end.
-std::optional<std::size_t> Discard(const Fd& fd, std::size_t most);
 
-// A joining thread with a stack of kStackBytes.
+// ---- Threads with small stacks ----
+
+// Joins when it is destroyed.
 class Thread {
  public:
   Thread() = default;
@@ -98,7 +125,7 @@
   bool running_ = false;
 };
 
-// The same, left to itself; false when the system grants no more.
+// Runs `body` on a thread that nobody joins; false when the system grants no thread.
 bool Detach(std::function<void()> body);
 
 }  // namespace liftrudder::net
--- a/src/net/worker_pool.cpp
+++ b/src/net/worker_pool.cpp
@@ -38,7 +38,7 @@
       --waiting_threads_;
     }
     if (ready_.empty()) break;
-    SessionRef session = ready_.front();
+    auto session = ready_.front();
     ready_.pop_front();
     lock.unlock();
     answer_(session);
