--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <exception>
-#include <ranges>
 #include <string_view>
 #include <utility>
 
@@ -140,7 +139,8 @@
 void EndpointConnectionIo::HandleWriteError(ConnectionId id, EndpointConnection& connection) {
   std::vector<coordinator::AttemptKey> keys = std::exchange(connection.frame_attempts, {});
   if (connection.written_bytes == 0) {
-    for (const coordinator::AttemptKey& key : std::views::reverse(keys)) {
+    std::ranges::reverse(keys);  // pushed to the front one by one, they keep their order
+    for (const coordinator::AttemptKey& key : keys) {
       Attempt* attempt = attempts_.Find(key);
       if (attempt == nullptr) continue;
       ++attempt->broken_connections;
--- /dev/null
+++ b/tests/net/http_test.cpp
@@ -0,0 +1,52 @@
+// HttpParser: what it reports about messages that it rejects.
+#define CATCH_CONFIG_MAIN
+#include "net/http.h"
+
+#include <catch2/catch.hpp>
+#include <string>
+
+using namespace liftrudder;
+using net::HttpParseError;
+using net::HttpParser;
+
+namespace {
+
+HttpParseError ErrorOf(std::string request) {
+  constexpr std::size_t kBodyLimit = 8;
+  HttpParser parser(HttpParser::Kind::kRequest, kBodyLimit);
+  HttpParser::State state = parser.Feed(request);
+  CHECK((state == HttpParser::State::kBad) == (parser.error() != HttpParseError::kNone));
+  return parser.error();
+}
+
+}  // namespace
+
+TEST_CASE("a rejected request says which part of it is malformed") {
+  const std::string line = "POST / HTTP/1.1\r\n";
+  const std::string chunked = line + "Transfer-Encoding: chunked\r\n\r\n";
+  CHECK(ErrorOf(line + "Content-Length: 2\r\n\r\nok") == HttpParseError::kNone);
+  CHECK(ErrorOf(line + std::string(net::kMaxHeadBytes, 'a')) == HttpParseError::kHeadTooLarge);
+  CHECK(ErrorOf("POST / HTTP/2\r\n\r\n") == HttpParseError::kStartLine);
+  CHECK(ErrorOf("POST\r\n\r\n") == HttpParseError::kStartLine);
+  CHECK(ErrorOf(line + "no colon\r\n\r\n") == HttpParseError::kHeader);
+  CHECK(ErrorOf(line + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n") == HttpParseError::kFraming);
+  CHECK(ErrorOf(line + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n") ==
+        HttpParseError::kFraming);
+  CHECK(ErrorOf(line + "Content-Length: 9\r\n\r\n") == HttpParseError::kBodyTooLarge);
+  CHECK(ErrorOf(chunked + "9\r\n123456789\r\n") == HttpParseError::kBodyTooLarge);
+  CHECK(ErrorOf(chunked + "x\r\n") == HttpParseError::kChunk);
+  CHECK(ErrorOf(chunked + std::string(300, '1')) == HttpParseError::kChunk);
+}
+
+TEST_CASE("the end of the connection completes a response without a length and breaks any other") {
+  HttpParser unbounded(HttpParser::Kind::kResponse);
+  std::string in = "HTTP/1.1 200 OK\r\n\r\nbody";
+  CHECK(unbounded.Feed(in) == HttpParser::State::kBody);
+  CHECK(unbounded.End() == HttpParser::State::kDone);
+  CHECK(unbounded.error() == HttpParseError::kNone);
+  HttpParser bounded(HttpParser::Kind::kResponse);
+  in = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody";
+  CHECK(bounded.Feed(in) == HttpParser::State::kBody);
+  CHECK(bounded.End() == HttpParser::State::kBad);
+  CHECK(bounded.error() == HttpParseError::kUnexpectedEnd);
+}
--- /dev/null
+++ b/tests/net/server_test.cpp
@@ -0,0 +1,204 @@
+// Server: a client's disconnection and a stop of the listener at every point of a request's progress. The
+// handler blocks where a test needs two steps in a fixed order.
+#define CATCH_CONFIG_MAIN
+#include "net/server.h"
+
+#include <sys/socket.h>
+
+#include <catch2/catch.hpp>
+#include <chrono>
+#include <condition_variable>
+#include <functional>
+#include <future>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <thread>
+#include <vector>
+
+using namespace liftrudder;
+
+namespace {
+
+constexpr net::Micros kTestTimeout = 20'000'000;
+constexpr auto kTestTimeoutS = std::chrono::seconds(20);
+
+// Blocks the worker of a request for /held, or the reader thread on a malformed request, until Release.
+class BlockingHandler : public net::Handler {
+ public:
+  std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override {
+    std::unique_lock lock(mutex_);
+    reply_waiter_ = exchange.reply_waiter;
+    ++requests_;
+    changed_.notify_all();
+    if (request.target == "/held") changed_.wait(lock, [this] { return released_; });
+    return net::HttpResponse{};
+  }
+  net::HttpResponse Malformed(int status) override {
+    std::unique_lock lock(mutex_);
+    ++malformed_;
+    changed_.notify_all();
+    if (block_malformed_) changed_.wait(lock, [this] { return released_; });
+    net::HttpResponse out;
+    out.status = status;
+    return out;
+  }
+  net::HttpResponse Overloaded(const net::HttpMessage*) override { return Malformed(503); }
+  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+
+  void BlockMalformed() {
+    std::lock_guard lock(mutex_);
+    block_malformed_ = true;
+  }
+  void Release() {
+    std::lock_guard lock(mutex_);
+    released_ = true;
+    changed_.notify_all();
+  }
+  void AwaitRequests(int count) {
+    std::unique_lock lock(mutex_);
+    REQUIRE(changed_.wait_for(lock, kTestTimeoutS, [&] { return requests_ >= count; }));
+  }
+  void AwaitMalformed() {
+    std::unique_lock lock(mutex_);
+    REQUIRE(changed_.wait_for(lock, kTestTimeoutS, [this] { return malformed_ > 0; }));
+  }
+  std::shared_ptr<net::ReplyWaiter> reply_waiter() {
+    std::lock_guard lock(mutex_);
+    return reply_waiter_;
+  }
+
+ private:
+  std::mutex mutex_;  // guards everything below
+  std::condition_variable changed_;
+  std::shared_ptr<net::ReplyWaiter> reply_waiter_;
+  int requests_ = 0;
+  int malformed_ = 0;
+  bool released_ = false;
+  bool block_malformed_ = false;
+};
+
+struct ServerFixture {
+  ServerFixture() {
+    net::Fd listener = net::Listen("127.0.0.1:0");
+    addr = net::LocalAddress(listener);
+    server.emplace(std::move(listener), handler, clock, counters, net::ServerLimits{32, 32});
+  }
+  ~ServerFixture() { handler.Release(); }
+  BlockingHandler handler;
+  net::SteadyClock clock;
+  metrics::Counters counters;
+  std::string addr;
+  std::optional<net::Server> server;
+};
+
+std::string Request(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: g\r\n\r\n"; }
+
+void Send(const net::Fd& fd, const std::string& bytes) {
+  REQUIRE(net::WriteAll(fd, bytes, kTestTimeout).status == net::Io::kOk);
+}
+
+// The status of the next response; 0: the connection ended without one.
+int ReadStatus(const net::Fd& fd) {
+  net::HttpParser parser(net::HttpParser::Kind::kResponse);
+  std::string in;
+  while (net::ReadSome(fd, in, kTestTimeout) == net::Io::kOk) {
+    if (parser.Feed(in) == net::HttpParser::State::kDone) return parser.message().status;
+  }
+  return 0;
+}
+
+void AwaitCondition(const std::function<bool()>& holds) {
+  net::SteadyClock clock;
+  for (net::Micros until_us = clock.Now() + kTestTimeout; !holds();) {
+    REQUIRE(clock.Now() < until_us);
+    std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  }
+}
+
+void Reset(net::Fd& fd) {
+  linger now{1, 0};
+  ::setsockopt(fd.Get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  fd = net::Fd();
+}
+
+}  // namespace
+
+TEST_CASE("a client that disconnects is detected while its worker is busy") {
+  ServerFixture fixture;
+  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  Send(client, Request("/held"));
+  fixture.handler.AwaitRequests(1);
+  auto presence = fixture.handler.reply_waiter()->client();
+  CHECK_FALSE(presence->Disconnected());
+  SECTION("by closing") { client = net::Fd(); }
+  SECTION("by a reset") { Reset(client); }
+  SECTION("with bytes behind its request") {
+    Send(client, "GET ");
+    client = net::Fd();
+  }
+  SECTION("with bytes some time before") {
+    Send(client, "GET ");
+    // The answer to a later request shows that the reader thread has handled the earlier bytes.
+    net::Fd other = net::Connect(fixture.addr, kTestTimeout);
+    Send(other, Request("/"));
+    CHECK(ReadStatus(other) == 200);
+    client = net::Fd();
+  }
+  AwaitCondition([&] { return presence->Disconnected(); });
+}
+
+TEST_CASE("a disconnection marked for one request is not inherited by the next on the connection") {
+  ServerFixture fixture;
+  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  Send(client, Request("/"));
+  CHECK(ReadStatus(client) == 200);
+  auto first = fixture.handler.reply_waiter()->client();
+  Send(client, Request("/held"));
+  fixture.handler.AwaitRequests(2);
+  CHECK(fixture.handler.reply_waiter()->client() != first);
+  fixture.handler.Release();
+  CHECK(ReadStatus(client) == 200);
+}
+
+TEST_CASE("a connection in the backlog is answered when the listener closes") {
+  ServerFixture fixture;
+  fixture.handler.BlockMalformed();
+  net::Fd malformed = net::Connect(fixture.addr, kTestTimeout);
+  Send(malformed, "no request\r\n\r\n");
+  fixture.handler.AwaitMalformed();  // the reader thread is blocked and accepts nobody
+  net::Fd late = net::Connect(fixture.addr, kTestTimeout);
+  Send(late, Request("/"));
+  auto stopped = std::async(std::launch::async, [&] { fixture.server->StopListening(); });
+  fixture.handler.Release();
+  CHECK(ReadStatus(late) == 200);
+  stopped.get();
+}
+
+TEST_CASE("a request that has partly arrived when the listener closes is read and answered") {
+  ServerFixture fixture;
+  net::Fd partial = net::Connect(fixture.addr, kTestTimeout);
+  Send(partial, Request("/"));
+  CHECK(ReadStatus(partial) == 200);
+  Send(partial, "GET / HTTP/1.1\r\nHo");
+  net::Fd other = net::Connect(fixture.addr, kTestTimeout);
+  Send(other, Request("/"));
+  CHECK(ReadStatus(other) == 200);
+  fixture.server->StopListening();
+  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeout).Valid(); });
+  Send(partial, "st: g\r\n\r\n");
+  CHECK(ReadStatus(partial) == 200);
+}
+
+TEST_CASE("a client that disconnects while the server stops is detected") {
+  ServerFixture fixture;
+  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  Send(client, Request("/held"));
+  fixture.handler.AwaitRequests(1);
+  fixture.server->StopListening();
+  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeout).Valid(); });
+  auto presence = fixture.handler.reply_waiter()->client();
+  client = net::Fd();
+  AwaitCondition([&] { return presence->Disconnected(); });
+}
--- /dev/null
+++ b/tests/net/tls_server_test.cpp
@@ -0,0 +1,169 @@
+// Server and ClientConnection over TLS: unfinished handshakes, and how connections end.
+#define CATCH_CONFIG_MAIN
+#include <catch2/catch.hpp>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "net/server.h"
+#include "support/tls_fixture.h"
+
+using namespace liftrudder;
+using tests::Issuer;
+using tests::MakeContext;
+using tests::PairOf;
+using tests::TlsClient;
+
+namespace {
+
+// Responds at once with the request's target.
+class EchoHandler : public net::Handler {
+ public:
+  std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override {
+    CHECK(exchange.connection->channel() != nullptr);
+    net::HttpResponse response;
+    response.body = request.target;
+    return response;
+  }
+  net::HttpResponse Malformed(int status) override { return WithStatus(status); }
+  net::HttpResponse Overloaded(const net::HttpMessage*) override { return WithStatus(503); }
+  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+
+ private:
+  static net::HttpResponse WithStatus(int status) {
+    net::HttpResponse response;
+    response.status = status;
+    return response;
+  }
+};
+
+// A server with TLS on a port of its own.
+struct TlsServerFixture {
+  explicit TlsServerFixture(int max_connections) {
+    source.Set(
+        MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock));
+    net::Fd listener = net::Listen("127.0.0.1:0");
+    addr = net::LocalAddress(listener);
+    server.emplace(std::move(listener), handler, clock, counters,
+                   net::ServerLimits{max_connections, max_connections}, &source);
+  }
+  Issuer issuer{"issuer"};
+  net::SteadyClock clock;
+  net::TlsSource source;
+  metrics::Counters counters;
+  EchoHandler handler;
+  std::string addr;
+  std::optional<net::Server> server;
+};
+
+constexpr net::Micros kTestTimeout = 20'000'000;
+
+// Sends a request on a new connection over TLS; returns the response, empty when there was none.
+std::string Request(const std::string& addr, TlsClient& client, net::Fd& fd) {
+  fd = net::Connect(addr, kTestTimeout);
+  std::string at_client, arrived, out = client.Step("", at_client);
+  bool sent = false;
+  while (at_client.find("/lessons") == std::string::npos) {
+    if (!sent && SSL_is_init_finished(client.raw()) != 0) {
+      out += client.Say("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
+      sent = true;
+    }
+    if (!out.empty() && net::WriteAll(fd, out, kTestTimeout).status != net::Io::kOk) return "";
+    arrived.clear();
+    if (net::ReadSome(fd, arrived, kTestTimeout) != net::Io::kOk) return "";
+    out = client.Step(arrived, at_client);
+  }
+  return at_client;
+}
+
+}  // namespace
+
+TEST_CASE("abandoned handshakes hold at most a quarter of the connections while others are served") {
+  constexpr int kMaxConnections = 40, kAbandoned = 500;
+  TlsServerFixture fixture(kMaxConnections);
+  const std::string& addr = fixture.addr;
+  std::vector<net::Fd> abandoned;
+  std::string at_client;
+  for (int i = 0; i < kAbandoned; ++i) {
+    TlsClient halfway;
+    abandoned.push_back(net::Connect(addr, kTestTimeout));
+    REQUIRE(abandoned.back().Valid());
+    // The server's flight shows that its side of the handshake has begun.
+    std::string flight;
+    net::WriteAll(abandoned.back(), halfway.Step("", at_client), kTestTimeout);
+    REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeout) == net::Io::kOk);
+    if (i % 50 != 49) continue;
+    TlsClient good;
+    net::Fd fd;
+    CHECK(Request(addr, good, fd).find("HTTP/1.1 200") == 0);
+  }
+  int open = 0;
+  for (const net::Fd& one : abandoned) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
+  CHECK(open <= kMaxConnections / 4);
+  CHECK(fixture.counters.evicted.Value() >= kAbandoned - kMaxConnections / 4);
+}
+
+TEST_CASE("connections that were silent before their handshake are held to the same share") {
+  constexpr int kMaxConnections = 40,
+                kSilent = 25;  // fewer than those at which silent ones are evicted for new ones
+  TlsServerFixture fixture(kMaxConnections);
+  std::vector<net::Fd> silent;
+  std::string at_client;
+  for (int i = 0; i < kSilent; ++i) {
+    silent.push_back(net::Connect(fixture.addr, kTestTimeout));
+    REQUIRE(silent.back().Valid());
+  }
+  for (const net::Fd& one : silent) {
+    TlsClient halfway;
+    std::string flight;
+    net::WriteAll(one, halfway.Step("", at_client), kTestTimeout);
+    REQUIRE(net::ReadSome(one, flight, kTestTimeout) == net::Io::kOk);
+  }
+  TlsClient good;
+  net::Fd fd;
+  CHECK(Request(fixture.addr, good, fd).find("HTTP/1.1 200") == 0);
+  int open = 0;
+  for (const net::Fd& one : silent) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
+  CHECK(open <= kMaxConnections / 4);
+}
+
+TEST_CASE("a connection that is rejected before its handshake gets an alert") {
+  TlsServerFixture fixture(8);
+  net::Fd listener = net::Listen("127.0.0.1:0");
+  net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeout);
+  net::ClientConnection connection(net::Accept(listener, kTestTimeout), &fixture.source);
+  CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::Io::kError);
+  connection.Finish();
+  TlsClient side;
+  std::string at_client, arrived;
+  side.Step("", at_client);
+  REQUIRE(net::ReadSome(client, arrived, kTestTimeout) == net::Io::kOk);
+  side.Step(arrived, at_client);
+  CHECK(at_client.empty());
+  CHECK(arrived == std::string("\x15\x03\x03\0\2\2\x50", 7));
+}
+
+TEST_CASE("every response that ends a connection is followed by a close_notify") {
+  TlsServerFixture fixture(8);
+  const std::string& addr = fixture.addr;
+  TlsClient client;
+  net::Fd fd;
+  REQUIRE(Request(addr, client, fd).find("HTTP/1.1 200") == 0);
+  CHECK_FALSE(client.ended());
+  // The client's close_notify ends the connection, and the server closes its side.
+  std::string at_client, arrived;
+  net::WriteAll(fd, client.Close(), kTestTimeout);
+  while (net::ReadSome(fd, arrived, kTestTimeout) == net::Io::kOk) {
+  }
+  // So does a rejected request: its response is followed by a close_notify.
+  TlsClient other;
+  net::Fd second;
+  REQUIRE(Request(addr, other, second).find("HTTP/1.1 200") == 0);
+  net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kTestTimeout);
+  while (!other.ended()) {
+    arrived.clear();
+    REQUIRE(net::ReadSome(second, arrived, kTestTimeout) == net::Io::kOk);
+    other.Step(arrived, at_client);
+  }
+  CHECK(at_client.find("HTTP/1.1 400") == 0);
+}
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -1,154 +1,87 @@
-// TLS in memory, both sides: versions, names, tickets, clients' certificates, and files that are wrong.
+// TlsContext, TlsChannel and TicketKeys in memory: versions, server names, tickets, client certificates, and
+// material that cannot be used.
 #define CATCH_CONFIG_MAIN
 #include "net/tls.h"
 
 #include <catch2/catch.hpp>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
-#include "net/server.h"
 #include "net/tls_channel.h"
 #include "net/tls_ticket_keys.h"
-#include "support/token_issuer.h"
+#include "support/tls_fixture.h"
 
 using namespace liftrudder;
 using net::TlsChannel;
-using net::TlsContext;
+using net::TlsFault;
 using net::TlsMaterial;
+using tests::Handshake;
 using tests::Issued;
 using tests::Issuer;
+using tests::MakeContext;
+using tests::ManualClock;
+using tests::PairOf;
 using tests::TlsClient;
+using tests::TlsContextPtr;
 using State = TlsChannel::State;
-using Context = std::shared_ptr<const TlsContext>;
 
 namespace {
 
-struct HandClock : coordinator::Clock {
-  coordinator::Micros now = 1'000'000'000;
-  coordinator::Micros Now() const override { return now; }
-};
-
-const HandClock kClock;
-
-Context Made(TlsMaterial material, const coordinator::Clock& clock = kClock,
-             const TlsContext* before = nullptr) {
-  auto made = TlsContext::Make(std::move(material), clock, before);
-  INFO((made ? "made" : made.error().Message()));
-  REQUIRE(made);
-  return *made;
-}
-
-std::string Wrong(TlsMaterial material) {
-  auto made = TlsContext::Make(std::move(material), kClock);
+// The message of the error; empty where there is none.
+std::string FaultOf(TlsMaterial material) {
+  const ManualClock clock;
+  auto made = net::TlsContext::Make(std::move(material), clock);
   return made ? "" : made.error().Message();
 }
 
-net::TlsPair Pair(const Issued& one) { return {one.CertificatePem(), one.KeyPem()}; }
-
-// Hands over what each side writes until neither has more to say; what the server heard.
-std::string Shake(TlsClient& client, TlsChannel& server) {
-  std::string heard, told, wire, out = client.Step("", told);
-  for (int turn = 0; turn < 10 && !out.empty(); ++turn) {
-    wire.clear();
-    server.Feed(out, heard, wire);
-    out = client.Step(wire, told);
-  }
-  return heard;
-}
-
-// Answers at once with what was asked for.
-class Echo : public net::Handler {
- public:
-  std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override {
-    CHECK(exchange.connection->channel() != nullptr);
-    net::HttpResponse out;
-    out.body = request.target;
-    return out;
-  }
-  net::HttpResponse Malformed(int status) override { return Of(status); }
-  net::HttpResponse Overloaded(const net::HttpMessage*) override { return Of(503); }
-  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
-
- private:
-  static net::HttpResponse Of(int status) {
-    net::HttpResponse out;
-    out.status = status;
-    return out;
-  }
-};
-
-// A server with TLS on a port of its own.
-struct Serving {
-  explicit Serving(int places) {
-    source.Set(Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock));
-    net::Fd listener = net::Listen("127.0.0.1:0");
-    addr = net::LocalAddress(listener);
-    server.emplace(std::move(listener), echo, clock, counters, net::ServerLimits{places, places}, &source);
-  }
-  Issuer issuer{"issuer"};
-  net::SteadyClock clock;
-  net::TlsSource source;
-  metrics::Counters counters;
-  Echo echo;
-  std::string addr;
-  std::optional<net::Server> server;
-};
-
-constexpr net::Micros kPatience = 20'000'000;
-
-// A whole request and its answer on a new connection, over TLS; empty where there was none.
-std::string Ask(const std::string& addr, TlsClient& client, net::Fd& fd) {
-  fd = net::Connect(addr, kPatience);
-  std::string told, came, out = client.Step("", told);
-  bool asked = false;
-  while (told.find("/lessons") == std::string::npos) {
-    if (!asked && SSL_is_init_finished(client.raw()) != 0) {
-      out += client.Say("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
-      asked = true;
-    }
-    if (!out.empty() && net::WriteAll(fd, out, kPatience).status != net::Io::kOk) return "";
-    came.clear();
-    if (net::ReadSome(fd, came, kPatience) != net::Io::kOk) return "";
-    out = client.Step(came, told);
-  }
-  return told;
+net::TlsError ErrorOf(TlsMaterial material) {
+  const ManualClock clock;
+  auto made = net::TlsContext::Make(std::move(material), clock);
+  REQUIRE_FALSE(made);
+  return made.error();
 }
 
 }  // namespace
 
-TEST_CASE("TLS 1.3 and 1.2 carry both ways; a connection that is cut is told from one that ended") {
+TEST_CASE("TLS 1.3 and 1.2 transfer both ways, and an ended connection differs from a cut one") {
   Issuer issuer("issuer");
-  Context context = Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
+  TlsContextPtr context =
+      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   for (auto [version, name] : {std::pair(TLS1_3_VERSION, "TLSv1.3"), {TLS1_2_VERSION, "TLSv1.2"}}) {
     TlsClient client(version);
     TlsChannel server(context);
-    Shake(client, server);
+    Handshake(client, server);
     REQUIRE(server.state() == State::kOpen);
     CHECK(server.protocol() == name);
     CHECK(server.peer() == nullptr);
-    // A request byte by byte, an answer of several records.
-    std::string heard, told, wire;
-    for (char one : client.Say("GET / HTTP/1.1\r\n\r\n")) server.Feed(std::string(1, one), heard, wire);
-    CHECK(heard == "GET / HTTP/1.1\r\n\r\n");
+    // The request arrives byte by byte, the response takes several records.
+    std::string at_server, at_client, wire;
+    for (char one : client.Say("GET / HTTP/1.1\r\n\r\n")) server.Feed(std::string(1, one), at_server, wire);
+    CHECK(at_server == "GET / HTTP/1.1\r\n\r\n");
     CHECK(wire.empty());
     std::string answer(100'000, 'x');
     CHECK(server.Seal(answer, wire));
-    client.Step(wire, told);
-    CHECK(told == answer);
+    client.Step(wire, at_client);
+    CHECK(at_client == answer);
     CHECK_FALSE(client.ended());
     wire.clear();
     server.Close(wire);
-    client.Step(wire, told);
+    client.Step(wire, at_client);
     CHECK(client.ended());
     CHECK(server.state() == State::kOpen);
-    CHECK(server.Feed(client.Close(), heard, wire) == State::kEnded);
+    CHECK(server.Feed(client.Close(), at_server, wire) == State::kEnded);
   }
 }
 
-TEST_CASE("older versions, other protocols and damaged records end a connection with a reason") {
+TEST_CASE("older versions, other protocols and damaged records fail with a reason") {
   Issuer issuer("issuer");
-  Context context = Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
+  TlsContextPtr context =
+      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   TlsClient old(TLS1_1_VERSION);
   TlsChannel server(context);
-  Shake(old, server);
+  Handshake(old, server);
   CHECK(server.state() == State::kFailed);
   CHECK(server.fault() == "unsupported protocol");
   std::string plain, wire;
@@ -160,78 +93,79 @@
     CHECK_FALSE(other.fault().empty());
   }
   CHECK(plain.empty());
-  // One bit of a sealed record changed.
+  // One bit of an encrypted record is flipped.
   TlsClient client;
   TlsChannel third(context);
-  Shake(client, third);
+  Handshake(client, third);
   std::string record = client.Say("hello");
   record[record.size() / 2] = static_cast<char>(record[record.size() / 2] ^ 1);
   CHECK(third.Feed(record, plain, wire) == State::kFailed);
   CHECK(plain.empty());
-  // Renegotiation is not taken up: TLS 1.2 answers with a warning, and the connection serves on.
+  // Renegotiation is declined: TLS 1.2 sends a warning, and the connection stays usable.
   TlsClient again(TLS1_2_VERSION);
   TlsChannel fourth(context);
-  Shake(again, fourth);
+  Handshake(again, fourth);
   SSL_renegotiate(again.raw());
-  std::string told;
+  std::string at_client;
   wire.clear();
-  State state = fourth.Feed(again.Step("", told), plain, wire);
+  State state = fourth.Feed(again.Step("", at_client), plain, wire);
   CHECK(state != State::kHandshake);
   CHECK(plain.empty());
 }
 
-TEST_CASE("the certificate is the one for the name that was asked for, else the first") {
+TEST_CASE("the certificate for the requested server name is shown, else the first") {
   Issuer issuer("issuer");
   Issued a = issuer.Issue("a", "DNS:a.example", "serverAuth"),
          b = issuer.Issue("b", "DNS:*.b.example", "serverAuth");
-  Context context = Made({{Pair(a), Pair(b)}, "", "", false});
+  TlsContextPtr context = MakeContext({{PairOf(a), PairOf(b)}, "", "", false});
   for (auto [host, shown] : {std::pair("a.example", &a), {"x.b.example", &b}, {"c.example", &a}, {"", &a}}) {
     TlsClient client;
     client.Begin(host);
     TlsChannel server(context);
-    Shake(client, server);
+    Handshake(client, server);
     REQUIRE(server.state() == State::kOpen);
     X509* seen = SSL_get0_peer_certificate(client.raw());
     CHECK(X509_cmp(seen, shown->certificate.get()) == 0);
   }
 }
 
-TEST_CASE("a ticket is good for one to two spans, over a change of certificates too") {
+TEST_CASE("a ticket resumes a session for one to two key lifetimes, also after a change of certificates") {
   Issuer issuer("issuer");
-  HandClock clock;
-  Context context = Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
+  ManualClock clock;
+  TlsContextPtr context =
+      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
   for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
     TlsClient client(version);
     auto resumed = [&] {
       client.Begin();
       TlsChannel server(context);
-      Shake(client, server);
+      Handshake(client, server);
       REQUIRE(server.state() == State::kOpen);
       return server.resumed();
     };
     CHECK_FALSE(resumed());
     CHECK(resumed());
-    context =
-        Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock, context.get());
+    context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock,
+                          context.get());
     CHECK(resumed());
-    clock.now += net::TicketKeys::kTicketLife;
+    clock.now_us += net::TicketKeys::kTicketLife;
     CHECK(resumed());
-    clock.now += 2 * net::TicketKeys::kTicketLife;
+    clock.now_us += 2 * net::TicketKeys::kTicketLife;
     CHECK_FALSE(resumed());
-    context = Made({{Pair(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
+    context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
     CHECK_FALSE(resumed());
   }
 }
 
-TEST_CASE("clients' certificates: who is let in, under which names, and for how long") {
+TEST_CASE("client certificates: which are accepted, with which names, and until when") {
   Issuer issuer("clients"), other("others"), servers("servers");
-  net::TlsPair pair = Pair(servers.Issue("a", "DNS:a.example", "serverAuth"));
+  net::TlsPair pair = PairOf(servers.Issue("a", "DNS:a.example", "serverAuth"));
   Issued good = issuer.Issue("north", "DNS:north.example,URI:urn:school:north,email:n@example", "clientAuth");
   Issued gone = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
   struct Case {
     const char* what;
     std::optional<Issued> shows;
-    bool required, let_in;
+    bool required, accepted;
   };
   const Case cases[] = {
       {"none, and none is needed", {}, false, true},
@@ -246,148 +180,79 @@
   for (const Case& one : cases) {
     for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
       INFO(one.what << " " << version);
-      Context context = Made({{pair}, issuer.Pem(), issuer.Revoked({gone}), one.required});
+      TlsContextPtr context = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({gone}), one.required});
       TlsClient client(version, one.shows ? &*one.shows : nullptr);
       TlsChannel server(context);
-      Shake(client, server);
-      CHECK((server.state() == State::kOpen) == one.let_in);
-      CHECK((server.peer() != nullptr) == (one.let_in && one.shows));
-      CHECK(server.fault().empty() == one.let_in);
+      Handshake(client, server);
+      CHECK((server.state() == State::kOpen) == one.accepted);
+      CHECK((server.peer() != nullptr) == (one.accepted && one.shows));
+      CHECK(server.fault().empty() == one.accepted);
     }
   }
-  Context before = Made({{pair}, issuer.Pem(), issuer.Revoked({}), true});
+  TlsContextPtr before = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({}), true});
   TlsClient client(TLS1_3_VERSION, &good);
   TlsChannel server(before);
-  Shake(client, server);
+  Handshake(client, server);
   REQUIRE(server.peer() != nullptr);
   const net::TlsPeer& peer = *server.peer();
   CHECK(peer.names ==
         std::vector<std::string>{"dns:north.example", "uri:urn:school:north", "email:n@example"});
   CHECK(peer.subject == "CN=north");
-  // Newer files count on connections that are open.
+  // A context with newer files applies to connections that are already open.
   CHECK(before->Verify(peer) == "");
-  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({good}), true})->Verify(peer) == "certificate revoked");
-  CHECK(Made({{pair}, other.Pem(), "", true})->Verify(peer) != "");
-  CHECK(Made({{pair}, "", "", false})->Verify(peer) != "");
-  // A list that is out of date, or none for one of two issuers, lets nobody in.
-  CHECK(Made({{pair}, issuer.Pem(), issuer.Revoked({}, -30), true})->Verify(peer) == "CRL has expired");
+  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({good}), true})->Verify(peer) ==
+        "certificate revoked");
+  CHECK(MakeContext({{pair}, other.Pem(), "", true})->Verify(peer) != "");
+  CHECK(MakeContext({{pair}, "", "", false})->Verify(peer) != "");
+  // An expired revocation list, or none for one of two issuers, rejects every certificate.
+  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({}, -30), true})->Verify(peer) ==
+        "CRL has expired");
   std::string two = issuer.Pem() + other.Pem();
-  CHECK(Made({{pair}, two, issuer.Revoked({}), true})->Verify(peer) == "");
-  CHECK(Made({{pair}, two, other.Revoked({}), true})->Verify(peer) == "unable to get certificate CRL");
-  // Shown again it is checked again: nothing is resumed.
+  CHECK(MakeContext({{pair}, two, issuer.Revoked({}), true})->Verify(peer) == "");
+  CHECK(MakeContext({{pair}, two, other.Revoked({}), true})->Verify(peer) == "unable to get certificate CRL");
+  // A later connection verifies the certificate again: its session is not resumed.
   client.Begin();
-  TlsChannel second(Made({{pair}, issuer.Pem(), issuer.Revoked({good}), true}));
-  Shake(client, second);
+  TlsChannel second(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({good}), true}));
+  Handshake(client, second);
   CHECK(second.state() == State::kFailed);
   CHECK(second.fault().find("certificate revoked") != std::string::npos);
 }
 
-TEST_CASE("files that are wrong are told with what and where") {
+TEST_CASE("a TlsError says what is wrong and with which certificate") {
   Issuer issuer("issuer");
   Issued a = issuer.Issue("a", "DNS:a", "serverAuth"), b = issuer.Issue("b", "DNS:b", "serverAuth");
-  CHECK(Wrong({{}, "", "", false}) == "no certificate is given");
-  CHECK(Wrong({{Pair(a), {"", a.KeyPem()}}, "", "", false}) == "certificate 2: none is in the file");
-  CHECK(Wrong({{{a.CertificatePem(), ""}}, "", "", false}).find("certificate 1: its key: ") == 0);
-  CHECK(Wrong({{{a.CertificatePem(), b.KeyPem()}}, "", "", false}) ==
+  CHECK(FaultOf({{}, "", "", false}) == "no certificate is given");
+  CHECK(FaultOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false}) == "certificate 2: none is in the file");
+  CHECK(FaultOf({{{a.CertificatePem(), ""}}, "", "", false}).find("certificate 1: its key: ") == 0);
+  CHECK(FaultOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false}) ==
         "certificate 1: its key: key values mismatch");
-  CHECK(Wrong({{Pair(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
+  CHECK(FaultOf({{PairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
         "certificate 1: it has expired");
-  std::string locked = Issued::Pem([&](BIO* to) {
+  std::string encrypted_key = Issued::Pem([&](BIO* to) {
     PEM_write_bio_PrivateKey(to, a.key.get(), EVP_aes_128_cbc(), nullptr, 0, nullptr,
                              const_cast<char*>("secret"));
   });
-  CHECK(Wrong({{{a.CertificatePem(), locked}}, "", "", false}).find("certificate 1: its key: ") == 0);
-  CHECK(Wrong({{Pair(a)}, "junk", "", false}) == "clients' issuers: no certificate is in the file");
-  CHECK(Wrong({{Pair(a)}, issuer.Pem(), "junk", false}) == "revoked certificates: no list is in the file");
-  CHECK(Wrong({{Pair(a)}, "", "", true}) ==
+  CHECK(FaultOf({{{a.CertificatePem(), encrypted_key}}, "", "", false}).find("certificate 1: its key: ") ==
+        0);
+  CHECK(FaultOf({{PairOf(a)}, "junk", "", false}) == "clients' issuers: no certificate is in the file");
+  CHECK(FaultOf({{PairOf(a)}, issuer.Pem(), "junk", false}) ==
+        "revoked certificates: no list is in the file");
+  CHECK(FaultOf({{PairOf(a)}, "", "", true}) ==
         "clients' certificates are asked for, and no issuer of them is given");
 }
 
-TEST_CASE("handshakes begun and left take a quarter of the places; who goes on is served meanwhile") {
-  constexpr int kPlaces = 40, kLeft = 500;
-  Serving serving(kPlaces);
-  const std::string& addr = serving.addr;
-  std::vector<net::Fd> left;
-  std::string told;
-  for (int i = 0; i < kLeft; ++i) {
-    TlsClient halfway;
-    left.push_back(net::Connect(addr, kPatience));
-    REQUIRE(left.back().Valid());
-    // The server's flight has come: its side of the handshake is begun, and stays so.
-    std::string flight;
-    net::WriteAll(left.back(), halfway.Step("", told), kPatience);
-    REQUIRE(net::ReadSome(left.back(), flight, kPatience) == net::Io::kOk);
-    if (i % 50 != 49) continue;
-    TlsClient good;
-    net::Fd fd;
-    CHECK(Ask(addr, good, fd).find("HTTP/1.1 200") == 0);
-  }
-  int open = 0;
-  for (const net::Fd& one : left) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
-  CHECK(open <= kPlaces / 4);
-  CHECK(serving.counters.evicted.Value() >= kLeft - kPlaces / 4);
-}
-
-TEST_CASE("connections that were mute before their handshakes are held to the same places") {
-  constexpr int kPlaces = 40, kMute = 25;  // fewer than those at which mute ones make room for new ones
-  Serving serving(kPlaces);
-  std::vector<net::Fd> mute;
-  std::string told;
-  for (int i = 0; i < kMute; ++i) {
-    mute.push_back(net::Connect(serving.addr, kPatience));
-    REQUIRE(mute.back().Valid());
-  }
-  for (const net::Fd& one : mute) {
-    TlsClient halfway;
-    std::string flight;
-    net::WriteAll(one, halfway.Step("", told), kPatience);
-    REQUIRE(net::ReadSome(one, flight, kPatience) == net::Io::kOk);
-  }
-  TlsClient good;
-  net::Fd fd;
-  CHECK(Ask(serving.addr, good, fd).find("HTTP/1.1 200") == 0);
-  int open = 0;
-  for (const net::Fd& one : mute) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
-  CHECK(open <= kPlaces / 4);
-}
-
-TEST_CASE("who is turned away before a handshake gets an alert, not a cut connection") {
-  Serving serving(8);
-  net::Fd listener = net::Listen("127.0.0.1:0");
-  net::Fd client = net::Connect(net::LocalAddress(listener), kPatience);
-  net::ClientConnection line(net::Accept(listener, kPatience), &serving.source);
-  CHECK(line.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::Io::kError);
-  line.Finish();
-  TlsClient side;
-  std::string told, came;
-  side.Step("", told);
-  REQUIRE(net::ReadSome(client, came, kPatience) == net::Io::kOk);
-  side.Step(came, told);
-  CHECK(told.empty());
-  CHECK(came == std::string("\x15\x03\x03\0\2\2\x50", 7));
-}
-
-TEST_CASE("an answer that is cut is told from a whole one, and a client that says no more is gone") {
-  Serving serving(8);
-  const std::string& addr = serving.addr;
-  TlsClient client;
-  net::Fd fd;
-  REQUIRE(Ask(addr, client, fd).find("HTTP/1.1 200") == 0);
-  CHECK_FALSE(client.ended());
-  // Its last word is taken as its end: the connection ends, with ours.
-  std::string told, came;
-  net::WriteAll(fd, client.Close(), kPatience);
-  while (net::ReadSome(fd, came, kPatience) == net::Io::kOk) {
-  }
-  // Every answer after which the connection ends is followed by the last word.
-  TlsClient other;
-  net::Fd second;
-  REQUIRE(Ask(addr, other, second).find("HTTP/1.1 200") == 0);
-  net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kPatience);
-  while (!other.ended()) {
-    came.clear();
-    REQUIRE(net::ReadSome(second, came, kPatience) == net::Io::kOk);
-    other.Step(came, told);
-  }
-  CHECK(told.find("HTTP/1.1 400") == 0);
+TEST_CASE("a TlsError names its fault and the certificate's position") {
+  Issuer issuer("issuer");
+  Issued a = issuer.Issue("a", "DNS:a", "serverAuth");
+  Issued b = issuer.Issue("b", "DNS:b", "serverAuth");
+  CHECK(ErrorOf({{}, "", "", false}).fault == TlsFault::kNoCertificate);
+  CHECK(ErrorOf({{PairOf(a)}, "", "", true}).fault == TlsFault::kNoClientCa);
+  CHECK(ErrorOf({{PairOf(a)}, "junk", "", false}).fault == TlsFault::kUnreadableClientCa);
+  CHECK(ErrorOf({{PairOf(a)}, issuer.Pem(), "junk", false}).fault == TlsFault::kUnreadableRevocation);
+  net::TlsError second = ErrorOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false});
+  CHECK(second.fault == TlsFault::kCertificate);
+  CHECK(second.certificate == 2);
+  net::TlsError key = ErrorOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false});
+  CHECK(key.fault == TlsFault::kKey);
+  CHECK(key.certificate == 1);
 }
--- /dev/null
+++ b/tests/platform/discovery_watch_test.cpp
@@ -0,0 +1,48 @@
+// DiscoveryWatch against a discovery service that the test plays.
+#define CATCH_CONFIG_MAIN
+#include <catch2/catch.hpp>
+#include <string>
+
+#include "config/config.h"
+#include "coordinator/coordinator.h"
+#include "coordinator/endpoint_registry.h"
+#include "metrics/metrics.h"
+#include "net/socket.h"
+#include "platform/discovery.h"
+
+using namespace liftrudder;
+
+namespace {
+
+constexpr net::Micros kTestTimeout = 20'000'000;
+
+}  // namespace
+
+TEST_CASE("a watch whose bytes never complete a list is replaced by a new one") {
+  net::Fd listener = net::Listen("127.0.0.1:0");
+  config::Config config;
+  config.discovery = net::LocalAddress(listener);
+  config.settings.cells = 1;
+  net::SteadyClock clock;
+  coordinator::EndpointRegistry endpoint_registry;
+  metrics::Counters counters;
+  coordinator::Coordinator coordinator(config.settings, 1, clock, endpoint_registry, counters);
+  platform::DiscoveryWatch watch(config, endpoint_registry, coordinator, clock);
+  auto accept_watch = [&] {
+    net::Fd fd = net::Accept(listener, kTestTimeout);
+    std::string request;
+    REQUIRE(net::ReadSome(fd, request, kTestTimeout) == net::Io::kOk);
+    return fd;
+  };
+  net::Fd first = accept_watch();
+  net::WriteAll(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n", kTestTimeout);
+  std::string end;
+  net::Io state = net::Io::kTimeout;
+  net::Micros until_us = clock.Now() + kTestTimeout;
+  while (state == net::Io::kTimeout && clock.Now() < until_us) {
+    net::WriteAll(first, "1\r\nv\r\n", kTestTimeout);
+    state = net::ReadSome(first, end, 20'000);
+  }
+  CHECK(state != net::Io::kTimeout);
+  accept_watch();
+}
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -1,8 +1,9 @@
-// The links to holders by themselves, over loopback: the test is each holder and decides what comes when.
+// An EndpointConnectionPool over loopback; the test plays every endpoint and decides what arrives when.
 #ifndef LIFTRUDDER_TESTS_SUPPORT_CONNECTION_POOL_FIXTURE_H_
 #define LIFTRUDDER_TESTS_SUPPORT_CONNECTION_POOL_FIXTURE_H_
 
 #include <catch2/catch.hpp>
+#include <chrono>
 #include <condition_variable>
 #include <memory>
 #include <mutex>
@@ -16,41 +17,43 @@
 
 namespace liftrudder::tests {
 
-// Links to so many listening holders; parts go out and their ends come back.
-class LinksUnderTest {
+// A pool for `endpoints` listening endpoints, and the results of its attempts.
+class ConnectionPoolFixture {
  public:
-  LinksUnderTest(int endpoints, const net::ConnectionLimits& limits) : protocol(load_names) {
+  ConnectionPoolFixture(int endpoints, const net::ConnectionLimits& limits) : protocol(load_names) {
     coordinator::EndpointList list{1, liftrudder::routing::EndpointListKind::kFull, {}};
     for (int i = 0; i < endpoints; ++i) {
       listeners.push_back(net::Listen("127.0.0.1:0"));
       list.entries.push_back({"h" + std::to_string(i), net::LocalAddress(listeners.back()), {}});
     }
     update = endpoint_registry.Apply(list, 1);
-    links.emplace(protocol, endpoint_registry, clock, limits, counters, figures,
-                  [this](coordinator::AttemptResult result) {
-                    std::lock_guard lock(mutex);
-                    results.push_back(std::move(result));
-                    wake.notify_one();
-                  });
+    pool.emplace(protocol, endpoint_registry, clock, limits, counters, figures,
+                 [this](coordinator::AttemptResult result) {
+                   std::lock_guard lock(mutex);
+                   results.push_back(std::move(result));
+                   wake.notify_one();
+                 });
   }
+  // Starts the next attempt, whose shard request ids count from 1.
   void Send(int endpoint, std::shared_ptr<const coordinator::ClientPresence> client = nullptr) {
-    coordinator::AttemptRequest order;
-    order.key = {++shard_requests, 0};
-    order.endpoint = update->endpoints[static_cast<std::size_t>(endpoint)].id;
-    order.shard = static_cast<int>(shard_requests);
-    order.attempt_deadline_us = clock.Now() + 60'000'000;
-    order.payload =
+    coordinator::AttemptRequest request;
+    request.key = {++shard_requests, 0};
+    request.endpoint = update->endpoints[static_cast<std::size_t>(endpoint)].id;
+    request.shard = static_cast<int>(shard_requests);
+    request.attempt_deadline_us = clock.Now() + 60'000'000;
+    request.payload =
         std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
-    links->Start(std::move(order));
-    if (ends_round) links->EndRound();
+    pool->Start(std::move(request));
+    if (ends_round) pool->EndRound();
   }
-  // The holder's newest connection, once a frame has come on it.
+  // Accepts the endpoint's next connection and waits for bytes on it, which are then in `got`.
   net::Fd Take(int endpoint) {
     net::Fd fd = net::Accept(listeners[static_cast<std::size_t>(endpoint)], 10'000'000);
     got.clear();
     REQUIRE(net::ReadSome(fd, got, 10'000'000) == net::Io::kOk);
     return fd;
   }
+  // Waits for the nth result, from 0.
   coordinator::AttemptResult Ended(std::size_t nth) {
     std::unique_lock lock(mutex);
     REQUIRE(wake.wait_for(lock, std::chrono::seconds(20), [&] { return results.size() > nth; }));
@@ -61,7 +64,7 @@
     return results.size();
   }
 
-  std::string got;  // by the last Take
+  std::string got;  // what arrived by the last Take
   std::vector<net::Fd> listeners;
   coordinator::EndpointRegistry endpoint_registry;
   std::optional<liftrudder::routing::EndpointListUpdate> update;
@@ -70,15 +73,16 @@
   metrics::Figures figures{{"search"}};
   const std::vector<std::string> load_names;
   platform::FrameProtocol protocol;
-  std::mutex mutex;
+  std::mutex mutex;  // guards `results`
   std::condition_variable wake;
   std::vector<coordinator::AttemptResult> results;
   coordinator::Id shard_requests = 0;
-  bool ends_round = true;  // each part goes in a round of its own
-  std::optional<net::EndpointConnectionPool> links;
+  bool ends_round = true;                           // after each Send, so that requests share no frame
+  std::optional<net::EndpointConnectionPool> pool;  // last: its threads use everything above
 };
 
-inline std::string AnsweredQuery(coordinator::Id shard_request) {
+// The frame with which an endpoint answers a shard request.
+inline std::string ServedResponse(coordinator::Id shard_request) {
   std::string text = "aq." + std::to_string(shard_request) + " served 1 -\nv";
   return std::string{static_cast<char>(text.size()), 0, 0, 0} + text;
 }
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -18,8 +18,8 @@
 using coordinator::Cause;
 using coordinator::Progress;
 using net::HttpParser;
-using tests::LinksUnderTest;
-using tests::AnsweredQuery;
+using tests::ConnectionPoolFixture;
+using tests::ServedResponse;
 
 TEST_CASE("whether an attempt may have run follows from how far it had come") {
   CHECK(coordinator::OutcomeOf(Progress::kNotConnected, Cause::kConnectionLost) ==
@@ -111,7 +111,7 @@
   auto threads = [] { return std::distance(std::filesystem::directory_iterator("/proc/self/task"), {}); };
   net::Thread([] {}).Join();  // a sanitizer starts one of its own beside the first
   auto before = threads();
-  LinksUnderTest all(kMaxEndpoints, {});
+  ConnectionPoolFixture all(kMaxEndpoints, {});
   for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   std::vector<net::Fd> connections;
   for (int i = 0; i < kMaxEndpoints; ++i) connections.push_back(all.Take(i));
@@ -119,7 +119,7 @@
   connections.pop_back();  // the last holder's connection ends after its frame came
   coordinator::AttemptResult first = all.Ended(0);
   CHECK(coordinator::OutcomeOf(first.progress, first.cause) == AttemptOutcome::kReset);
-  all.links.reset();
+  all.pool.reset();
   CHECK(all.Results() == kMaxEndpoints);
 }
 
@@ -127,16 +127,16 @@
   constexpr int kMaxEndpoints = 6, kMost = 4;
   net::ConnectionLimits limits;
   limits.max_connections = kMost;
-  LinksUnderTest all(kMaxEndpoints, limits);
+  ConnectionPoolFixture all(kMaxEndpoints, limits);
   for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   std::vector<net::Fd> connections;
   for (int i = 0; i < kMost; ++i) connections.push_back(all.Take(i));
   CHECK(all.Results() == 0);
   // One answer is in: its connection makes room for the next in turn.
-  net::WriteAll(connections[2], AnsweredQuery(3), 1'000'000);
+  net::WriteAll(connections[2], ServedResponse(3), 1'000'000);
   CHECK(all.Ended(0).cause == Cause::kServed);
   connections.push_back(all.Take(kMost));
-  net::WriteAll(connections[0], AnsweredQuery(1), 1'000'000);
+  net::WriteAll(connections[0], ServedResponse(1), 1'000'000);
   CHECK(all.Ended(1).cause == Cause::kServed);
   connections.push_back(all.Take(kMost + 1));
   CHECK(all.Results() == 2);
@@ -146,11 +146,11 @@
   constexpr int kMaxEndpoints = 8, kMost = 10;
   net::ConnectionLimits limits;
   limits.max_connections = kMost;
-  LinksUnderTest all(kMaxEndpoints, limits);
+  ConnectionPoolFixture all(kMaxEndpoints, limits);
   std::vector<net::Fd> connections;
   for (int i = 0; i < kMaxEndpoints; ++i) all.Send(i);
   for (int i = 0; i < kMaxEndpoints; ++i) connections.push_back(all.Take(i));
-  net::WriteAll(connections[7], AnsweredQuery(8), 1'000'000);
+  net::WriteAll(connections[7], ServedResponse(8), 1'000'000);
   all.Ended(0);
   // A second part for each of the others shares its connection.
   for (int i = 0; i < kMaxEndpoints - 1; ++i) all.Send(i);
