--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -80,8 +80,8 @@
   tests::Issued shown = issuer.Issue("a", "DNS:a.example", "serverAuth"),
                 client = clients.Issue("c", "DNS:c", "clientAuth");
   auto make = [&](const std::string& ca) {
-    return std::get<0>(
-        net::TlsContext::Make({{{shown.CertificatePem(), shown.KeyPem()}}, ca, "", !ca.empty()}, clock));
+    return net::TlsContext::Make({{{shown.CertificatePem(), shown.KeyPem()}}, ca, "", !ca.empty()}, clock)
+        .value();
   };
   auto plain = make(""), mutual = make(clients.Pem());
   std::vector<double> whole, resumed, both, sealed;
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -1,10 +1,7 @@
 #include "net/admin_server.h"
 
 #include <sys/epoll.h>
-#include <sys/eventfd.h>
-#include <unistd.h>
 
-#include <cstdint>
 #include <exception>
 #include <optional>
 #include <utility>
@@ -33,20 +30,16 @@
 AdminServer::Connection::Connection() : parser(HttpParser::Kind::kRequest, kMaxAdminBodyBytes) {}
 
 AdminServer::AdminServer(Fd listener, Answer answer)
-    : answer_(std::move(answer)),
-      listener_(std::move(listener)),
-      epoll_(::epoll_create1(EPOLL_CLOEXEC)),
-      waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+    : answer_(std::move(answer)), listener_(std::move(listener)), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{EPOLLIN, {nullptr}};
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, listener_.Get(), &event);
-  ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, waker_.Get(), &event);
+  ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, waker_.fd().Get(), &event);
   thread_ = Thread([this] { Run(); });
 }
 
 AdminServer::~AdminServer() {
   stopping_ = true;
-  std::uint64_t one = 1;
-  [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
+  waker_.Wake();
   thread_.Join();
 }
 
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -12,6 +12,7 @@
 
 #include "net/http.h"
 #include "net/socket.h"
+#include "net/waker.h"
 
 namespace liftrudder::net {
 
@@ -52,7 +53,7 @@
   const SteadyClock clock_;
   const Fd listener_;
   const Fd epoll_;
-  const Fd waker_;                     // an eventfd
+  const Waker waker_;
   std::list<Connection> connections_;  // the server's thread's; the oldest first
   std::atomic<bool> stopping_{false};
   Thread thread_;  // last: it uses everything above
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -35,7 +35,7 @@
   // What the next Read would find; what this has to read for it is kept for that.
   SocketState Probe();
   // Sends the TLS closure or alert without waiting, so that the client can tell this end from a cut, and
-  // releases the socket for whoever reads it to its end.
+  // releases the socket, which the caller should read to its end.
   Fd Finish();
   Fd Release() { return std::move(fd_); }
 
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -134,7 +134,7 @@
   }
 }
 
-// A connection that breaks before the first byte of a frame has told its endpoint nothing: the frame's
+// When a connection breaks before the first byte of a frame, its endpoint has received nothing: the frame's
 // attempts go back to the front of the queue. Responses that arrived before the error still count.
 void EndpointConnectionIo::HandleWriteError(ConnectionId id, EndpointConnection& connection) {
   std::vector<coordinator::AttemptKey> keys = std::exchange(connection.frame_attempts, {});
--- a/src/net/endpoint_poller.cpp
+++ b/src/net/endpoint_poller.cpp
@@ -1,8 +1,6 @@
 #include "net/endpoint_poller.h"
 
 #include <sys/epoll.h>
-#include <sys/eventfd.h>
-#include <unistd.h>
 
 #include <algorithm>
 #include <cstdint>
@@ -15,9 +13,8 @@
 
 }  // namespace
 
-EndpointPoller::EndpointPoller()
-    : epoll_(::epoll_create1(EPOLL_CLOEXEC)), waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  Control(EPOLL_CTL_ADD, kWakerId, waker_, EPOLLIN);
+EndpointPoller::EndpointPoller() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
+  Control(EPOLL_CTL_ADD, kWakerId, waker_.fd(), EPOLLIN);
 }
 
 void EndpointPoller::Control(int operation, ConnectionId id, const Fd& fd, std::uint32_t interest) const {
@@ -52,14 +49,7 @@
 
 void EndpointPoller::BeginTurn() {
   asleep_until_us_ = 0;
-  if (!woken_) return;
-  std::uint64_t wakes = 0;
-  [[maybe_unused]] ssize_t taken = ::read(waker_.Get(), &wakes, sizeof wakes);
-}
-
-void EndpointPoller::Wake() {
-  std::uint64_t one = 1;
-  [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
+  if (woken_) waker_.Drain();
 }
 
 void EndpointPoller::SweepNoLaterThan(Micros at_us) {
--- a/src/net/endpoint_poller.h
+++ b/src/net/endpoint_poller.h
@@ -8,6 +8,7 @@
 
 #include "net/attempt_registry.h"
 #include "net/socket.h"
+#include "net/waker.h"
 
 namespace liftrudder::net {
 
@@ -29,7 +30,7 @@
   // Blocks until an event, Wake or the timeout. The events stay valid until the next call.
   const std::vector<Event>& Wait();
   // Ends a Wait early.
-  void Wake();
+  void Wake() { waker_.Wake(); }
 
   // The thread is awake and handles events: no Wake is needed until EndTurn, and earlier ones are consumed.
   void BeginTurn();
@@ -44,7 +45,7 @@
   void Control(int operation, ConnectionId id, const Fd& fd, std::uint32_t interest) const;
 
   Fd epoll_;
-  Fd waker_;                   // an eventfd
+  Waker waker_;
   std::vector<Event> events_;  // the pool's thread only, as are the next two
   bool woken_ = false;         // the last Wait ended by Wake
   Micros wait_us_ = kSweepInterval;
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -1,11 +1,8 @@
 #include "net/lingering_closer.h"
 
 #include <poll.h>
-#include <sys/eventfd.h>
-#include <unistd.h>
 
 #include <chrono>
-#include <cstdint>
 #include <optional>
 #include <utility>
 #include <vector>
@@ -21,27 +18,20 @@
 }  // namespace
 
 LingeringCloser::LingeringCloser(std::size_t max_connections)
-    : waker_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)),
-      max_connections_(max_connections),
-      thread_([this] { Run(); }) {}
+    : max_connections_(max_connections), thread_([this] { Run(); }) {}
 
 LingeringCloser::~LingeringCloser() {
   stopping_ = true;
-  Wake();
+  waker_.Wake();
   thread_.Join();
 }
 
-void LingeringCloser::Wake() const {
-  std::uint64_t one = 1;
-  [[maybe_unused]] ssize_t written = ::write(waker_.Get(), &one, sizeof one);
-}
-
 void LingeringCloser::Take(Fd fd) {
   ShutDownWriting(fd);
   std::lock_guard lock(mutex_);
   if (connections_.size() >= max_connections_) connections_.pop_front();
   connections_.push_back({std::move(fd), clock_.Now() + kMaxLingerTime, kMaxDiscardedBytes});
-  Wake();
+  waker_.Wake();
 }
 
 void LingeringCloser::Resize(std::size_t max_connections) {
@@ -56,16 +46,13 @@
 
 void LingeringCloser::Run() {
   while (!stopping_) {
-    std::vector<pollfd> polled{{waker_.Get(), POLLIN, 0}};
+    std::vector<pollfd> polled{{waker_.fd().Get(), POLLIN, 0}};
     {
       std::lock_guard lock(mutex_);
       for (const Connection& connection : connections_) polled.push_back({connection.fd.Get(), POLLIN, 0});
     }
     ::poll(polled.data(), polled.size(), polled.size() > 1 ? kPollMs : -1);
-    if (polled[0].revents != 0) {
-      std::uint64_t wakes = 0;
-      [[maybe_unused]] ssize_t taken = ::read(waker_.Get(), &wakes, sizeof wakes);
-    }
+    if (polled[0].revents != 0) waker_.Drain();
     DiscardAll();
   }
 }
--- a/src/net/lingering_closer.h
+++ b/src/net/lingering_closer.h
@@ -11,6 +11,7 @@
 #include <mutex>
 
 #include "net/socket.h"
+#include "net/waker.h"
 
 namespace liftrudder::net {
 
@@ -37,11 +38,10 @@
     std::size_t remaining_bytes = 0;  // that are still discarded
   };
   void Run();
-  void Wake() const;
   void DiscardAll();
 
   const SteadyClock clock_;
-  const Fd waker_;  // an eventfd
+  const Waker waker_;
   std::atomic<bool> stopping_{false};
   std::mutex mutex_;  // guards everything below but `thread_`
   std::size_t max_connections_;
