--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -2,17 +2,26 @@
 
 #include <string_view>
 
+#include "app/wire_names.h"
 #include "log/log.h"
 #include "net/json.h"
 
 namespace liftrudder::app {
 namespace {
 
-net::HttpResponse Say(int status, std::string_view what) {
-  net::HttpResponse out;
-  out.status = status;
-  out.body = fmt::format("{{\"status\":{}}}\n", net::json::Quote(what));
-  return out;
+net::HttpResponse StatusResponse(int status, std::string_view text) {
+  net::HttpResponse response;
+  response.status = status;
+  response.body = fmt::format("{{\"status\":{}}}\n", net::json::Quote(text));
+  return response;
+}
+
+net::HttpResponse NotServing() { return StatusResponse(503, "not serving: it starts or ends"); }
+
+net::HttpResponse MethodNotAllowed(const char* allowed) {
+  net::HttpResponse response = StatusResponse(405, fmt::format("only {}", allowed));
+  response.headers.emplace_back("Allow", allowed);
+  return response;
 }
 
 }  // namespace
@@ -22,34 +31,38 @@
   server_ = server;
 }
 
-net::HttpResponse AdminHandler::SetAside(bool aside) {
+net::HttpResponse AdminHandler::Answer(const net::HttpMessage& request) {
+  const std::string_view path = request.Path();
+  const bool reads = path == wire::kHealthPath || path == wire::kFiguresPath;
+  const bool writes = path == wire::kDrainPath || path == wire::kEndDrainPath;
+  if (!reads && !writes) return StatusResponse(404, "no such path");
+  const char* method = reads ? "GET" : "PUT";
+  if (request.method != method) return MethodNotAllowed(method);
+  if (path == wire::kHealthPath) return Health();
+  if (path == wire::kFiguresPath) return FiguresText();
+  return SetDraining(path == wire::kDrainPath);
+}
+
+net::HttpResponse AdminHandler::Health() {
+  std::lock_guard lock(mutex_);
+  if (server_ == nullptr) return NotServing();
+  return server_->Ready() ? StatusResponse(200, "ready") : StatusResponse(503, "draining");
+}
+
+net::HttpResponse AdminHandler::SetDraining(bool draining) {
   std::lock_guard lock(mutex_);
-  if (server_ == nullptr) return Say(503, "not serving: it starts or ends");
-  if (server_->SetAside(aside)) log::Info("told to {}", aside ? "drain" : "end the drain");
-  return Say(200, aside ? "draining" : "the drain has ended");
+  if (server_ == nullptr) return NotServing();
+  const bool changed = server_->SetAside(draining);
+  if (changed) log::Info("admin request: {}", draining ? "drain" : "end the drain");
+  return StatusResponse(200, draining ? "draining" : "the drain has ended");
 }
 
-net::HttpResponse AdminHandler::Answer(const net::HttpMessage& call) {
-  std::string_view path = call.Path();
-  bool reads = path == "/healthcheck" || path == "/stats";
-  bool writes = path == "/healthcheck/fail" || path == "/healthcheck/ok";
-  if (!reads && !writes) return Say(404, "no such path");
-  if (call.method != (reads ? "GET" : "PUT")) {
-    net::HttpResponse out = Say(405, reads ? "only GET" : "only PUT");
-    out.headers.emplace_back("Allow", reads ? "GET" : "PUT");
-    return out;
-  }
-  if (writes) return SetAside(path == "/healthcheck/fail");
-  if (path == "/healthcheck") {
-    std::lock_guard lock(mutex_);
-    if (server_ == nullptr) return Say(503, "not serving: it starts or ends");
-    return server_->Ready() ? Say(200, "ready") : Say(503, "draining");
-  }
+net::HttpResponse AdminHandler::FiguresText() {
   refresh_();
-  net::HttpResponse out;
-  out.type = "text/plain; version=0.0.4";
-  out.body = figures_.Text();
-  return out;
+  net::HttpResponse response;
+  response.type = wire::kFiguresContentType;
+  response.body = figures_.Text();
+  return response;
 }
 
 }  // namespace liftrudder::app
--- a/src/app/admin_handler.h
+++ b/src/app/admin_handler.h
@@ -1,11 +1,12 @@
-// What operators' tools ask of a gatherer at its second address: is it ready, its figures, take it out of
-// service and back. Decides only which call is which; it waits for nothing, so it may run on the thread of
-// the calls. Never on a client's.
+// The requests of operators' tools at the admin address: health, figures, draining and its end. Recognizes
+// the request and waits for nothing, so it may run on the admin server's only thread. It is never reachable
+// through a client's address.
 #ifndef LIFTRUDDER_APP_ADMIN_HANDLER_H_
 #define LIFTRUDDER_APP_ADMIN_HANDLER_H_
 
 #include <functional>
 #include <mutex>
+#include <utility>
 
 #include "metrics/figures.h"
 #include "net/http.h"
@@ -15,21 +16,24 @@
 
 class AdminHandler {
  public:
-  // `refresh`: brings the figures up to date that are not counted but looked up.
+  // `refresh` brings the figures up to date that are looked up and not counted. `figures` outlives the
+  // handler.
   AdminHandler(metrics::Figures& figures, std::function<void()> refresh)
       : figures_(figures), refresh_(std::move(refresh)) {}
 
-  // From then on there is something to be ready; null: not any more, it ends.
+  // The server whose health is reported and that is drained; null before it starts and once it shuts down.
   void Attach(net::Server* server);
-  net::HttpResponse Answer(const net::HttpMessage& call);
+  net::HttpResponse Answer(const net::HttpMessage& request);
 
  private:
-  net::HttpResponse SetAside(bool aside);
+  net::HttpResponse Health();
+  net::HttpResponse SetDraining(bool draining);
+  net::HttpResponse FiguresText();
 
   metrics::Figures& figures_;
   const std::function<void()> refresh_;
   std::mutex mutex_;
-  net::Server* server_ = nullptr;
+  net::Server* server_ = nullptr;  // guarded by mutex_
 };
 
 }  // namespace liftrudder::app
--- /dev/null
+++ b/src/app/coordinator_runtime.h
@@ -0,0 +1,81 @@
+// The part of a coordinator that decides and talks to endpoints: the coordinator on its thread, the endpoint
+// registry, the connection pool, the decision log. It has no address of its own; clients reach it through
+// CoordinatorServer.
+#ifndef LIFTRUDDER_APP_COORDINATOR_RUNTIME_H_
+#define LIFTRUDDER_APP_COORDINATOR_RUNTIME_H_
+
+#include <memory>
+#include <optional>
+
+#include "app/connection_budget.h"
+#include "app/serve_options.h"
+#include "config/config.h"
+#include "coordinator/coordinator.h"
+#include "coordinator/endpoint_registry.h"
+#include "decision_log/explain_service.h"
+#include "decision_log/recorder.h"
+#include "metrics/figures.h"
+#include "metrics/metrics.h"
+#include "net/endpoint_connection_pool.h"
+#include "net/socket.h"
+
+namespace liftrudder::app {
+
+// Members are declared in the order of construction, and destroyed in the reverse:
+//   1. counters and figures, used by everything;
+//   2. the endpoint registry and the coordinator, whose thread does not run yet;
+//   3. the connection pool, which posts results to the coordinator and so must be gone before it;
+//   4. the decision log and the explain service, used by the coordinator's thread;
+//   5. the cached endpoint list is applied, and the budget follows later lists;
+//   6. the coordinator's thread; its guard stops the loop first, since joining would wait for ever otherwise.
+class CoordinatorRuntime {
+ public:
+  // The arguments outlive the runtime. Throws when the memory of the decision log cannot be had.
+  CoordinatorRuntime(const ServeOptions& options, const coordinator::Clock& clock);
+
+  // Stops the coordinator, waits for its thread, then closes the connection pool. No front may use it any
+  // more.
+  void Stop();
+
+  metrics::Counters& counters() { return counters_; }
+  metrics::Figures& figures() { return figures_; }
+  coordinator::EndpointRegistry& endpoint_registry() { return endpoint_registry_; }
+  coordinator::Coordinator& coordinator() { return coordinator_; }
+  ConnectionBudget& connection_budget() { return *connection_budget_; }
+  // Null where nothing is recorded.
+  decision_log::ExplainService* explain_service() { return explain_service_ ? &*explain_service_ : nullptr; }
+  // Brings the figures up to date that are looked up and not counted. Any thread.
+  void RefreshFigures();
+
+ private:
+  // Guards against waiting for ever for a loop that nobody stopped, when start-up fails half way.
+  struct StopGuard {
+    coordinator::Coordinator& coordinator;
+    explicit StopGuard(coordinator::Coordinator& guarded) : coordinator(guarded) {}
+    StopGuard(const StopGuard&) = delete;
+    StopGuard& operator=(const StopGuard&) = delete;
+    ~StopGuard() { coordinator.Stop(); }
+  };
+
+  void OpenConnectionPool(const ServeOptions& options);
+  void StartDecisionLog();
+  void OpenRecorder();
+
+  const config::Config& config_;
+  const coordinator::Clock& clock_;
+  metrics::Counters counters_;
+  metrics::Figures figures_;
+  coordinator::EndpointRegistry endpoint_registry_;
+  coordinator::Coordinator coordinator_;
+  std::unique_ptr<net::EndpointProtocol> protocol_;
+  std::unique_ptr<net::EndpointConnectionPool> connection_pool_;
+  std::optional<decision_log::Recorder> recorder_;
+  std::optional<decision_log::ExplainService> explain_service_;
+  std::optional<ConnectionBudget> connection_budget_;
+  net::Thread coordinator_thread_;
+  std::optional<StopGuard> stop_guard_;
+};
+
+}  // namespace liftrudder::app
+
+#endif  // LIFTRUDDER_APP_COORDINATOR_RUNTIME_H_
--- /dev/null
+++ b/src/app/coordinator_server.h
@@ -0,0 +1,73 @@
+// One coordinator process: starts its parts, serves clients until SIGTERM or SIGINT, shuts down gracefully.
+// Puts parts together and decides nothing about queries. All its functions run on the main thread.
+#ifndef LIFTRUDDER_APP_COORDINATOR_SERVER_H_
+#define LIFTRUDDER_APP_COORDINATOR_SERVER_H_
+
+#include <memory>
+#include <optional>
+
+#include "app/admin_handler.h"
+#include "app/coordinator_runtime.h"
+#include "app/reload.h"
+#include "app/serve_options.h"
+#include "app/signals.h"
+#include "app/tls_files.h"
+#include "dns/update.h"
+#include "net/admin_server.h"
+#include "net/server.h"
+#include "platform/discovery.h"
+
+namespace liftrudder::app {
+
+// Start-up, in this order; an exception of any step destroys what was started, in reverse:
+//   1. TLS files, and the check that certificates in the permission table can be asked for;
+//   2. the runtime: coordinator, connection pool, decision log (see its header);
+//   3. the admin address, which answers "not serving" until step 7;
+//   4. the source of endpoints: a zone file, or the discovery watch;
+//   5. the handler of client requests, then the listener;
+//   6. a bounded wait for the first endpoint list of discovery: clients that connect wait in the backlog;
+//   7. the server, from here on ready; the connection budget follows the endpoint list.
+// Shutdown:
+//   8. the budget and the admin address let go of the server;
+//   9. the server drains and closes (graceful_shutdown.h);
+//  10. the server, the handler, the endpoint source and the admin address are destroyed, in that order;
+//  11. the runtime stops: coordinator, its thread, the connection pool.
+class CoordinatorServer {
+ public:
+  // `signals` outlives the server. Throws what the TLS files or the runtime throw.
+  CoordinatorServer(ServeOptions options, const ControlSignals& signals);
+
+  // Steps 3 to 11; returns when the process can exit. Throws when a step of the start-up fails.
+  void Run();
+
+ private:
+  // Steps 3 to 7. The listener is passed on, since clients must be able to connect before step 6.
+  void Start();
+  void OpenAdminAddress();
+  void OpenEndpointSource();
+  void OpenHandler();
+  net::Fd OpenListener() const;
+  void AwaitEndpointList();
+  void OpenServer(net::Fd listener);
+
+  void ServeUntilTerminated(Reloader& reloader);
+  // Steps 8 to 11.
+  void ShutDown(Reloader& reloader);
+
+  const ServeOptions options_;
+  const ControlSignals& signals_;
+  const config::Config& config_;  // of options_
+  net::SteadyClock clock_;
+  std::unique_ptr<TlsFiles> tls_;
+  CoordinatorRuntime runtime_;
+  std::optional<AdminHandler> admin_handler_;
+  std::optional<net::AdminServer> admin_server_;
+  std::optional<platform::DiscoveryWatch> discovery_watch_;
+  std::optional<dns::ZoneSource> zone_source_;
+  std::unique_ptr<net::Handler> handler_;
+  std::optional<net::Server> server_;
+};
+
+}  // namespace liftrudder::app
+
+#endif  // LIFTRUDDER_APP_COORDINATOR_SERVER_H_
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -80,8 +80,9 @@
 
 int AskCoordinator(const Options& options) {
   std::string target = "/-/why";
-  for (const auto& [name, value] : options.Parameters())
+  for (const auto& [name, value] : options.Parameters()) {
     target += fmt::format("{}{}={}", target.find('?') == std::string::npos ? '?' : '&', name, Escaped(value));
+  }
   net::Fd fd = net::Connect(options.at, kPatience);
   if (!fd.Valid()) {
     fmt::print(stderr, "no gatherer at {}\n", options.at);
--- /dev/null
+++ b/src/app/graceful_shutdown.cpp
@@ -0,0 +1,40 @@
+#include "app/graceful_shutdown.h"
+
+#include <algorithm>
+#include <chrono>
+#include <thread>
+
+#include "log/log.h"
+
+namespace liftrudder::app {
+namespace {
+
+using coordinator::Micros;
+
+constexpr Micros kStillListeningUs = 700'000;
+constexpr Micros kSignalPollUs = 50'000;  // how soon a signal is noticed meanwhile
+
+void ObeyPendingReload(const ShutdownContext& context) {
+  if (context.signals.WaitFor(0) == ControlSignal::kReload) context.reloader.Reload();
+}
+
+void KeepListening(const ShutdownContext& context) {
+  const Micros until_us = context.clock.Now() + kStillListeningUs;
+  for (Micros left_us = kStillListeningUs; left_us > 0; left_us = until_us - context.clock.Now()) {
+    std::this_thread::sleep_for(std::chrono::microseconds(std::min(left_us, kSignalPollUs)));
+    ObeyPendingReload(context);
+  }
+}
+
+}  // namespace
+
+void ShutDownGracefully(net::Server& server, const ShutdownContext& context, int open_queries) {
+  server.Drain();
+  if (context.listener_is_shared) server.LeaveListener();
+  log::Info("shutting down; {} queries are in flight", open_queries);
+  KeepListening(context);
+  server.StopListening();
+  while (!server.WaitClosed(kSignalPollUs)) ObeyPendingReload(context);
+}
+
+}  // namespace liftrudder::app
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -155,8 +155,9 @@
   for (auto [name, where] : {std::pair("--issuer", &options->issuer),
                              {"--audience", &options->audience},
                              {"--tenant", &options->tenant},
-                             {"--subject", &options->subject}})
+                             {"--subject", &options->subject}}) {
     sign->add_option(name, *where, "As in the operator's file; not beside --jwk")->excludes(jwk);
+  }
   sign->add_option("--life", options->life_s, "Seconds until it expires; below 0: expired already")
       ->check(CLI::Range(-86'400, 86'400))
       ->excludes(jwk);
--- a/src/app/identity_command.h
+++ b/src/app/identity_command.h
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-namespace CLI {
+namespace CLI {  // NOLINT(readability-identifier-naming): the name of the library
 class App;
 }
 
--- a/src/app/identity_files.cpp
+++ b/src/app/identity_files.cpp
@@ -1,8 +1,11 @@
 #include "app/identity_files.h"
 
 #include <stdexcept>
+#include <utility>
+#include <variant>
 #include <vector>
 
+#include "app/wire_names.h"
 #include "config/config.h"
 #include "log/log.h"
 #include "net/json.h"
@@ -10,22 +13,25 @@
 namespace liftrudder::app {
 namespace {
 
-void Say(const std::vector<std::string>& changes) {
+void LogChanges(const std::vector<std::string>& changes) {
   for (const std::string& change : changes) log::Info("audit: {}", change);
 }
 
+identity::PermissionTable ParsePermissions(std::string_view identity_member) {
+  auto read = identity::PermissionTable::Read(identity_member);
+  if (const auto* wrong = std::get_if<std::string>(&read)) throw config::ConfigError(*wrong);
+  return std::get<identity::PermissionTable>(std::move(read));
+}
+
 }  // namespace
 
 std::unique_ptr<IdentityFiles> IdentityFiles::Open(const std::string& operator_file, std::string_view text) {
-  std::string_view member = net::json::Get(text, "identity");
+  std::string_view member = net::json::Get(text, wire::kIdentityMember);
   if (member.empty()) return nullptr;
-  auto read = identity::PermissionTable::Read(member);
-  if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
-  std::unique_ptr<IdentityFiles> out(
-      new IdentityFiles(operator_file, std::get<identity::PermissionTable>(std::move(read))));
-  out->TakeKeys();
-  if (!out->said_.empty()) throw std::runtime_error(out->said_);
-  return out;
+  std::unique_ptr<IdentityFiles> files(new IdentityFiles(operator_file, ParsePermissions(member)));
+  files->ReadKeys();
+  if (!files->last_error_.empty()) throw config::ConfigError(files->last_error_);
+  return files;
 }
 
 IdentityFiles::IdentityFiles(std::string operator_file, identity::PermissionTable permission_table)
@@ -33,13 +39,22 @@
       keys_file_(Beside(operator_file_, permission_table.keys_file)),
       authenticator_(std::move(permission_table)) {}
 
-void IdentityFiles::Look() {
-  if (StampOf(keys_file_) != seen_) TakeKeys();
+void IdentityFiles::Poll() {
+  if (StampOf(keys_file_) != last_stamp_) ReadKeys();
 }
 
-void IdentityFiles::TakeKeys() {
-  // Taken before the file is read: a change while it is read is seen at the next look.
-  seen_ = StampOf(keys_file_);
+void IdentityFiles::Reload() {
+  try {
+    ReadPermissions();
+  } catch (const std::runtime_error& error) {
+    log::Error("{}; the permissions in use stay", error.what());
+  }
+  ReadKeys();
+}
+
+void IdentityFiles::ReadKeys() {
+  // Stamped before it is read: a change meanwhile is noticed by the next poll.
+  last_stamp_ = StampOf(keys_file_);
   std::vector<std::string> changes;
   std::string wrong;
   try {
@@ -48,26 +63,20 @@
     wrong = error.what();
   }
   if (!wrong.empty()) wrong = "keys in " + keys_file_ + ": " + wrong;
-  if (!wrong.empty() && wrong != said_) log::Error("{}; the keys so far stay", wrong);
-  said_ = wrong;
-  Say(changes);
+  if (!wrong.empty() && wrong != last_error_) log::Error("{}; the keys so far stay", wrong);
+  last_error_ = wrong;
+  LogChanges(changes);
 }
 
-void IdentityFiles::Reload() {
-  try {
-    auto read = identity::PermissionTable::Read(net::json::Get(config::ReadFile(operator_file_), "identity"));
-    if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
-    auto& permission_table = std::get<identity::PermissionTable>(read);
-    std::string keys_file = Beside(operator_file_, permission_table.keys_file);
-    std::vector<std::string> changes;
-    if (auto wrong = authenticator_.TakePermissions(std::move(permission_table), changes))
-      throw std::runtime_error("identity: " + *wrong);
-    keys_file_ = keys_file;
-    Say(changes);
-  } catch (const std::runtime_error& error) {
-    log::Error("{}; the rights so far stay", error.what());
-  }
-  TakeKeys();
+void IdentityFiles::ReadPermissions() {
+  const std::string text = config::ReadFile(operator_file_);
+  identity::PermissionTable table = ParsePermissions(net::json::Get(text, wire::kIdentityMember));
+  std::string keys_file = Beside(operator_file_, table.keys_file);
+  std::vector<std::string> changes;
+  auto wrong = authenticator_.TakePermissions(std::move(table), changes);
+  if (wrong) throw config::ConfigError("identity: " + *wrong);
+  keys_file_ = std::move(keys_file);
+  LogChanges(changes);
 }
 
 }  // namespace liftrudder::app
--- a/src/app/identity_files.h
+++ b/src/app/identity_files.h
@@ -1,40 +1,42 @@
-// The files that say who callers are: watched, and read again when told to. A file that cannot be read or is
-// wrong changes nothing, and that is said once. One thread.
+// The files that say who clients are and what they may do: the operator's file with the permission table, and
+// the key set that it names. Polled for changes, and read again on reload. A file that cannot be read or is
+// wrong changes nothing, and each new reason is logged once. Main thread, but for the authenticator.
 #ifndef LIFTRUDDER_APP_IDENTITY_FILES_H_
 #define LIFTRUDDER_APP_IDENTITY_FILES_H_
 
 #include <memory>
-#include <optional>
 #include <string>
+#include <string_view>
 
-#include "app/files.h"
+#include "app/watched_files.h"
 #include "identity/authenticator.h"
 
 namespace liftrudder::app {
 
 class IdentityFiles {
  public:
-  // `operator_file` has the book in its "identity" member; without one there is nothing, and all may ask.
-  // Throws std::runtime_error where it is wrong, or the keys cannot be read: a program that starts without
-  // keys turns everybody away.
+  // Null where the operator's file, whose content is `text`, has no identity member: all clients are admitted
+  // then. Throws config::ConfigError where it is wrong or the keys cannot be read, since a program that
+  // starts without keys would reject everybody.
   static std::unique_ptr<IdentityFiles> Open(const std::string& operator_file, std::string_view text);
 
   identity::Authenticator& authenticator() { return authenticator_; }
-  // Looks whether the key file has changed; to be called at least every kLookUs (files.h), so that a
-  // withdrawal counts within a second of its file.
-  void Look();
-  // Reads both files again, whether they look changed or not.
+  // Reads the key set again if its file has changed. To be called at least every kPollIntervalUs
+  // (watched_files.h), so that a withdrawn key is refused within a second.
+  void Poll();
+  // Reads both files again, changed or not.
   void Reload();
 
  private:
   IdentityFiles(std::string operator_file, identity::PermissionTable permission_table);
-  void TakeKeys();
+  void ReadKeys();
+  void ReadPermissions();  // throws config::ConfigError
 
   const std::string operator_file_;
   std::string keys_file_;
   identity::Authenticator authenticator_;
-  FileStamp seen_;
-  std::string said_;  // of the last attempt that failed
+  FileStamp last_stamp_;    // of keys_file_
+  std::string last_error_;  // of reading the keys, logged already; empty: they were read
 };
 
 }  // namespace liftrudder::app
--- /dev/null
+++ b/src/app/signals.h
@@ -0,0 +1,36 @@
+// The signals that control a running coordinator, received synchronously on the main thread. They are blocked
+// in every thread, so no code runs in a signal handler.
+#ifndef LIFTRUDDER_APP_SIGNALS_H_
+#define LIFTRUDDER_APP_SIGNALS_H_
+
+#include <signal.h>  // NOLINT(modernize-deprecated-headers): sigset_t is POSIX, not in <csignal>
+
+#include "coordinator/interfaces.h"
+
+namespace liftrudder::app {
+
+enum class ControlSignal {
+  kNone,           // nothing came in time, or the wait was interrupted
+  kPrintCounters,  // SIGUSR1
+  kReload,         // SIGHUP
+  kTerminate,      // SIGTERM, SIGINT
+};
+
+// Owned by the main thread.
+class ControlSignals {
+ public:
+  // Blocks the signals in the calling thread. To be constructed before any other thread starts, since threads
+  // inherit the mask.
+  ControlSignals();
+
+  ControlSignal Wait() const;
+  // Waits at most that long.
+  ControlSignal WaitFor(coordinator::Micros timeout_us) const;
+
+ private:
+  sigset_t set_{};
+};
+
+}  // namespace liftrudder::app
+
+#endif  // LIFTRUDDER_APP_SIGNALS_H_
--- /dev/null
+++ b/src/app/startup_error.h
@@ -0,0 +1,17 @@
+// Why the program cannot start; thrown during start-up only and printed by main().
+#ifndef LIFTRUDDER_APP_STARTUP_ERROR_H_
+#define LIFTRUDDER_APP_STARTUP_ERROR_H_
+
+#include <stdexcept>
+
+namespace liftrudder::app {
+
+// The text names what could not be had and its value, such as the address or the file.
+class StartupError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+}  // namespace liftrudder::app
+
+#endif  // LIFTRUDDER_APP_STARTUP_ERROR_H_
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -2,8 +2,12 @@
 
 #include <fmt/chrono.h>
 
+#include <ctime>
 #include <stdexcept>
+#include <utility>
+#include <variant>
 
+#include "app/wire_names.h"
 #include "config/config.h"
 #include "identity/json_members.h"
 #include "identity/strict_json.h"
@@ -15,110 +19,132 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMostPairs = 16;
-constexpr std::size_t kMostBytes = 1024 * 1024;  // of a file
+constexpr std::size_t kMaxKeyPairs = 16;
+constexpr std::size_t kMaxFileBytes = 1024 * 1024;
 
-std::string Read(const std::string& path) {
+std::string ReadBoundedFile(const std::string& path) {
   std::string text = config::ReadFile(path);
-  if (text.size() > kMostBytes) throw std::runtime_error(path + " has over a MiB");
+  if (text.size() > kMaxFileBytes) throw config::ConfigError(path + " has over a MiB");
   return text;
 }
 
+void ThrowIfWrong(const identity::JsonMembers& members) {
+  if (!members.wrong.empty()) throw config::ConfigError(members.wrong);
+}
+
+// A member that is not known is an error too.
+void EndMembers(identity::JsonMembers& members) {
+  members.End();
+  ThrowIfWrong(members);
+}
+
+const Json& KeyPairArray(identity::JsonMembers& members) {
+  const Json* pairs = members.Member(wire::kTlsCertificates);
+  const bool usable =
+      pairs != nullptr && pairs->is_array() && !pairs->empty() && pairs->size() <= kMaxKeyPairs;
+  if (!usable) {
+    throw config::ConfigError(
+        fmt::format("tls: [{}] must be a list of 1 to {}", wire::kTlsCertificates, kMaxKeyPairs));
+  }
+  return *pairs;
+}
+
 }  // namespace
 
 std::unique_ptr<TlsFiles> TlsFiles::Open(const std::string& operator_file, std::string_view text,
                                          const coordinator::Clock& clock) {
-  std::string_view member = net::json::Get(text, "tls");
+  std::string_view member = net::json::Get(text, wire::kTlsMember);
   if (member.empty()) return nullptr;
-  std::unique_ptr<TlsFiles> out(new TlsFiles(operator_file, clock));
-  out->names_ = out->ReadNames(member);
-  out->Take();
-  return out;
+  std::unique_ptr<TlsFiles> files(new TlsFiles(operator_file, clock));
+  files->paths_ = files->ReadPaths(member);
+  files->ReadMaterial();
+  return files;
 }
 
-TlsFiles::Names TlsFiles::ReadNames(std::string_view text) const {
-  auto read = identity::ReadStrictJson(text, kMostBytes);
-  if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error("tls: " + *wrong);
-  Names out;
-  auto need = [](identity::JsonMembers& members) {
-    members.End();
-    if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
-  };
+TlsFiles::Paths TlsFiles::ReadPaths(std::string_view tls_member) const {
+  auto read = identity::ReadStrictJson(tls_member, kMaxFileBytes);
+  if (const auto* wrong = std::get_if<std::string>(&read)) throw config::ConfigError("tls: " + *wrong);
+  Paths paths;
   identity::JsonMembers members(std::get<Json>(read), "tls");
-  if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
-  const Json* pairs = members.Member("certificates");
-  if (pairs == nullptr || !pairs->is_array() || pairs->empty() || pairs->size() > kMostPairs)
-    throw std::runtime_error(fmt::format("tls: [certificates] must be a list of 1 to {}", kMostPairs));
-  for (std::size_t i = 0; i < pairs->size(); ++i) {
-    identity::JsonMembers pair((*pairs)[i], fmt::format("tls: certificate {}", i + 1));
-    std::string certificate, key;
-    if (pair.wrong.empty()) pair.Take("certificate", certificate);
-    if (pair.wrong.empty()) pair.Take("key", key);
-    if (certificate.empty() || key.empty()) pair.Wrong("names no [certificate] or no [key]");
-    need(pair);
-    out.pairs.emplace_back(Beside(operator_file_, certificate), Beside(operator_file_, key));
+  ThrowIfWrong(members);
+  const Json& pairs = KeyPairArray(members);
+  for (std::size_t i = 0; i < pairs.size(); ++i) {
+    identity::JsonMembers pair(pairs[i], fmt::format("tls: certificate {}", i + 1));
+    KeyPairPaths names;
+    if (pair.wrong.empty()) pair.Take(wire::kTlsCertificate, names.certificate);
+    if (pair.wrong.empty()) pair.Take(wire::kTlsKey, names.key);
+    if (names.certificate.empty() || names.key.empty()) pair.Wrong("names no [certificate] or no [key]");
+    EndMembers(pair);
+    paths.key_pairs.push_back({Beside(operator_file_, names.certificate), Beside(operator_file_, names.key)});
   }
-  if (const Json* clients = members.Member("clients")) {
-    identity::JsonMembers of(*clients, "tls: clients");
-    if (of.wrong.empty()) of.Take("issuers", out.issuers);
-    if (of.wrong.empty()) of.Take("revoked", out.revoked);
-    if (of.wrong.empty()) of.Take("required", out.required);
-    if (out.issuers.empty()) of.Wrong("names no [issuers]");
-    need(of);
-    out.issuers = Beside(operator_file_, out.issuers);
-    if (!out.revoked.empty()) out.revoked = Beside(operator_file_, out.revoked);
+  if (const Json* clients = members.Member(wire::kTlsClients)) {
+    identity::JsonMembers client_members(*clients, "tls: clients");
+    if (client_members.wrong.empty()) client_members.Take(wire::kTlsClientIssuers, paths.client_issuers);
+    if (client_members.wrong.empty()) client_members.Take(wire::kTlsClientRevoked, paths.revoked);
+    if (client_members.wrong.empty()) {
+      client_members.Take(wire::kTlsClientRequired, paths.client_certificate_required);
+    }
+    if (paths.client_issuers.empty()) client_members.Wrong("names no [issuers]");
+    EndMembers(client_members);
+    paths.client_issuers = Beside(operator_file_, paths.client_issuers);
+    if (!paths.revoked.empty()) paths.revoked = Beside(operator_file_, paths.revoked);
   }
-  need(members);
-  return out;
+  EndMembers(members);
+  return paths;
 }
 
-std::vector<std::pair<std::string, FileStamp>> TlsFiles::Stamps() const {
-  std::vector<std::pair<std::string, FileStamp>> out;
-  auto add = [&out](const std::string& path) {
-    if (!path.empty()) out.emplace_back(path, StampOf(path));
+std::vector<TlsFiles::PathStamp> TlsFiles::Stamps() const {
+  std::vector<PathStamp> stamps;
+  auto add = [&stamps](const std::string& path) {
+    if (!path.empty()) stamps.push_back({path, StampOf(path)});
   };
-  for (const auto& [certificate, key] : names_.pairs) add(certificate), add(key);
-  add(names_.issuers), add(names_.revoked);
-  return out;
+  for (const KeyPairPaths& pair : paths_.key_pairs) {
+    add(pair.certificate);
+    add(pair.key);
+  }
+  add(paths_.client_issuers);
+  add(paths_.revoked);
+  return stamps;
 }
 
-void TlsFiles::Take() {
-  // Taken before the files are read: a change while they are read is seen at the next look.
-  seen_ = Stamps();
+void TlsFiles::ReadMaterial() {
+  // Stamped before they are read: a change meanwhile is noticed by the next poll.
+  last_stamps_ = Stamps();
   net::TlsMaterial material;
-  for (const auto& [certificate, key] : names_.pairs)
-    material.pairs.push_back({Read(certificate), Read(key)});
-  if (!names_.issuers.empty()) material.client_ca = Read(names_.issuers);
-  if (!names_.revoked.empty()) material.revoked = Read(names_.revoked);
-  material.client_required = names_.required;
+  for (const KeyPairPaths& pair : paths_.key_pairs) {
+    material.pairs.push_back({ReadBoundedFile(pair.certificate), ReadBoundedFile(pair.key)});
+  }
+  if (!paths_.client_issuers.empty()) material.client_ca = ReadBoundedFile(paths_.client_issuers);
+  if (!paths_.revoked.empty()) material.revoked = ReadBoundedFile(paths_.revoked);
+  material.client_required = paths_.client_certificate_required;
   std::shared_ptr<const net::TlsContext> before = source_.Get();
   if (before != nullptr && before->material() == material) return;
   auto made = net::TlsContext::Make(std::move(material), clock_, before.get());
-  if (const auto* wrong = std::get_if<std::string>(&made)) throw std::runtime_error("tls: " + *wrong);
+  if (const auto* wrong = std::get_if<std::string>(&made)) throw config::ConfigError("tls: " + *wrong);
   source_.Set(std::get<0>(made));
   log::Info("audit: tls shows {} from now on; the first to end does so at {:%Y-%m-%dT%H:%M:%SZ}",
             source_.Get()->subjects(), fmt::gmtime(static_cast<std::time_t>(source_.Get()->expires_s())));
 }
 
-void TlsFiles::Look() {
-  if (Stamps() == seen_) return;
+void TlsFiles::Poll() {
+  if (Stamps() == last_stamps_) return;
   try {
-    Take();
-    said_.clear();
+    ReadMaterial();
+    last_error_.clear();
   } catch (const std::runtime_error& error) {
-    if (said_ != error.what()) log::Error("{}; what was there so far stays", error.what());
-    said_ = error.what();
+    if (last_error_ != error.what()) log::Error("{}; the certificates in use stay", error.what());
+    last_error_ = error.what();
   }
 }
 
 void TlsFiles::Reload() {
   try {
-    names_ = ReadNames(net::json::Get(config::ReadFile(operator_file_), "tls"));
+    paths_ = ReadPaths(net::json::Get(config::ReadFile(operator_file_), wire::kTlsMember));
   } catch (const std::runtime_error& error) {
-    log::Error("{}; the files named so far stay", error.what());
+    log::Error("{}; the files named before stay in use", error.what());
   }
-  seen_.clear();
-  Look();
+  last_stamps_.clear();
+  Poll();
 }
 
 }  // namespace liftrudder::app
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -1,48 +1,63 @@
-// The files of TLS that an operator's file names: read at the start, watched, read again when told to. Files
-// that cannot be read or do not fit change nothing, and that is said once. One thread but for source().
+// The TLS files that the operator's file names: read at start-up, polled for changes, read again on reload.
+// Files that cannot be read or do not fit change nothing, and each new reason is logged once. Main thread,
+// but for source(), which is for any thread.
 #ifndef LIFTRUDDER_APP_TLS_FILES_H_
 #define LIFTRUDDER_APP_TLS_FILES_H_
 
 #include <memory>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
-#include "app/files.h"
+#include "app/watched_files.h"
 #include "net/tls.h"
 
 namespace liftrudder::app {
 
 class TlsFiles {
  public:
-  // Null where the operator's file has no member "tls". Throws std::runtime_error saying what is wrong.
+  // Null where the operator's file, whose content is `text`, has no TLS member. Throws config::ConfigError
+  // with what is wrong. `clock` outlives the object.
   static std::unique_ptr<TlsFiles> Open(const std::string& operator_file, std::string_view text,
                                         const coordinator::Clock& clock);
 
   const net::TlsSource& source() const { return source_; }
-  void Look();
+  // Reads the files again if one of them has changed.
+  void Poll();
+  // Reads the operator's file again, then the files that it names.
   void Reload();
 
  private:
-  struct Names {
-    std::vector<std::pair<std::string, std::string>> pairs;  // certificate, key
-    std::string issuers, revoked;
-    bool required = false;
+  struct KeyPairPaths {
+    std::string certificate;
+    std::string key;
+  };
+  struct Paths {
+    std::vector<KeyPairPaths> key_pairs;
+    std::string client_issuers;  // empty: clients are not asked for certificates
+    std::string revoked;         // empty: no revocation list
+    bool client_certificate_required = false;
+  };
+  struct PathStamp {
+    std::string path;
+    FileStamp stamp;
+    bool operator==(const PathStamp&) const = default;
   };
 
   TlsFiles(std::string operator_file, const coordinator::Clock& clock)
       : operator_file_(std::move(operator_file)), clock_(clock) {}
-  Names ReadNames(std::string_view text) const;
-  std::vector<std::pair<std::string, FileStamp>> Stamps() const;
-  void Take();  // throws
+  // These throw config::ConfigError.
+  Paths ReadPaths(std::string_view tls_member) const;
+  void ReadMaterial();
+
+  std::vector<PathStamp> Stamps() const;
 
   const std::string operator_file_;
   const coordinator::Clock& clock_;
-  Names names_;
-  std::vector<std::pair<std::string, FileStamp>> seen_;
+  Paths paths_;
+  std::vector<PathStamp> last_stamps_;
   net::TlsSource source_;
-  std::string said_;  // of the last attempt that failed
+  std::string last_error_;  // logged already
 };
 
 }  // namespace liftrudder::app
--- a/src/app/files.cpp
+++ b/src/app/watched_files.cpp
@@ -1,19 +1,24 @@
-#include "app/files.h"
+#include "app/watched_files.h"
 
 #include <sys/stat.h>
 
 #include <filesystem>
 
 namespace liftrudder::app {
+namespace {
+
+constexpr std::int64_t kNanosPerSecond = 1'000'000'000;
+
+}  // namespace
 
 std::string Beside(const std::string& operator_file, const std::string& path) {
   return (std::filesystem::path(operator_file).parent_path() / path).string();
 }
 
 FileStamp StampOf(const std::string& path) {
-  struct stat at {};
-  if (::stat(path.c_str(), &at) != 0) return {};
-  return {at.st_mtim.tv_sec * 1'000'000'000 + at.st_mtim.tv_nsec, at.st_size, at.st_ino};
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0) return {};
+  return {status.st_mtim.tv_sec * kNanosPerSecond + status.st_mtim.tv_nsec, status.st_size, status.st_ino};
 }
 
 }  // namespace liftrudder::app
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,9 +6,10 @@
 #include <charconv>
 #include <fstream>
 #include <sstream>
-#include <stdexcept>
 
+#include "config/endpoint_list.h"
 #include "config/routing_settings.h"
+#include "config/wire_names.h"
 #include "net/admin_server.h"
 #include "net/json.h"
 
@@ -18,202 +19,149 @@
 namespace json = net::json;
 
 constexpr std::int64_t kMiB = 1024 * 1024;
-
-std::string Text(std::string_view object, std::string_view key) {
-  auto value = json::String(json::Get(object, key));
-  return value ? *value : std::string();
+constexpr int kDefaultMemoryMb = 192;
+constexpr int kSeedBase = 16;
+
+// The default is a share of the memory that holds a minute or more of a busy coordinator's queries and is not
+// missed by serving.
+constexpr std::int64_t kDecisionLogMemoryDivisor = 48;
+constexpr std::int64_t kMinDecisionLogBytes = kMiB;
+constexpr std::int64_t kMaxDefaultDecisionLogBytes = 8 * kMiB;
+constexpr std::int64_t kMaxDecisionLogBytes = 64 * kMiB;
+
+std::string StringOrEmpty(std::string_view object, std::string_view key) {
+  return json::String(json::Get(object, key)).value_or("");
 }
 
 std::int64_t IntegerOr(std::string_view object, std::string_view key, std::int64_t otherwise) {
   return json::Integer(json::Get(object, key)).value_or(otherwise);
 }
 
-std::vector<std::string> Names(std::string_view array) {
-  std::vector<std::string> out;
-  json::Elements(array, [&out](std::string_view value) {
-    out.push_back(json::String(value).value_or(""));
+std::vector<std::string> Strings(std::string_view array) {
+  std::vector<std::string> strings;
+  json::Elements(array, [&strings](std::string_view value) {
+    strings.push_back(json::String(value).value_or(""));
     return true;
   });
-  return out;
+  return strings;
 }
 
-int Place(const std::vector<std::string>& names, const std::string& name) {
-  auto found = std::ranges::find(names, name);
-  return found == names.end() ? 0 : static_cast<int>(found - names.begin());
+std::vector<std::string> ClassNames(std::string_view settings) {
+  std::vector<std::string> names;
+  json::Elements(json::Get(settings, wire::kClasses), [&names](std::string_view query_class) {
+    names.push_back(StringOrEmpty(query_class, wire::kClassName));
+    return true;
+  });
+  return names;
 }
 
-routing::Availability State(std::string_view value) {
-  std::string_view state = json::RawString(value).value_or("");
-  if (state == "ready") return routing::Availability::kReady;
-  if (state == "draining") return routing::Availability::kDraining;
-  if (state == "gone") return routing::Availability::kGone;
-  throw std::runtime_error(fmt::format("unknown state {}", value));
+std::string DecisionLogKey(std::string_view member) {
+  return fmt::format("{}.{}", wire::kDecisionLog, member);
 }
 
-// In one pass: a list of a thousand is read while a drain runs, on a share of a core.
-coordinator::EndpointEntry Entry(std::string_view text, const Config& config) {
-  coordinator::EndpointEntry entry;
-  bool stated = false;
-  bool ok = json::JsonMembers(text, [&](std::string_view key, std::string_view value) {
-    auto name = [&value] { return json::String(value).value_or(""); };
-    auto integer = [&]() -> std::int64_t {
-      auto number = json::Integer(value);
-      if (!number) throw std::runtime_error(fmt::format("{} is {}, not an integer", key, value));
-      return *number;
-    };
-    if (key == "id") entry.id = name();
-    if (key == "addr") entry.addr = name();
-    if (key == "cell") entry.told.cell = static_cast<int>(integer());
-    if (key == "zone") entry.told.zone = Place(config.zones, name());
-    if (key == "kind") entry.told.kind = Place(config.kinds, name());
-    if (key == "weight") entry.told.weight = json::Number(value).value_or(1);
-    // The module's clock starts at wall time.
-    if (key == "started_ms") entry.told.started_us = integer() * 1000;
-    if (key == "state") entry.told.availability = State(value);
-    stated = stated || key == "state";
-    return true;
-  });
-  if (!ok) throw std::runtime_error("not an object");
-  if (entry.id.empty()) throw std::runtime_error("no id");
-  if (!stated) throw std::runtime_error("no state");
-  return entry;
+std::size_t ParseDecisionLogBytes(std::string_view value) {
+  auto bytes = json::Integer(value);
+  const bool off = bytes && *bytes == 0;
+  const bool fits = bytes && *bytes >= kMinDecisionLogBytes && *bytes <= kMaxDecisionLogBytes;
+  if (!off && !fits) {
+    throw ConfigError(
+        DecisionLogKey(wire::kDecisionLogBytes), std::string(value),
+        fmt::format("is neither 0 nor from {} to {}", kMinDecisionLogBytes, kMaxDecisionLogBytes));
+  }
+  return static_cast<std::size_t>(*bytes);
+}
+
+void TakeDecisionLogMember(std::string_view name, std::string_view value, DecisionLogOptions& options) {
+  if (name == wire::kDecisionLogBytes) {
+    options.bytes = ParseDecisionLogBytes(value);
+  } else if (name == wire::kDecisionLogFile) {
+    auto file = json::String(value);
+    if (!file) throw ConfigError(DecisionLogKey(wire::kDecisionLogFile), std::string(value), "is not a text");
+    options.file = *file;
+  } else {
+    throw ConfigError(fmt::format("{}: there is no such setting; there are {} and {}", DecisionLogKey(name),
+                                  wire::kDecisionLogBytes, wire::kDecisionLogFile));
+  }
 }
 
-// A share of the memory that holds a minute and more of a busy gatherer's queries, and is not missed by
-// serving.
 DecisionLogOptions ReadDecisionLogOptions(std::string_view text, int memory_mb) {
-  static constexpr std::int64_t kShare = 48, kLeast = kMiB, kMost = 8 * kMiB, kLargest = 64 * kMiB;
-  DecisionLogOptions out;
-  out.bytes = static_cast<std::size_t>(std::clamp(memory_mb * kMiB / kShare, kLeast, kMost));
-  if (text.empty()) return out;
-  bool ok = json::JsonMembers(text, [&out](std::string_view name, std::string_view value) {
-    if (name == "bytes") {
-      auto bytes = json::Integer(value);
-      if (!bytes || *bytes < 0 || *bytes > kLargest || (*bytes > 0 && *bytes < kLeast))
-        throw std::runtime_error(
-            fmt::format("why.bytes: {} is neither 0 nor from {} to {}", value, kLeast, kLargest));
-      out.bytes = static_cast<std::size_t>(*bytes);
-    } else if (name == "file") {
-      auto file = json::String(value);
-      if (!file) throw std::runtime_error(fmt::format("why.file: {} is not a text", value));
-      out.file = *file;
-    } else {
-      throw std::runtime_error(
-          fmt::format("why.{}: there is no such setting; there are bytes and file", name));
-    }
+  DecisionLogOptions options;
+  options.bytes = static_cast<std::size_t>(std::clamp(memory_mb * kMiB / kDecisionLogMemoryDivisor,
+                                                      kMinDecisionLogBytes, kMaxDefaultDecisionLogBytes));
+  if (text.empty()) return options;
+  bool is_object = json::JsonMembers(text, [&options](std::string_view name, std::string_view value) {
+    TakeDecisionLogMember(name, value, options);
     return true;
   });
-  if (!ok) throw std::runtime_error("why: not an object");
-  return out;
+  if (!is_object) throw ConfigError(fmt::format("{}: not an object", wire::kDecisionLog));
+  return options;
 }
 
-}  // namespace
-
-coordinator::EndpointList ParseEndpointList(std::string_view text, const Config& config) {
-  coordinator::EndpointList list;
-  std::optional<std::int64_t> version;
-  std::optional<bool> full;
-  std::string_view servers;
-  bool ok = json::JsonMembers(text, [&](std::string_view key, std::string_view value) {
-    if (key == "version") version = json::Integer(value);
-    if (key == "full") full = json::Bool(value);
-    if (key == "servers") servers = value;
-    return true;
-  });
-  if (!ok || !version || *version < 0 || !full)
-    throw std::runtime_error("holder list: no version, or not said whether full");
-  list.version = static_cast<std::uint64_t>(*version);
-  list.kind = *full ? routing::EndpointListKind::kFull : routing::EndpointListKind::kDelta;
-  ok = json::Elements(servers, [&](std::string_view entry) {
-    try {
-      list.entries.push_back(Entry(entry, config));
-    } catch (const std::runtime_error& error) {
-      throw std::runtime_error(
-          fmt::format("holder list {}: entry {}: {}", list.version, list.entries.size() + 1, error.what()));
-    }
-    return true;
-  });
-  if (!ok) throw std::runtime_error("holder list: no list of servers");
-  return list;
+void ReadIdentification(std::string_view text, Config& config) {
+  config.name = StringOrEmpty(text, wire::kName);
+  config.listen = StringOrEmpty(text, wire::kListenAddress);
+  config.discovery = StringOrEmpty(text, wire::kDiscoveryAddress);
+  const std::string seed = StringOrEmpty(text, wire::kSeed);
+  std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, kSeedBase);
 }
 
-Budget ShareOut(int sockets, int memory_mb, int endpoints) {
-  // Kept back: standard streams, listener, discovery's old and new watch, the clients that are just being
-  // ended or turned away, and what is being accepted just now.
-  constexpr int kReserve = 48;
-  // A connection's thread touches some 20 KiB of its stack; a head and a body as large as they may be are 80
-  // KiB more. A third of the memory stays with the core, its queue and the allocator.
-  constexpr int kPerMb = 10;
-  // A query for every shard has a part out at each holder at once: with less than a connection for each,
-  // parts wait for one to come free and connections are opened again and again. A quarter more is for holders
-  // that are replaced, and for second parts. Clients keep three eighths all the same: a gatherer of a large
-  // group sees few of them.
-  constexpr int kMore = 4, kMostOfEight = 5;
-  int descriptors = std::max(16, sockets - kReserve);
-  int threads = std::max(16, memory_mb * kPerMb * 2 / 3);
-  int all = std::min(descriptors, threads);
-  Budget budget;
-  budget.endpoints = endpoints;
-  // A third of the limit may be held by requests alone, and the mute ones and the idle come on top of that.
-  // Connections to holders have no thread and take none of the memory that those are counted in.
-  budget.endpoint_connections =
-      std::max(all / 4, std::min(endpoints + endpoints / kMore, descriptors * kMostOfEight / 8));
-  budget.client_connections = std::min(threads - all / 4, descriptors - budget.endpoint_connections);
-  budget.client_requests = std::min(budget.client_connections, std::max(4, sockets / 3));
-  return budget;
+void ReadSettings(std::string_view settings, Config& config) {
+  config.settings = ParseRoutingSettings(settings);
+  config.classes = ClassNames(settings);
+  config.zones = Strings(json::Get(settings, wire::kZones));
+  config.kinds = Strings(json::Get(settings, wire::kEndpointKinds));
+  config.load_names = Strings(json::Get(json::Get(settings, wire::kLoadReport), wire::kLoadReportNames));
+  std::string_view bounds = json::Get(settings, wire::kBounds);
+  config.connect_timeout_us = IntegerOr(bounds, wire::kConnectTimeout, config.connect_timeout_us);
+  config.idle_close_us = IntegerOr(bounds, wire::kIdleTimeout, config.idle_close_us);
+  config.streams_per_connection = std::max<int>(
+      1, static_cast<int>(IntegerOr(bounds, wire::kStreamsPerConnection, config.streams_per_connection)));
 }
 
-void PlaceMgmt(Config& config, const std::string& address) {
-  if (address.empty() || !config.mgmt.empty()) return;
-  config.mgmt = address;
-  config.sockets -= net::AdminServer::kDescriptors;
-  config.budget = ShareOut(config.sockets, config.memory_mb, config.budget.endpoints);
+// The decision log is taken off the memory.
+void ReadLimits(std::string_view text, Config& config) {
+  std::string_view limits = json::Get(text, wire::kLimits);
+  const int memory_mb = static_cast<int>(IntegerOr(limits, wire::kLimitMemoryMb, kDefaultMemoryMb));
+  config.decision_log = ReadDecisionLogOptions(json::Get(text, wire::kDecisionLog), memory_mb);
+  config.cores = json::Number(json::Get(limits, wire::kLimitCores)).value_or(config.cores);
+  config.descriptors = static_cast<int>(IntegerOr(limits, wire::kLimitDescriptors, config.descriptors));
+  const std::int64_t decision_log_mb =
+      (static_cast<std::int64_t>(config.decision_log.bytes) + kMiB - 1) / kMiB;
+  config.memory_mb = memory_mb - static_cast<int>(decision_log_mb);
 }
 
+}  // namespace
+
 Config Parse(std::string_view text) {
-  if (!json::Valid(text)) throw std::runtime_error("configuration: not JSON");
-  Config out;
-  out.name = Text(text, "name");
-  out.listen = Text(text, "listen");
-  out.discovery = Text(text, "discovery");
-  std::string seed = Text(text, "seed");
-  std::from_chars(seed.data(), seed.data() + seed.size(), out.seed, 16);
-  std::string_view settings = json::Get(text, "settings");
-  out.settings = ParseRoutingSettings(settings);
-  json::Elements(json::Get(settings, "grades"), [&out](std::string_view grade) {
-    out.classes.push_back(Text(grade, "name"));
-    return true;
-  });
-  out.zones = Names(json::Get(settings, "dcs"));
-  out.kinds = Names(json::Get(settings, "kinds"));
-  out.load_names = Names(json::Get(json::Get(settings, "loadInfo"), "names"));
-  std::string_view bounds = json::Get(settings, "bounds");
-  out.connect_timeout_us = IntegerOr(bounds, "connectTimeoutUs", out.connect_timeout_us);
-  out.idle_close_us = IntegerOr(bounds, "idleCloseUs", out.idle_close_us);
-  out.streams_per_connection =
-      std::max<int>(1, static_cast<int>(IntegerOr(bounds, "streamsPerConn", out.streams_per_connection)));
-  std::string_view limits = json::Get(text, "limits");
-  int memory_mb = static_cast<int>(IntegerOr(limits, "memory_mb", 192));
-  out.decision_log = ReadDecisionLogOptions(json::Get(text, "why"), memory_mb);
-  out.cores = json::Number(json::Get(limits, "cores")).value_or(out.cores);
-  std::string_view known = json::Get(text, "known");
-  if (!known.empty()) out.known = ParseEndpointList(known, out);
-  out.known.kind = routing::EndpointListKind::kCached;
-  // The list may be short or old: there is a holder for each cell at least.
-  int endpoints = std::max(static_cast<int>(out.known.entries.size()), out.settings.cells);
-  out.sockets = static_cast<int>(IntegerOr(limits, "sockets", out.sockets));
-  out.memory_mb = memory_mb - static_cast<int>((out.decision_log.bytes + kMiB - 1) / kMiB);
-  out.budget = ShareOut(out.sockets, out.memory_mb, endpoints);
-  PlaceMgmt(out, Text(text, "mgmt"));
-  return out;
+  if (!json::Valid(text)) throw ConfigError("configuration: not JSON");
+  Config config;
+  ReadIdentification(text, config);
+  ReadSettings(json::Get(text, wire::kSettings), config);
+  ReadLimits(text, config);
+  std::string_view cached = json::Get(text, wire::kCachedEndpointList);
+  if (!cached.empty()) config.cached_endpoints = ParseEndpointList(cached, config);
+  config.cached_endpoints.kind = routing::EndpointListKind::kCached;
+  // The list may be short or outdated: there is at least one endpoint for each cell.
+  const int endpoints =
+      std::max(static_cast<int>(config.cached_endpoints.entries.size()), config.settings.cells);
+  config.budget = ShareOut(config.descriptors, config.memory_mb, endpoints);
+  SetAdminAddress(config, StringOrEmpty(text, wire::kAdminAddress));
+  return config;
+}
+
+void SetAdminAddress(Config& config, const std::string& address) {
+  if (address.empty() || !config.admin_address.empty()) return;
+  config.admin_address = address;
+  config.descriptors -= net::AdminServer::kDescriptors;
+  config.budget = ShareOut(config.descriptors, config.memory_mb, config.budget.endpoints);
 }
 
 std::string ReadFile(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in) throw std::runtime_error("cannot read " + path);
-  std::ostringstream out;
-  out << in.rdbuf();
-  return out.str();
+  std::ifstream file(path, std::ios::binary);
+  if (!file) throw ConfigError("cannot read " + path);
+  std::ostringstream content;
+  content << file.rdbuf();
+  return content.str();
 }
 
 }  // namespace liftrudder::config
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -1,31 +1,37 @@
-// The JSON settings of an instance, read into the plain types of the interface. No key has a default that
-// matters: a key that must be there and is not is an error; a key that is not known is skipped.
 #include "config/routing_settings.h"
 
+#include <cstddef>
 #include <nlohmann/json.hpp>
+#include <string>
+#include <vector>
+
+#include "config/wire_names.h"
 
 namespace liftrudder::config {
 namespace {
 
-using routing::CheckSettings;
 using routing::Effect;
 using routing::Micros;
 using routing::QueryClassSettings;
 using routing::Settings;
 using Json = nlohmann::json;
 
-const Json& Need(const Json& object, const char* key) {
+SettingsError KeyError(const char* key, const std::string& problem) {
+  return SettingsError(std::string("settings: '") + key + "' " + problem);
+}
+
+const Json& Member(const Json& object, const char* key) {
   auto found = object.find(key);
-  if (found == object.end()) throw SettingsError(std::string("settings: '") + key + "' is missing");
+  if (found == object.end()) throw KeyError(key, "is missing");
   return *found;
 }
 
 template <typename T>
 T Get(const Json& object, const char* key) {
   try {
-    return Need(object, key).get<T>();
+    return Member(object, key).get<T>();
   } catch (const Json::exception&) {
-    throw SettingsError(std::string("settings: '") + key + "' has the wrong type");
+    throw KeyError(key, "has the wrong type");
   }
 }
 
@@ -35,93 +41,122 @@
 }
 
 Effect ParseEffect(const std::string& name) {
-  if (name == "idempotent") return Effect::kIdempotent;
-  if (name == "deduplicated") return Effect::kIdempotencyKey;
-  if (name == "at_most_once") return Effect::kNonIdempotent;
-  throw SettingsError("settings: 'effect' is '" + name + "', which is unknown");
+  if (name == wire::kEffectIdempotent) return Effect::kIdempotent;
+  if (name == wire::kEffectIdempotencyKey) return Effect::kIdempotencyKey;
+  if (name == wire::kEffectNonIdempotent) return Effect::kNonIdempotent;
+  throw KeyError(wire::kEffect, "is '" + name + "', which is unknown");
 }
 
-Settings Read(const Json& conf) {
-  Settings out;
-  const Json& info = Need(conf, "familyInfo");
-  const Json& grades = Need(conf, "grades");
-  auto floors = Get<std::vector<double>>(info, "classFloor");
-  auto wholes = Get<std::vector<double>>(info, "wholeAt");
-  auto incomplete = Get<std::vector<double>>(info, "incompleteWorth");
-  auto fetches = Get<std::vector<int>>(info, "classFetch");
-  if (!grades.is_array()) throw SettingsError("settings: 'grades' has the wrong type");
-  for (std::size_t i = 0; i < grades.size(); ++i) {
-    if (i >= floors.size() || i >= wholes.size() || i >= incomplete.size() || i >= fetches.size()) {
-      throw SettingsError("settings: 'familyInfo' has no figures for class " + std::to_string(i));
-    }
-    const Json& grade = grades[i];
-    QueryClassSettings cls;
-    cls.latency_objective_us = Get<Micros>(grade, "aimUs");
-    cls.client_timeout_us = Get<Micros>(grade, "giveUpUs");
-    cls.late_value_fraction = Get<double>(grade, "lateShare");
-    cls.worth = Get<double>(grade, "value");
-    cls.effect = ParseEffect(Get<std::string>(grade, "effect"));
-    cls.deduplication_window_us = GetOr<Micros>(grade, "repeatWindowUs", 0);
-    cls.objective_per_work = GetOr<double>(grade, "aimStretch", 0);
-    cls.fetch_phase_requests = fetches[i];
-    cls.floor = floors[i];
-    cls.complete_coverage = wholes[i];
-    cls.partial_value_factor = incomplete[i];
-    out.classes.push_back(cls);
-  }
-  if (conf.contains("projects")) {
-    for (const Json& project : conf["projects"]) {
-      out.tenants.push_back({Get<double>(project, "allowancePerS"), Get<double>(project, "fraction")});
+QueryClassSettings ReadClass(const Json& object) {
+  QueryClassSettings query_class;
+  query_class.latency_objective_us = Get<Micros>(object, wire::kLatencyObjective);
+  query_class.client_timeout_us = Get<Micros>(object, wire::kClientTimeout);
+  query_class.late_value_fraction = Get<double>(object, wire::kLateValueFraction);
+  query_class.worth = Get<double>(object, wire::kPriorityWeight);
+  query_class.effect = ParseEffect(Get<std::string>(object, wire::kEffect));
+  query_class.deduplication_window_us = GetOr<Micros>(object, wire::kDeduplicationWindow, 0);
+  query_class.objective_per_work = GetOr<double>(object, wire::kObjectivePerWork, 0);
+  return query_class;
+}
+
+// What a class has in the lists beside the classes.
+void ReadClasses(const Json& root, const Json& sharding, Settings& settings) {
+  const Json& classes = Member(root, wire::kClasses);
+  const auto minimum = Get<std::vector<double>>(sharding, wire::kMinimumCoverages);
+  const auto complete = Get<std::vector<double>>(sharding, wire::kCompleteCoverages);
+  const auto partial_value = Get<std::vector<double>>(sharding, wire::kPartialValueFactors);
+  const auto fetch_requests = Get<std::vector<int>>(sharding, wire::kFetchPhaseRequests);
+  if (!classes.is_array()) throw KeyError(wire::kClasses, "has the wrong type");
+  for (std::size_t i = 0; i < classes.size(); ++i) {
+    if (i >= minimum.size() || i >= complete.size() || i >= partial_value.size() ||
+        i >= fetch_requests.size()) {
+      throw KeyError(wire::kSharding, "has no figures for class " + std::to_string(i));
     }
+    QueryClassSettings query_class = ReadClass(classes[i]);
+    query_class.floor = minimum[i];
+    query_class.complete_coverage = complete[i];
+    query_class.partial_value_factor = partial_value[i];
+    query_class.fetch_phase_requests = fetch_requests[i];
+    settings.classes.push_back(query_class);
   }
-  out.zone = Get<int>(conf, "az");
-  out.fleet_size = Get<int>(conf, "groupSize");
-  out.ordinal = Get<int>(conf, "ordinal");
-  out.decision_interval_us = Get<Micros>(conf, "resolutionUs");
-  out.over_quota_value_factor = GetOr<double>(conf, "overShareWorth", 1);
-  out.subscription_required = GetOr<std::string>(conf, "registryMode", "automatic") == "subscribe";
-  out.cells = Get<int>(info, "cells");
-  out.reach = Get<int>(info, "reach");
-  out.shards = Get<int>(info, "slices");
-  out.max_requests_per_call = Get<int>(info, "perCall");
-  out.key_affinity = GetOr<bool>(info, "warmKeys", false);
-  const Json& bounds = Need(conf, "bounds");
-  out.max_attempts = Get<int>(bounds, "attemptsCap");
-  out.max_in_flight = GetOr<int>(bounds, "maxOpen", 0);
-  out.cancellation_allowed = Get<bool>(bounds, "cancelling");
-  out.health_checks_allowed = Get<bool>(bounds, "probes");
-  out.hedging_allowed = Get<bool>(bounds, "secondCopies");
-  out.retry_after_allowed = Get<bool>(bounds, "retryAfter");
-  out.max_retry_after_us = GetOr<Micros>(bounds, "maxRetryAfterUs", 0);
-  const Json& rules = Need(conf, "rules");
-  out.grace_to_answer_us = Get<Micros>(rules, "graceToAnswerUs");
-  out.drain_grace_us = GetOr<Micros>(rules, "stopSendingWithinUs", 0);
-  out.poll_deadline_us = GetOr<Micros>(rules, "askWithinUs", 0);
-  out.slow_start_capacity = GetOr<double>(rules, "startCapacity", 1);
-  out.slow_start_us = GetOr<Micros>(rules, "coldUs", 0);
-  out.collapse_load_multiple = GetOr<double>(rules, "fallMultiple", 0);
-  out.collapse_window_us = GetOr<Micros>(rules, "fallUs", 0);
-  out.has_retry_budget = rules.contains("resendSpanUs");
-  if (out.has_retry_budget) {
-    out.retry_budget_window_us = Get<Micros>(rules, "resendSpanUs");
-    out.retry_budget_floor = GetOr<double>(rules, "freeResends", 0);
-    out.retry_budget_ratio = GetOr<double>(rules, "furtherRatio", 0);
+}
+
+void ReadTenants(const Json& root, Settings& settings) {
+  if (!root.contains(wire::kTenants)) return;
+  for (const Json& tenant : root[wire::kTenants]) {
+    settings.tenants.push_back(
+        {Get<double>(tenant, wire::kTenantQuota), Get<double>(tenant, wire::kTenantFraction)});
   }
-  return out;
+}
+
+void ReadCoordinator(const Json& root, Settings& settings) {
+  settings.zone = Get<int>(root, wire::kZone);
+  settings.fleet_size = Get<int>(root, wire::kFleetSize);
+  settings.ordinal = Get<int>(root, wire::kOrdinal);
+  settings.decision_interval_us = Get<Micros>(root, wire::kDecisionInterval);
+  settings.over_quota_value_factor = GetOr<double>(root, wire::kOverQuotaValue, 1);
+  settings.subscription_required =
+      GetOr<std::string>(root, wire::kEndpointListMode, wire::kEndpointListAutomatic) ==
+      wire::kEndpointListSubscribe;
+}
+
+void ReadSharding(const Json& sharding, Settings& settings) {
+  settings.cells = Get<int>(sharding, wire::kCells);
+  settings.reach = Get<int>(sharding, wire::kReach);
+  settings.shards = Get<int>(sharding, wire::kShards);
+  settings.max_requests_per_call = Get<int>(sharding, wire::kMaxRequestsPerCall);
+  settings.key_affinity = GetOr<bool>(sharding, wire::kKeyAffinity, false);
+}
+
+void ReadBounds(const Json& bounds, Settings& settings) {
+  settings.max_attempts = Get<int>(bounds, wire::kMaxAttempts);
+  settings.max_in_flight = GetOr<int>(bounds, wire::kMaxInFlight, 0);
+  settings.cancellation_allowed = Get<bool>(bounds, wire::kCancellationAllowed);
+  settings.health_checks_allowed = Get<bool>(bounds, wire::kHealthChecksAllowed);
+  settings.hedging_allowed = Get<bool>(bounds, wire::kHedgingAllowed);
+  settings.retry_after_allowed = Get<bool>(bounds, wire::kRetryAfterAllowed);
+  settings.max_retry_after_us = GetOr<Micros>(bounds, wire::kMaxRetryAfter, 0);
+}
+
+void ReadRules(const Json& rules, Settings& settings) {
+  settings.grace_to_answer_us = Get<Micros>(rules, wire::kGraceToAnswer);
+  settings.drain_grace_us = GetOr<Micros>(rules, wire::kDrainGrace, 0);
+  settings.poll_deadline_us = GetOr<Micros>(rules, wire::kPollDeadline, 0);
+  settings.slow_start_capacity = GetOr<double>(rules, wire::kSlowStartCapacity, 1);
+  settings.slow_start_us = GetOr<Micros>(rules, wire::kSlowStart, 0);
+  settings.collapse_load_multiple = GetOr<double>(rules, wire::kCollapseLoadMultiple, 0);
+  settings.collapse_window_us = GetOr<Micros>(rules, wire::kCollapseWindow, 0);
+  settings.has_retry_budget = rules.contains(wire::kRetryBudgetWindow);
+  if (!settings.has_retry_budget) return;
+  settings.retry_budget_window_us = Get<Micros>(rules, wire::kRetryBudgetWindow);
+  settings.retry_budget_floor = GetOr<double>(rules, wire::kRetryBudgetFloor, 0);
+  settings.retry_budget_ratio = GetOr<double>(rules, wire::kRetryBudgetRatio, 0);
+}
+
+Settings Read(const Json& root) {
+  Settings settings;
+  const Json& sharding = Member(root, wire::kSharding);
+  ReadClasses(root, sharding, settings);
+  ReadTenants(root, settings);
+  ReadCoordinator(root, settings);
+  ReadSharding(sharding, settings);
+  ReadBounds(Member(root, wire::kBounds), settings);
+  ReadRules(Member(root, wire::kRules), settings);
+  return settings;
 }
 
 }  // namespace
 
 Settings ParseRoutingSettings(std::string_view text) {
-  Json conf = Json::parse(text, nullptr, false);
-  if (conf.is_discarded() || !conf.is_object()) throw SettingsError("settings: not a JSON object");
+  Json root = Json::parse(text, nullptr, false);
+  if (root.is_discarded() || !root.is_object()) throw SettingsError("settings: not a JSON object");
   Settings settings;
   try {
-    settings = Read(conf);
+    settings = Read(root);
   } catch (const Json::exception& error) {
     throw SettingsError(std::string("settings: ") + error.what());
   }
-  if (auto problem = CheckSettings(settings)) throw SettingsError("settings: " + *problem);
+  if (auto problem = routing::CheckSettings(settings)) throw SettingsError("settings: " + *problem);
   return settings;
 }
 
--- a/src/config/routing_settings.h
+++ b/src/config/routing_settings.h
@@ -1,22 +1,17 @@
 // Reads the routing module's settings from their JSON, for both programs: the coordinator's configuration and
-// the simulator's first message carry the same object.
+// the simulator's first message carry the same object. A pure function; any thread.
 #ifndef LIFTRUDDER_CONFIG_ROUTING_SETTINGS_H_
 #define LIFTRUDDER_CONFIG_ROUTING_SETTINGS_H_
 
-#include <stdexcept>
 #include <string_view>
 
+#include "config/config_error.h"
 #include "routing/settings.h"
 
 namespace liftrudder::config {
 
-// Which key of the settings is missing, of the wrong type, or impossible.
-class SettingsError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-// Reads and checks the settings; throws SettingsError.
+// Reads and checks the settings; throws SettingsError. A key that a decision needs must be there; a key that
+// is not known is skipped.
 routing::Settings ParseRoutingSettings(std::string_view text);
 
 }  // namespace liftrudder::config
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -1,4 +1,5 @@
-// The watch on the holder list: keeps one stream open, applies versions in order, tells the core.
+// Follows the endpoint list of the platform's discovery: keeps one watch open, applies its lists in order,
+// and posts the updates to the coordinator. Decides nothing about endpoints. One thread of its own.
 #ifndef LIFTRUDDER_PLATFORM_DISCOVERY_H_
 #define LIFTRUDDER_PLATFORM_DISCOVERY_H_
 
@@ -6,6 +7,7 @@
 #include <condition_variable>
 #include <mutex>
 #include <string>
+#include <string_view>
 
 #include "config/config.h"
 #include "coordinator/coordinator.h"
@@ -18,31 +20,42 @@
 
 class DiscoveryWatch {
  public:
+  // Starts to watch at config.discovery. The arguments outlive the watch.
   DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry,
                  coordinator::Coordinator& coordinator, const coordinator::Clock& clock);
   ~DiscoveryWatch();
+  DiscoveryWatch(const DiscoveryWatch&) = delete;
+  DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // From now on it watches there; the list and its version stay, and the new watch asks for what came after.
+  // From now on it watches there. The list and its version stay: the new watch asks for what came after them.
   void Move(const std::string& address);
 
  private:
+  struct Stream;
+  enum class StreamState { kOpen, kEnded };
+
+  // All of these run on the watch's thread. Those that lose the watch throw WatchError with the reason.
   void Loop();
   void Watch(const std::string& address);
-  void Pause(coordinator::Micros span, const std::string& address);
-  void Answered(const std::string& address);
+  net::Fd OpenWatch(const std::string& address);
+  StreamState ReadStream(const std::string& address, Stream& stream);
+  StreamState TakeReceived(const std::string& address, Stream& stream);
+  void NoteActivity(const std::string& address, Stream& stream);
+  void ApplyList(std::string_view text);
+  // Ends early when the watch is to stop or to move, since the new address has refused nobody yet.
+  void Pause(coordinator::Micros span_us, const std::string& address);
   std::string Address() const;
-  void TakeList(std::string_view text);
 
   const config::Config& config_;
   coordinator::EndpointRegistry& endpoint_registry_;
   coordinator::Coordinator& coordinator_;
   const coordinator::Clock& clock_;
   std::atomic<bool> stopping_{false};
-  const limits::WatchTimeouts waits_;
+  const limits::WatchTimeouts timeouts_;
   limits::Backoff backoff_;  // the thread's
   mutable std::mutex mutex_;
   std::condition_variable wake_;
-  std::string address_;
+  std::string address_;  // guarded by mutex_
   net::Thread thread_;
 };
 
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -4,34 +4,60 @@
 
 #include <algorithm>
 #include <charconv>
+#include <cstdint>
 #include <optional>
 #include <string_view>
 
+#include "platform/wire_names.h"
+
 namespace liftrudder::platform {
 namespace {
 
-constexpr std::size_t kMaxFrame = 128 * 1024;
-constexpr std::string_view kLetters = "aple";  // what a holder may say
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kMaxFrameBytes = 128 * 1024;
+constexpr double kMaxLoad = 1e9;
+constexpr coordinator::Micros kMicrosPerMilli = 1000;
 
 std::string Frame(char letter, std::string_view rest) {
-  std::string out;
-  std::size_t size = rest.size() + 1;
-  for (int shift = 0; shift < 32; shift += 8) out.push_back(static_cast<char>(size >> shift & 0xff));
-  out.push_back(letter);
-  return out.append(rest);
+  std::string frame;
+  const std::size_t size = rest.size() + 1;
+  for (std::size_t i = 0; i < kLengthBytes; ++i) frame.push_back(static_cast<char>(size >> (8 * i) & 0xff));
+  frame.push_back(letter);
+  return frame.append(rest);
+}
+
+std::size_t FrameSize(std::string_view bytes) {
+  std::size_t size = 0;
+  for (std::size_t i = kLengthBytes; i-- > 0;) size = size << 8 | static_cast<unsigned char>(bytes[i]);
+  return size;
+}
+
+// Takes the next field off the front of `text`, with its separator.
+std::string_view NextField(std::string_view& text, char separator = ' ') {
+  std::string_view field = text.substr(0, text.find(separator));
+  text.remove_prefix(std::min(text.size(), field.size() + 1));
+  return field;
 }
 
-std::string_view Word(std::string_view& line, char end = ' ') {
-  std::string_view word = line.substr(0, line.find(end));
-  line.remove_prefix(std::min(line.size(), word.size() + 1));
-  return word;
+std::string_view ConfiguredLoadName(std::string_view reported) {
+  if (reported == wire::kReportedQueue) return wire::kConfiguredQueue;
+  if (reported == wire::kReportedInFlight) return wire::kConfiguredInFlight;
+  return reported;
 }
 
-// The settings and the report on the sockets have their own names for the same two figures.
-std::string_view Known(std::string_view name) {
-  if (name == "queue") return "q";
-  if (name == "inflight") return "rif";
-  return name;
+std::optional<coordinator::Cause> ParseOutcome(std::string_view word) {
+  if (word == wire::kServed) return coordinator::Cause::kServed;
+  if (word == wire::kBroke) return coordinator::Cause::kBroke;
+  if (word == wire::kSkipped) return coordinator::Cause::kSkipped;
+  return std::nullopt;
+}
+
+std::optional<double> ParseLoad(std::string_view text) {
+  double value = 0;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (!(value >= 0 && value < kMaxLoad)) return std::nullopt;
+  return value;
 }
 
 class FrameReader : public net::ResponseReader {
@@ -41,59 +67,58 @@
   bool Take(std::string& in, const std::string&, std::vector<net::EndpointResponse>& out) override {
     std::string_view rest = in;
     bool usable = true;
-    while (usable && rest.size() >= 4) {
-      // Noise is seen at its first byte, not when as much of it has come as it seems to promise.
-      if (rest.size() > 4 && kLetters.find(rest[4]) == std::string_view::npos) usable = false;
-      if (!usable) break;
-      std::size_t size = 0;
-      for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<unsigned char>(rest[i]);
-      if (size == 0 || size > kMaxFrame) return false;
-      if (rest.size() - 4 < size) break;
-      usable = TakeFrame(rest.substr(4, size), out);
-      rest.remove_prefix(4 + size);
+    while (usable && rest.size() >= kLengthBytes) {
+      // Noise is noticed at its first byte, not when all has come that its length seems to promise.
+      if (rest.size() > kLengthBytes && !IsEndpointFrame(rest[kLengthBytes])) {
+        usable = false;
+        break;
+      }
+      const std::size_t size = FrameSize(rest);
+      if (size == 0 || size > kMaxFrameBytes) return false;
+      if (rest.size() - kLengthBytes < size) break;
+      usable = TakeFrame(rest.substr(kLengthBytes, size), out);
+      rest.remove_prefix(kLengthBytes + size);
     }
     in.erase(0, in.size() - rest.size());
     return usable;
   }
 
  private:
-  // False on a frame that is not one, and on `e`: the holder closes after it.
+  static bool IsEndpointFrame(char letter) {
+    return wire::kEndpointFrames.find(letter) != std::string_view::npos;
+  }
+
+  // False where the frame is malformed, and on an error frame, after which the endpoint closes.
   bool TakeFrame(std::string_view frame, std::vector<net::EndpointResponse>& out) const {
-    if (frame.front() == 'p' || frame.front() == 'l') return true;
-    auto line_end = frame.find('\n');
-    if (frame.front() != 'a' || line_end == std::string_view::npos) return false;
+    const char letter = frame.front();
+    if (letter == wire::kProgressFrame || letter == wire::kLoadFrame) return true;
+    const auto line_end = frame.find('\n');
+    if (letter != wire::kAnswerFrame || line_end == std::string_view::npos) return false;
     std::string_view line = frame.substr(1, line_end - 1);
-    net::EndpointResponse answer;
-    answer.id = Word(line);
-    std::string_view end = Word(line);
-    Word(line);  // the score
-    answer.load = Report(line);
-    answer.value = frame.substr(line_end + 1);
-    if (end == "served") {
-      answer.cause = coordinator::Cause::kServed;
-    } else if (end == "broke") {
-      answer.cause = coordinator::Cause::kBroke;
-    } else if (end == "skipped") {
-      answer.cause = coordinator::Cause::kSkipped;
-    } else {
-      return false;
-    }
-    out.push_back(std::move(answer));
+    net::EndpointResponse response;
+    response.id = NextField(line);
+    const auto outcome = ParseOutcome(NextField(line));
+    if (!outcome) return false;
+    NextField(line);  // the score, which nothing here uses
+    response.cause = *outcome;
+    response.load = ParseLoadReport(line);
+    response.value = frame.substr(line_end + 1);
+    out.push_back(std::move(response));
     return true;
   }
 
-  // Guards against a report that cannot be read: it says nothing, rather than that the holder is idle.
-  std::vector<double> Report(std::string_view text) const {
-    std::vector<double> load(load_names_.size(), -1);
+  // Empty where the report is malformed or lacks a figure: it must not make the endpoint look idle.
+  std::vector<double> ParseLoadReport(std::string_view text) const {
+    constexpr double kMissing = -1;
+    std::vector<double> load(load_names_.size(), kMissing);
     if (text.ends_with(',')) return {};
     while (!text.empty()) {
-      std::string_view pair = Word(text, ',');
-      std::string_view name = Known(Word(pair, '='));
-      double value = 0;
-      auto [end, error] = std::from_chars(pair.data(), pair.data() + pair.size(), value);
-      if (error != std::errc() || end != pair.data() + pair.size() || !(value >= 0 && value < 1e9)) return {};
+      std::string_view pair = NextField(text, ',');
+      const std::string_view name = ConfiguredLoadName(NextField(pair, '='));
+      const auto value = ParseLoad(pair);
+      if (!value) return {};
       auto found = std::ranges::find(load_names_, name);
-      if (found != load_names_.end()) load[static_cast<std::size_t>(found - load_names_.begin())] = value;
+      if (found != load_names_.end()) load[static_cast<std::size_t>(found - load_names_.begin())] = *value;
     }
     if (std::ranges::any_of(load, [](double value) { return value < 0; })) return {};
     return load;
@@ -108,20 +133,22 @@
   return fmt::format("{}.{}", order.payload->call_id, order.shard);
 }
 
-std::string FrameProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string&,
-                              coordinator::Micros now_us) const {
+std::string FrameProtocol::Ask(std::span<const coordinator::AttemptRequest* const> orders,
+                               const std::string& /*endpoint*/, coordinator::Micros now_us) const {
   std::string all;
   for (const coordinator::AttemptRequest* order : orders) {
-    std::string list =
-        fmt::format("d={}", std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / 1000));
-    if (!order->payload->idempotency_key.empty()) list += ",k=" + order->payload->idempotency_key;
-    const std::string& text = order->payload->statement;
-    all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, list, text.size(), text);
+    const coordinator::Micros left_ms =
+        std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / kMicrosPerMilli);
+    std::string fields = fmt::format("{}={}", wire::kTimeoutField, left_ms);
+    const std::string& key = order->payload->idempotency_key;
+    if (!key.empty()) fields += fmt::format(",{}={}", wire::kIdempotencyKeyField, key);
+    const std::string& statement = order->payload->statement;
+    all += fmt::format("{} {} {} {}\n{}", Id(*order), order->shard, fields, statement.size(), statement);
   }
-  return Frame('q', all);
+  return Frame(wire::kQueryFrame, all);
 }
 
-std::string FrameProtocol::GiveUp(const std::string& id) const { return Frame('c', id); }
+std::string FrameProtocol::GiveUp(const std::string& id) const { return Frame(wire::kCancelFrame, id); }
 
 std::unique_ptr<net::ResponseReader> FrameProtocol::Reader() const {
   return std::make_unique<FrameReader>(load_names_);
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -1,8 +1,12 @@
-// The platform's frames: a length of four bytes (least significant first), a letter, and the rest.
+// The platform's protocol to endpoints: a frame is a length of four bytes (least significant first), a
+// letter, and the rest. Encodes and decodes; connections and retries are elsewhere. Any thread.
 #ifndef LIFTRUDDER_PLATFORM_FRAMES_H_
 #define LIFTRUDDER_PLATFORM_FRAMES_H_
 
+#include <memory>
+#include <span>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "net/endpoint_connection_pool.h"
@@ -11,12 +15,14 @@
 
 class FrameProtocol : public net::EndpointProtocol {
  public:
+  // `load_names`: the figures of a load report, in the order in which decisions expect them.
   explicit FrameProtocol(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
   std::string Id(const coordinator::AttemptRequest& order) const override;
   std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
                   coordinator::Micros now_us) const override;
   std::string GiveUp(const std::string& id) const override;
+  // The reader keeps a reference to this protocol's load names.
   std::unique_ptr<net::ResponseReader> Reader() const override;
 
  private:
--- /dev/null
+++ b/src/platform/query_handler.cpp
@@ -0,0 +1,185 @@
+#include "platform/query_handler.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <memory>
+#include <string_view>
+#include <utility>
+
+#include "net/explain_page.h"
+#include "net/json.h"
+#include "platform/query_request.h"
+#include "platform/wire_names.h"
+
+namespace liftrudder::platform {
+namespace {
+
+namespace json = net::json;
+
+// The answer goes out that long before the client's timeout, should the coordinator be busy.
+constexpr coordinator::Micros kDeadlineMarginUs = 5'000;
+constexpr coordinator::Micros kBusyRetryUs = 200'000;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr char kUnreadable[] = "the request cannot be read";
+
+net::HttpResponse ErrorResponse(int status, std::string_view text) {
+  net::HttpResponse response;
+  response.status = status;
+  response.body = fmt::format("{{\"{}\":{}}}", wire::kError, json::Quote(text));
+  return response;
+}
+
+// Without the header where `retry_after_us` is 0.
+net::HttpResponse ErrorResponse(int status, coordinator::Micros retry_after_us, std::string_view text) {
+  net::HttpResponse response = ErrorResponse(status, text);
+  if (retry_after_us > 0) {
+    double seconds = static_cast<double>(retry_after_us) / kMicrosPerSecond;
+    response.headers.emplace_back("Retry-After", fmt::format("{:.3f}", seconds));
+  }
+  return response;
+}
+
+net::HttpResponse ResultResponse(const coordinator::FinalAnswer& answer) {
+  net::HttpResponse response;
+  response.body =
+      fmt::format("{{\"{}\":{},\"{}\":[", wire::kComplete, answer.complete, wire::kShardResponses);
+  const char* separator = "";
+  for (const coordinator::ShardResponse& shard_response : answer.shard_responses) {
+    fmt::format_to(std::back_inserter(response.body), "{}{{\"{}\":{},\"{}\":{}}}", separator, wire::kShard,
+                   shard_response.shard, wire::kValue, json::Quote(shard_response.value));
+    separator = ",";
+  }
+  response.body += "]}";
+  return response;
+}
+
+net::HttpResponse FinalResponse(const coordinator::FinalAnswer& answer) {
+  switch (answer.verdict) {
+    case coordinator::Verdict::kAnswered:
+      return ResultResponse(answer);
+    case coordinator::Verdict::kRejected:
+      return ErrorResponse(429, answer.retry_after_us, "not now");
+    case coordinator::Verdict::kFailed:
+      break;
+  }
+  return ErrorResponse(504, "the query failed");
+}
+
+}  // namespace
+
+net::HttpResponse QueryHandler::Malformed(int status) {
+  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
+                          decision_log::kUnknownClass, status, "");
+  return ErrorResponse(status, kUnreadable);
+}
+
+net::HttpResponse QueryHandler::Overloaded(const net::HttpMessage* request) {
+  constexpr int kStatus = 503;
+  const std::string* class_name = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
+  if (class_name != nullptr) metrics::Figures::Ended(figures_.Of(*class_name), kStatus);
+  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform,
+                          decision_log::kUnknownClass, kStatus, "");
+  return ErrorResponse(kStatus, kBusyRetryUs, "too many connections");
+}
+
+void QueryHandler::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status,
+                         std::size_t bytes, bool whole) {
+  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
+}
+
+std::optional<net::HttpResponse> QueryHandler::Handle(net::HttpMessage& request,
+                                                      const net::Exchange& exchange) {
+  const std::string_view path = request.Path();
+  if (path == wire::kReadyPath && exchange.draining) return ErrorResponse(503, "draining");
+  if (path == wire::kReadyPath || path == wire::kHealthyPath) return net::HttpResponse{};
+  if (path == wire::kCountersPath) {
+    net::HttpResponse response;
+    response.type = "text/plain";
+    response.body = counters_.Text();
+    return response;
+  }
+  if (path == wire::kExplainPath) return net::ExplainPage(explain_service_, request);
+  if (path != wire::kQueryPath) return ErrorResponse(404, "no such path");
+  if (request.method != "POST") return ErrorResponse(405, "only POST");
+  return HandleQuery(request, exchange);
+}
+
+std::optional<net::HttpResponse> QueryHandler::HandleQuery(net::HttpMessage& request,
+                                                           const net::Exchange& exchange) {
+  auto query = ReadQueryRequest(request, exchange.received_us, exchange.reply_waiter->client(), config_);
+  if (!query)
+    return Rejected(request, decision_log::IntakeResult::kMalformed, ErrorResponse(400, kUnreadable));
+  // Everything needed has been copied, and the answer may take long.
+  request.body = std::string();
+  const std::string call_id = query->payload->call_id;
+  if (!ReserveCallId(call_id)) {
+    return Rejected(request, decision_log::IntakeResult::kDuplicateId,
+                    ErrorResponse(409, "a query with this id is open"));
+  }
+  metrics::Figures::ByClass* class_figures = figures_.Of(query->class_index);
+  figures_.current.Add();
+  auto response = RunQuery(std::move(*query), exchange);
+  figures_.current.Add(-1);
+  // Not counted where the client has disconnected or broken off its own request.
+  if (response && !response->close) metrics::Figures::Ended(class_figures, response->status);
+  ReleaseCallId(call_id);
+  return response;
+}
+
+std::optional<net::HttpResponse> QueryHandler::RunQuery(coordinator::QueryRequest query,
+                                                        const net::Exchange& exchange) {
+  const coordinator::Micros deadline_us = query.deadline_us;
+  auto reply = std::make_shared<net::WaitingReply>(exchange.reply_waiter);
+  auto id = coordinator_.Admit(std::move(query), reply);
+  if (!id) return ErrorResponse(503, kBusyRetryUs, "too many queries are open");
+  exchange.answered_queries->push_back({*id, 0});
+  switch (reply->Wait(*exchange.line, clock_, deadline_us - kDeadlineMarginUs)) {
+    case net::WaitingReply::End::kGone:
+      coordinator_.Post(coordinator::ClientDisconnect{*id});
+      return std::nullopt;
+    case net::WaitingReply::End::kLate:
+      coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kLate});
+      counters_.late.Add();
+      return ErrorResponse(504, "no answer in time");
+    case net::WaitingReply::End::kCrowded: {
+      coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kCrowded});
+      counters_.malformed.Add();
+      net::HttpResponse response = ErrorResponse(400, "one request at a time");
+      response.close = true;
+      return response;
+    }
+    case net::WaitingReply::End::kAnswered:
+      break;
+  }
+  return FinalResponse(reply->answer());
+}
+
+bool QueryHandler::ReserveCallId(const std::string& call_id) {
+  std::lock_guard lock(mutex_);
+  return call_ids_in_flight_.insert(call_id).second;
+}
+
+void QueryHandler::ReleaseCallId(const std::string& call_id) {
+  std::lock_guard lock(mutex_);
+  call_ids_in_flight_.erase(call_id);
+}
+
+net::HttpResponse QueryHandler::Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
+                                         net::HttpResponse response) {
+  counters_.malformed.Add();
+  const std::string* call_id = request.Header(wire::kCallIdHeader);
+  coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform,
+                          ClassIndex(request.Header(wire::kClassHeader)), response.status,
+                          call_id == nullptr ? "" : *call_id);
+  return response;
+}
+
+int QueryHandler::ClassIndex(const std::string* class_name) const {
+  if (class_name == nullptr) return decision_log::kUnknownClass;
+  auto found = std::ranges::find(config_.classes, *class_name);
+  if (found == config_.classes.end()) return decision_log::kUnknownClass;
+  return static_cast<int>(found - config_.classes.begin());
+}
+
+}  // namespace liftrudder::platform
--- /dev/null
+++ b/src/platform/query_handler.h
@@ -0,0 +1,66 @@
+// The platform's client protocol: one POST for each query, JSON in and out, and a few pages for operators.
+// Decides nothing about queries; the coordinator does. Each request is handled on its worker's thread, which
+// waits for the answer.
+#ifndef LIFTRUDDER_PLATFORM_QUERY_HANDLER_H_
+#define LIFTRUDDER_PLATFORM_QUERY_HANDLER_H_
+
+#include <mutex>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "config/config.h"
+#include "coordinator/coordinator.h"
+#include "decision_log/explain_service.h"
+#include "metrics/figures.h"
+#include "metrics/metrics.h"
+#include "net/server.h"
+
+namespace liftrudder::platform {
+
+class QueryHandler : public net::Handler {
+ public:
+  // The arguments outlive the handler; `explain_service` is null where nothing is recorded.
+  QueryHandler(const config::Config& config, coordinator::Coordinator& coordinator,
+               const coordinator::Clock& clock, metrics::Counters& counters, metrics::Figures& figures,
+               decision_log::ExplainService* explain_service)
+      : config_(config),
+        coordinator_(coordinator),
+        clock_(clock),
+        counters_(counters),
+        figures_(figures),
+        explain_service_(explain_service) {}
+
+  std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
+  net::HttpResponse Malformed(int status) override;
+  net::HttpResponse Overloaded(const net::HttpMessage* request) override;
+  void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+             bool whole) override;
+
+ private:
+  // These return nothing where the client has disconnected.
+  std::optional<net::HttpResponse> HandleQuery(net::HttpMessage& request, const net::Exchange& exchange);
+  std::optional<net::HttpResponse> RunQuery(coordinator::QueryRequest query, const net::Exchange& exchange);
+  // False where a query with that call id is in flight. Shard request ids are made from it, and those of two
+  // queries in flight must differ.
+  bool ReserveCallId(const std::string& call_id);
+  void ReleaseCallId(const std::string& call_id);
+  // Notes that the request did not become a query; returns `response`.
+  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
+                             net::HttpResponse response);
+  int ClassIndex(const std::string* class_name) const;
+
+  const config::Config& config_;
+  coordinator::Coordinator& coordinator_;
+  const coordinator::Clock& clock_;
+  metrics::Counters& counters_;
+  metrics::Figures& figures_;
+  decision_log::ExplainService* const explain_service_;
+  std::mutex mutex_;
+  std::set<std::string> call_ids_in_flight_;  // guarded by mutex_
+};
+
+}  // namespace liftrudder::platform
+
+#endif  // LIFTRUDDER_PLATFORM_QUERY_HANDLER_H_
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -91,7 +91,7 @@
   INFO(coordinator_process.Log());
   REQUIRE(!coordinator_process.addr().empty());
   // It listens before its watch is taken; told earlier, both lists come as one and nothing grows.
-  WaitLog(coordinator_process, fmt::format(", whole: {} entries", few.size()));
+  WaitLog(coordinator_process, fmt::format(", full: {} entries", few.size()));
   discovery.Tell(rest);
   WaitLog(coordinator_process, fmt::format("{} entries", rest.size()));
 
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -1,5 +1,7 @@
 // Lists of holders as they may come: on one line or many, cut at any byte, long, or not to be understood.
 #define CATCH_CONFIG_MAIN
+#include "config/endpoint_list.h"
+
 #include <fmt/format.h>
 #include <rapidcheck.h>
 
@@ -137,16 +139,16 @@
     try {
       config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}",
                                 Known());
-    } catch (const std::runtime_error& error) {
+    } catch (const config::EndpointListError& error) {
       return error.what();
     }
     return "";
   };
   CHECK(wrong(R"({"id":"b","state":"ready"})").empty());
-  CHECK(wrong(R"({"id":"b","state":"asleep"})") == R"(holder list 9: entry 2: unknown state "asleep")");
-  CHECK(wrong(R"({"id":"b"})") == "holder list 9: entry 2: no state");
-  CHECK(wrong(R"({"state":"gone"})") == "holder list 9: entry 2: no id");
+  CHECK(wrong(R"({"id":"b","state":"asleep"})") == R"(endpoint list 9: entry 2: unknown state "asleep")");
+  CHECK(wrong(R"({"id":"b"})") == "endpoint list 9: entry 2: no state");
+  CHECK(wrong(R"({"state":"gone"})") == "endpoint list 9: entry 2: no id");
   CHECK(wrong(R"({"id":"b","state":"ready","cell":"x"})") ==
-        "holder list 9: entry 2: cell is \"x\", not an integer");
-  CHECK(wrong("7") == "holder list 9: entry 2: not an object");
+        "endpoint list 9: entry 2: cell is \"x\", not an integer");
+  CHECK(wrong("7") == "endpoint list 9: entry 2: not an object");
 }
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -237,7 +237,7 @@
       Cut(Find(who), verb);
     } else if (verb == "signal") {
       ::kill(child_, SIGTERM);
-      Until([&] { return log_.find("told to end") != std::string::npos; }, "the program heeds no signal");
+      Until([&] { return log_.find("shutting down") != std::string::npos; }, "the program heeds no signal");
     } else if (verb == "reload") {
       Reload(who == "bad");
     } else if (verb == "wait" && who == "exit") {
@@ -325,7 +325,7 @@
     if (peer.lines.empty()) {
       Line& line = peer.lines.emplace_back();
       line.dns = true;
-      line.fd = net::Connect(Logged("takes updates at "), 5'000'000);
+      line.fd = net::Connect(Logged("takes DNS updates at "), 5'000'000);
     }
     Write(peer.lines.back(), two(static_cast<int>(message.size())) + message);
   }
