--- a/simulator/host.cpp
+++ b/simulator/host.cpp
@@ -1,63 +1,75 @@
 #include "simulator/host.h"
 
 #include <algorithm>
+#include <array>
+#include <utility>
+#include <variant>
 
 namespace liftrudder::simulator {
 namespace {
 
 constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
+constexpr std::size_t kLengthBytes = 4;
 
 }  // namespace
 
-bool ReadFrame(std::FILE* input, std::string& frame) {
-  unsigned char head[4];
-  std::size_t got = std::fread(head, 1, sizeof head, input);
-  if (got == 0) return false;
-  if (got < sizeof head) throw WireError("frame: input ends within its length");
+std::optional<std::string> ReadFrame(std::FILE* input) {
+  std::array<unsigned char, kLengthBytes> length{};
+  const std::size_t length_read = std::fread(length.data(), 1, length.size(), input);
+  if (length_read == 0) return std::nullopt;
+  if (length_read < length.size()) throw WireError("frame: input ends within its length");
   std::size_t size = 0;
-  for (unsigned char byte : head) size = size << 8 | byte;
+  for (unsigned char byte : length) size = size << 8 | byte;
   if (size > kMaxFrameBytes) throw WireError("frame: length " + std::to_string(size) + " is too large");
-  frame.resize(size);
-  got = std::fread(frame.data(), 1, size, input);
-  if (got < size) {
-    throw WireError("frame: input ends at byte " + std::to_string(got + 4) + " of " +
-                    std::to_string(size + 4));
+  std::string frame(size, '\0');
+  const std::size_t read = std::fread(frame.data(), 1, size, input);
+  if (read < size) {
+    throw WireError("frame: input ends at byte " + std::to_string(read + kLengthBytes) + " of " +
+                    std::to_string(size + kLengthBytes));
   }
-  return true;
+  return frame;
 }
 
 std::string Host::Serve(std::string_view body) {
   Batch batch = decoder_.Decode(body);
-  std::vector<int> order;
-  std::map<int, std::vector<Event>> inbox;
-  for (InstanceEvent& event : batch.events) {
-    int who = event.instance;
-    if (auto* created = std::get_if<Created>(&event.what)) {
-      inbox.erase(who);
-      instances_.insert_or_assign(who, routing::Router(created->settings, created->seed));
+  std::vector<routing::Action> actions;
+  for (const Pending& pending : Distribute(batch.events)) {
+    if (pending.events.empty()) continue;
+    actions.clear();
+    instances_.at(pending.instance).Handle(batch.now_us, pending.events, actions);
+    encoder_.Add(pending.instance, actions);
+  }
+  return encoder_.Finish();
+}
+
+std::vector<Host::Pending> Host::Distribute(std::vector<InstanceEvent>& events) {
+  std::vector<Pending> all;
+  auto find = [&all](int instance) { return std::ranges::find(all, instance, &Pending::instance); };
+  auto drop_earlier_events = [&](int instance) {
+    auto pending = find(instance);
+    if (pending != all.end()) pending->events.clear();
+  };
+  for (InstanceEvent& event : events) {
+    const int instance = event.instance;
+    if (auto* created = std::get_if<InstanceCreated>(&event.what)) {
+      drop_earlier_events(instance);
+      instances_.insert_or_assign(instance, routing::Router(created->settings, created->seed));
       continue;
     }
-    if (!instances_.contains(who)) {
-      throw WireError("event for instance " + std::to_string(who) +
+    if (!instances_.contains(instance)) {
+      throw WireError("event for instance " + std::to_string(instance) +
                       ", which was never created or was killed");
     }
-    if (std::holds_alternative<Killed>(event.what)) {
-      instances_.erase(who);
-      inbox.erase(who);
+    if (std::holds_alternative<InstanceKilled>(event.what)) {
+      instances_.erase(instance);
+      drop_earlier_events(instance);
       continue;
     }
-    if (std::find(order.begin(), order.end(), who) == order.end()) order.push_back(who);
-    inbox[who].push_back(std::move(std::get<Event>(event.what)));
-  }
-  std::vector<Action> actions;
-  for (int who : order) {
-    auto event_queue = inbox.find(who);
-    if (event_queue == inbox.end()) continue;
-    actions.clear();
-    instances_.at(who).Handle(batch.now, event_queue->second, actions);
-    encoder_.Add(who, actions);
+    auto pending = find(instance);
+    if (pending == all.end()) pending = all.insert(all.end(), Pending{instance, {}});
+    pending->events.push_back(std::move(std::get<routing::Event>(event.what)));
   }
-  return encoder_.Finish();
+  return all;
 }
 
 }  // namespace liftrudder::simulator
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -1,5 +1,5 @@
-// simulator_adapter: hosts instances of the module on the simulator's wire. It translates and decides
-// nothing.
+// simulator_adapter: runs instances of the routing module for the simulator, with frames on standard input
+// and output. Decides nothing.
 #include <cstdio>
 #include <exception>
 #include <string>
@@ -8,11 +8,11 @@
 
 int main() {
   liftrudder::simulator::Host host;
-  std::string frame;
   try {
-    while (liftrudder::simulator::ReadFrame(stdin, frame)) {
-      std::string reply = host.Serve(frame);
-      if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
+    while (auto frame = liftrudder::simulator::ReadFrame(stdin)) {
+      const std::string reply = host.Serve(*frame);
+      const bool written = std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size();
+      if (!written || std::fflush(stdout) != 0) {
         std::fputs("simulator_adapter: standard output is closed\n", stderr);
         return 1;
       }
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -133,8 +133,9 @@
   if (!fd.Valid()) throw WatchError("no connection");
   const std::string request = fmt::format("GET {}{} HTTP/1.1\r\nHost: {}\r\n\r\n", wire::kWatchTarget,
                                           endpoint_registry_.Version(), address);
-  if (net::WriteAll(fd, request, kConnectTimeoutUs).status != net::Io::kOk)
+  if (net::WriteAll(fd, request, kConnectTimeoutUs).status != net::Io::kOk) {
     throw WatchError("the request cannot be written");
+  }
   return fd;
 }
 
@@ -173,8 +174,9 @@
 
 void DiscoveryWatch::NoteActivity(const std::string& address, Stream& stream) {
   stream.last_activity_us = clock_.Now();
-  if (backoff_.failures() > 0)
+  if (backoff_.failures() > 0) {
     log::Info("discovery: watching at {} again after {} failures", address, backoff_.failures());
+  }
   backoff_.Reset();
 }
 
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -26,7 +26,7 @@
 net::HttpResponse ErrorResponse(int status, std::string_view text) {
   net::HttpResponse response;
   response.status = status;
-  response.body = fmt::format("{{\"{}\":{}}}", wire::kError, json::Quote(text));
+  response.body = fmt::format(R"({{"{}":{}}})", wire::kError, json::Quote(text));
   return response;
 }
 
@@ -42,11 +42,10 @@
 
 net::HttpResponse ResultResponse(const coordinator::FinalAnswer& answer) {
   net::HttpResponse response;
-  response.body =
-      fmt::format("{{\"{}\":{},\"{}\":[", wire::kComplete, answer.complete, wire::kShardResponses);
+  response.body = fmt::format(R"({{"{}":{},"{}":[)", wire::kComplete, answer.complete, wire::kShardResponses);
   const char* separator = "";
   for (const coordinator::ShardResponse& shard_response : answer.shard_responses) {
-    fmt::format_to(std::back_inserter(response.body), "{}{{\"{}\":{},\"{}\":{}}}", separator, wire::kShard,
+    fmt::format_to(std::back_inserter(response.body), R"({}{{"{}":{},"{}":{}}})", separator, wire::kShard,
                    shard_response.shard, wire::kValue, json::Quote(shard_response.value));
     separator = ",";
   }
@@ -108,8 +107,9 @@
 std::optional<net::HttpResponse> QueryHandler::HandleQuery(net::HttpMessage& request,
                                                            const net::Exchange& exchange) {
   auto query = ReadQueryRequest(request, exchange.received_us, exchange.reply_waiter->client(), config_);
-  if (!query)
+  if (!query) {
     return Rejected(request, decision_log::IntakeResult::kMalformed, ErrorResponse(400, kUnreadable));
+  }
   // Everything needed has been copied, and the answer may take long.
   request.body = std::string();
   const std::string call_id = query->payload->call_id;
--- a/src/platform/query_request.cpp
+++ b/src/platform/query_request.cpp
@@ -102,8 +102,9 @@
     if (!work_us || *work_us < 0) return std::nullopt;
     shard_request.work_us = static_cast<coordinator::Micros>(std::min(*work_us, kMaxWorkUs));
   }
-  if (auto digits = json::RawString(key_text))
+  if (auto digits = json::RawString(key_text)) {
     std::from_chars(digits->data(), digits->data() + digits->size(), shard_request.key, kKeyBase);
+  }
   return shard_request;
 }
 
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -1,11 +1,14 @@
-// The codec on the byte examples of the wire page, and on frames that are not whole or not known.
-#include "simulator/codec.h"
-
+// Decoder and encoder on the byte examples of the wire's document, and on frames that are truncated or
+// unknown; the routing settings' text; the host.
 #include <gtest/gtest.h>
 
+#include <cstdio>
 #include <string>
+#include <string_view>
 
 #include "config/routing_settings.h"
+#include "simulator/decoder.h"
+#include "simulator/encoder.h"
 #include "simulator/host.h"
 
 namespace liftrudder::simulator {
@@ -37,7 +40,8 @@
   return out;
 }
 
-std::string Plain(std::string_view hex) { return Hex(Bytes(hex)); }
+// The same without blanks.
+std::string WithoutBlanks(std::string_view hex) { return Hex(Bytes(hex)); }
 
 // A batch at clock 0x805c5a of the records given.
 std::string Body(int records, std::string_view hex) {
@@ -46,10 +50,10 @@
   return Bytes(std::string(head) + "0000000000805c5a" + std::string(hex));
 }
 
-constexpr std::string_view kAbout = "78 00000002 0003";
+constexpr std::string_view kInstance3 = "78 00000002 0003";
 
 // The message of the error that decoding these records gives; empty when there is none.
-std::string Complaint(int records, std::string_view hex) {
+std::string DecodingError(int records, std::string_view hex) {
   try {
     Decoder().Decode(Body(records, hex));
   } catch (const WireError& error) {
@@ -60,13 +64,13 @@
 
 template <typename T>
 T Only(std::string_view record) {
-  Batch batch = Decoder().Decode(Body(2, std::string(kAbout) + std::string(record)));
+  Batch batch = Decoder().Decode(Body(2, std::string(kInstance3) + std::string(record)));
   EXPECT_EQ(batch.events.size(), 1u);
   EXPECT_EQ(batch.events.at(0).instance, 3);
   return std::get<T>(std::get<Event>(batch.events.at(0).what));
 }
 
-const char* const kConf = R"({"az":1,"groupSize":3,"ordinal":2,"resolutionUs":5000,"unknown":[1],
+const char* const kSettings = R"({"az":1,"groupSize":3,"ordinal":2,"resolutionUs":5000,"unknown":[1],
   "bounds":{"attemptsCap":4,"cancelling":true,"maxOpen":412,"maxRetryAfterUs":1000000,"probes":true,
             "retryAfter":true,"secondCopies":true},
   "familyInfo":{"cells":12,"classFetch":[3],"classFloor":[0.4],"incompleteWorth":[0.9],"perCall":8,"warmKeys":true,"reach":3,
@@ -79,11 +83,11 @@
 
 TEST(Decode, EmptyBatch) {
   Batch batch = Decoder().Decode(Body(0, ""));
-  EXPECT_EQ(batch.now, 0x805c5a);
+  EXPECT_EQ(batch.now_us, 0x805c5a);
   EXPECT_TRUE(batch.events.empty());
 }
 
-TEST(Decode, PartOfAQuery) {
+TEST(Decode, ShardRequest) {
   auto shard_request = Only<ShardRequestReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 3e000000 0000 0000 00000000 01 91f03b7c55d20a64 0003a980");
   EXPECT_EQ(shard_request.id, 0x5d3a91c4u);
@@ -94,7 +98,7 @@
   EXPECT_EQ(shard_request.key, 0x91f03b7c55d20a64u);
 }
 
-TEST(Decode, QueryHasNegativeShardAndRepeatFlag) {
+TEST(Decode, QueryHasNegativeShardAndRetryFlag) {
   auto query = Only<QueryReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 40800000 0002 0001 bf800000 02 0000000000000000 0003a980");
   EXPECT_EQ(query.shard_requests, 4);
@@ -104,22 +108,22 @@
   EXPECT_EQ(query.timeout_remaining_us, 240000);
 }
 
-TEST(Decode, Reply) {
-  auto ended = Only<AttemptFinished>(
+TEST(Decode, AttemptFinished) {
+  auto attempt = Only<AttemptFinished>(
       "6e 0000001f 5d3a91c4 00 0a124a07 138b 00c8 00004844 01 03 4040000040e00000430c0000");
-  EXPECT_EQ(ended.shard_request, 0x5d3a91c4u);
-  EXPECT_EQ(ended.attempt, 0);
-  EXPECT_EQ(ended.endpoint, (EndpointId{0x0a124a07, 0x138b}));
-  EXPECT_EQ(ended.code, AttemptOutcome::kOk);
-  EXPECT_EQ(ended.spent_us, 18500);
-  EXPECT_TRUE(ended.part_done);
-  EXPECT_EQ(ended.load, (std::vector<double>{3, 7, 140}));
+  EXPECT_EQ(attempt.shard_request, 0x5d3a91c4u);
+  EXPECT_EQ(attempt.attempt, 0);
+  EXPECT_EQ(attempt.endpoint, (EndpointId{0x0a124a07, 0x138b}));
+  EXPECT_EQ(attempt.code, AttemptOutcome::kOk);
+  EXPECT_EQ(attempt.spent_us, 18500);
+  EXPECT_TRUE(attempt.part_done);
+  EXPECT_EQ(attempt.load, (std::vector<double>{3, 7, 140}));
 }
 
-TEST(Decode, HealthResultHangupDueAndHeard) {
-  auto probe =
+TEST(Decode, HealthCheckDisconnectTimerAndGossip) {
+  auto health_check =
       Only<HealthCheckFinished>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
-  EXPECT_EQ(probe.spent_us, 1400);
+  EXPECT_EQ(health_check.spent_us, 1400);
   EXPECT_EQ(Only<ClientDisconnected>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
   EXPECT_EQ(Only<TimerFired>("46 00000008 000000000000004d").label, 0x4du);
   EXPECT_EQ(Only<GossipMessage>("0a 0000000a 00000002 0004 68692037").text, "hi 7");
@@ -128,7 +132,7 @@
 TEST(Decode, ListIsResolvedInOrderOfTheBatch) {
   Decoder decoder;
   Batch batch = decoder.Decode(
-      Body(3, std::string(kAbout) +
+      Body(3, std::string(kInstance3) +
                   "32 00000036 0000 00000002 0a124a07 138b 0000 00 0000 01 3f800000 0000000000000000"
                   "0a9011f2 13b4 0000 00 0000 01 3fc00000 00000000005d1420"
                   "28 0000000b 0000000000000029 02 0000"));
@@ -141,42 +145,43 @@
   EXPECT_DOUBLE_EQ(update.endpoints[1].weight, 1.5);
   EXPECT_EQ(update.endpoints[0].availability, Availability::kReady);
   // The numbered list outlives its batch.
-  Batch later = decoder.Decode(Body(2, std::string(kAbout) + "28 0000000b 000000000000002a 01 0000"));
+  Batch later = decoder.Decode(Body(2, std::string(kInstance3) + "28 0000000b 000000000000002a 01 0000"));
   EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).endpoints.size(), 2u);
 }
 
-TEST(Encode, ExamplesOfThePage) {
+TEST(Encode, ExamplesOfTheDocument) {
   Encoder encoder;
   EXPECT_EQ(Hex(encoder.Finish()), "0000000400000000");
   encoder.Add(3, {Send{0x5d3a91c4, {0x0a124a07, 0x138b}, 80000}, SetTimer{500000, 0x4d}});
   EXPECT_EQ(Hex(encoder.Finish()),
-            Plain("0000002f 00000003 8c 00000002 0003 0a 0000000e 5d3a91c4 00013880 0a124a07 138b"
-                  "32 0000000c 0007a120 000000000000004d"));
+            WithoutBlanks("0000002f 00000003 8c 00000002 0003 0a 0000000e 5d3a91c4 00013880 0a124a07 138b"
+                          "32 0000000c 0007a120 000000000000004d"));
   encoder.Add(3, {Answer{0x0e6f2b19, true}, Reject{0x0e6f2b19, 250000}, Fail{0x5d3a91c4},
                   Cancel{0x5d3a91c4, 0}, Close{{0x0a9011f2, 0x13b4}}, Subscribe{}});
-  EXPECT_EQ(Hex(encoder.Finish()).substr(16),
-            Plain("8c 00000002 0003 82 00000005 0e6f2b19 01 14 00000008 0e6f2b19 0003d090"
-                  "1e 00000004 5d3a91c4 28 00000005 5d3a91c4 00 46 00000006 0a9011f2 13b4 6e 00000001 01"));
+  EXPECT_EQ(
+      Hex(encoder.Finish()).substr(16),
+      WithoutBlanks("8c 00000002 0003 82 00000005 0e6f2b19 01 14 00000008 0e6f2b19 0003d090"
+                    "1e 00000004 5d3a91c4 28 00000005 5d3a91c4 00 46 00000006 0a9011f2 13b4 6e 00000001 01"));
 }
 
 TEST(Malformed, SaysWhatAndWhere) {
-  EXPECT_NE(Complaint(1, "78 00000002 00").find("needs 2 bytes, 1 are left"), std::string::npos);
-  EXPECT_NE(Complaint(1, "78 00000001 00").find("who needs 2 bytes"), std::string::npos);
-  EXPECT_NE(Complaint(1, "78 00000003 000300").find("1 bytes too many"), std::string::npos);
-  EXPECT_NE(Complaint(900, "78 00000002 0003").find("states 900 records"), std::string::npos);
-  EXPECT_NE(Complaint(2, "78 00000002 0003 c8 00000000").find("unknown code"), std::string::npos);
-  EXPECT_NE(Complaint(1, "3c 00000004 0e6f2b19").find("before any ABOUT"), std::string::npos);
-  EXPECT_NE(Complaint(2, "78 00000002 0003 28 0000000b 0000000000000029 02 0007").find("never sent"),
+  EXPECT_NE(DecodingError(1, "78 00000002 00").find("needs 2 bytes, 1 are left"), std::string::npos);
+  EXPECT_NE(DecodingError(1, "78 00000001 00").find("who needs 2 bytes"), std::string::npos);
+  EXPECT_NE(DecodingError(1, "78 00000003 000300").find("1 bytes too many"), std::string::npos);
+  EXPECT_NE(DecodingError(900, "78 00000002 0003").find("states 900 records"), std::string::npos);
+  EXPECT_NE(DecodingError(2, "78 00000002 0003 c8 00000000").find("unknown code"), std::string::npos);
+  EXPECT_NE(DecodingError(1, "3c 00000004 0e6f2b19").find("before any ABOUT"), std::string::npos);
+  EXPECT_NE(DecodingError(2, "78 00000002 0003 28 0000000b 0000000000000029 02 0007").find("never sent"),
             std::string::npos);
-  EXPECT_NE(Complaint(1, "32 00000006 0000 0000ffff").find("65535 entries"), std::string::npos);
-  EXPECT_NE(Complaint(2, "78 00000002 0003 6e 00000013 5d3a91c4 00 0a124a07 138b 0001 00004844 01 00")
+  EXPECT_NE(DecodingError(1, "32 00000006 0000 0000ffff").find("65535 entries"), std::string::npos);
+  EXPECT_NE(DecodingError(2, "78 00000002 0003 6e 00000013 5d3a91c4 00 0a124a07 138b 0001 00004844 01 00")
                 .find("unknown disposition 1"),
             std::string::npos);
-  EXPECT_EQ(Complaint(1, "78 00000002 0003"), "");
+  EXPECT_EQ(DecodingError(1, "78 00000002 0003"), "");
 }
 
 TEST(SettingsText, IsRead) {
-  Settings settings = config::ParseRoutingSettings(kConf);
+  Settings settings = config::ParseRoutingSettings(kSettings);
   ASSERT_EQ(settings.classes.size(), 1u);
   EXPECT_EQ(settings.classes[0].effect, Effect::kIdempotencyKey);
   EXPECT_EQ(settings.classes[0].fetch_phase_requests, 3);
@@ -190,7 +195,7 @@
 }
 
 TEST(SettingsText, MissingOrWrongKeysAreNamed) {
-  auto complaint = [](std::string text) -> std::string {
+  auto parse_error = [](std::string text) -> std::string {
     try {
       config::ParseRoutingSettings(text);
     } catch (const config::SettingsError& error) {
@@ -198,47 +203,51 @@
     }
     return "";
   };
-  std::string conf = kConf;
-  std::string warm = conf;
-  warm.replace(warm.find("\"warmKeys\":true"), 15, "\"warmKeys\":3");
-  EXPECT_NE(complaint(warm).find("'warmKeys' has the wrong type"), std::string::npos);
-  std::string calls = conf;
-  calls.replace(calls.find("\"perCall\":8"), 11, "\"perCall\":0");
-  EXPECT_NE(complaint(calls).find("parts of a call"), std::string::npos);
-  EXPECT_NE(complaint("{").find("not a JSON object"), std::string::npos);
-  EXPECT_NE(complaint(std::string(conf).replace(conf.find("cells"), 5, "celts")).find("'cells' is missing"),
-            std::string::npos);
-  EXPECT_NE(complaint(std::string(conf).replace(conf.find("\"ordinal\":2"), 11, "\"ordinal\":\"x\""))
-                .find("'ordinal'"),
-            std::string::npos);
-  EXPECT_NE(complaint(std::string(conf).replace(conf.find("\"reach\":3"), 9, "\"reach\":40")).find("reach"),
+  std::string settings_text = kSettings;
+  std::string key_affinity = settings_text;
+  key_affinity.replace(key_affinity.find("\"warmKeys\":true"), 15, "\"warmKeys\":3");
+  EXPECT_NE(parse_error(key_affinity).find("'warmKeys' has the wrong type"), std::string::npos);
+  std::string per_call = settings_text;
+  per_call.replace(per_call.find("\"perCall\":8"), 11, "\"perCall\":0");
+  EXPECT_NE(parse_error(per_call).find("parts of a call"), std::string::npos);
+  EXPECT_NE(parse_error("{").find("not a JSON object"), std::string::npos);
+  EXPECT_NE(parse_error(std::string(settings_text).replace(settings_text.find("cells"), 5, "celts"))
+                .find("'cells' is missing"),
             std::string::npos);
+  EXPECT_NE(
+      parse_error(
+          std::string(settings_text).replace(settings_text.find("\"ordinal\":2"), 11, "\"ordinal\":\"x\""))
+          .find("'ordinal'"),
+      std::string::npos);
+  EXPECT_NE(
+      parse_error(std::string(settings_text).replace(settings_text.find("\"reach\":3"), 9, "\"reach\":40"))
+          .find("reach"),
+      std::string::npos);
 }
 
 TEST(HostTest, UnknownAndKilledInstancesAreErrors) {
   Host host;
-  EXPECT_THROW(host.Serve(Body(2, std::string(kAbout) + "46 00000008 000000000000004d")), WireError);
-  std::string conf(kConf);
+  EXPECT_THROW(host.Serve(Body(2, std::string(kInstance3) + "46 00000008 000000000000004d")), WireError);
+  std::string settings_text(kSettings);
   char size[17];
-  std::snprintf(size, sizeof size, "%08x%08x", static_cast<unsigned>(conf.size() + 12),
-                static_cast<unsigned>(conf.size()));
+  std::snprintf(size, sizeof size, "%08x%08x", static_cast<unsigned>(settings_text.size() + 12),
+                static_cast<unsigned>(settings_text.size()));
   std::string create =
-      "14" + std::string(size, 8) + "0000000000000001" + std::string(size + 8, 8) + Hex(conf);
-  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kAbout) + create)));
-  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kAbout) + "46 00000008 000000000000004d")));
-  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kAbout) + "1e 00000000")));
-  EXPECT_THROW(host.Serve(Body(2, std::string(kAbout) + "46 00000008 000000000000004d")), WireError);
+      "14" + std::string(size, 8) + "0000000000000001" + std::string(size + 8, 8) + Hex(settings_text);
+  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kInstance3) + create)));
+  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kInstance3) + "46 00000008 000000000000004d")));
+  EXPECT_NO_THROW(host.Serve(Body(2, std::string(kInstance3) + "1e 00000000")));
+  EXPECT_THROW(host.Serve(Body(2, std::string(kInstance3) + "46 00000008 000000000000004d")), WireError);
 }
 
-TEST(ReadFrameTest, EndsCleanlyOrComplains) {
+TEST(ReadFrameTest, EndsCleanlyOrThrows) {
   auto read = [](std::string bytes) {
     std::FILE* file = std::tmpfile();
     std::fwrite(bytes.data(), 1, bytes.size(), file);
     std::rewind(file);
-    std::string frame;
     std::string result;
     try {
-      while (ReadFrame(file, frame)) result += "[" + std::to_string(frame.size()) + "]";
+      while (auto frame = ReadFrame(file)) result += "[" + std::to_string(frame->size()) + "]";
     } catch (const WireError& error) {
       result += error.what();
     }
