--- a/simulator/byte_reader.h
+++ b/simulator/byte_reader.h
@@ -33,8 +33,9 @@
   template <std::unsigned_integral T>
   T Integer(const char* field) {
     T value = 0;
-    for (char c : Bytes(sizeof(T), field))
+    for (char c : Bytes(sizeof(T), field)) {
       value = static_cast<T>((value << 8) | static_cast<unsigned char>(c));
+    }
     return value;
   }
   std::uint8_t U8(const char* field) { return Integer<std::uint8_t>(field); }
--- a/simulator/decoder.cpp
+++ b/simulator/decoder.cpp
@@ -50,8 +50,9 @@
   endpoint.kind = record.U8(wire::kKindField);
   endpoint.cell = record.U16(wire::kCellField);
   const int availability = record.U8(wire::kAvailabilityField);
-  if (availability > static_cast<int>(Availability::kDraining))
+  if (availability > static_cast<int>(Availability::kDraining)) {
     record.Fail("unknown availability " + std::to_string(availability));
+  }
   endpoint.availability = static_cast<Availability>(availability);
   endpoint.weight = record.F32(wire::kWeightField);
   endpoint.started_us = static_cast<routing::Micros>(record.U64(wire::kStartedField));
@@ -132,8 +133,9 @@
   const std::uint32_t records = frame.U32("number of records");
   Batch batch;
   batch.now_us = static_cast<routing::Micros>(frame.U64("clock"));
-  if (records > frame.Left() / kMinRecordBytes)
+  if (records > frame.Left() / kMinRecordBytes) {
     frame.Fail("states " + std::to_string(records) + " records, more than its bytes can hold");
+  }
   std::optional<int> instance;
   for (std::uint32_t i = 0; i < records; ++i) {
     const int code = frame.U8("record code");
@@ -161,8 +163,9 @@
   const int number = record.U16(wire::kListNumberField);
   if (number >= kMaxEndpointLists) record.Fail("list number " + std::to_string(number) + " is above 15");
   const std::uint32_t count = record.U32(wire::kListEntriesField);
-  if (count > record.Left() / kEndpointBytes)
+  if (count > record.Left() / kEndpointBytes) {
     record.Fail("states " + std::to_string(count) + " entries, too many");
+  }
   std::vector<routing::Endpoint> endpoints;
   endpoints.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) endpoints.push_back(ReadEndpoint(record));
@@ -174,14 +177,16 @@
   routing::EndpointListUpdate update;
   update.version = record.U64(wire::kListVersionField);
   const int kind = record.U8(wire::kListKindField);
-  if (kind > static_cast<int>(EndpointListKind::kFailed))
+  if (kind > static_cast<int>(EndpointListKind::kFailed)) {
     record.Fail("unknown kind of list " + std::to_string(kind));
+  }
   update.kind = static_cast<EndpointListKind>(kind);
   const int number = record.U16(wire::kListNumberField);
   if (update.kind == EndpointListKind::kFailed) return update;
   auto found = endpoint_lists_.find(number);
-  if (found == endpoint_lists_.end())
+  if (found == endpoint_lists_.end()) {
     record.Fail("names list " + std::to_string(number) + ", which was never sent");
+  }
   update.endpoints = found->second;
   return update;
 }
--- a/simulator/encoder.cpp
+++ b/simulator/encoder.cpp
@@ -11,8 +11,9 @@
 using wire::ActionCode;
 
 void Append(std::string& out, std::uint64_t value, int bytes) {
-  for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8)
+  for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8) {
     out.push_back(static_cast<char>((value >> shift) & 0xff));
+  }
 }
 
 // The wire has 31 bits for a span.
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -7,7 +7,11 @@
 #include <cstdio>
 #include <memory>
 #include <stdexcept>
+#include <string>
+#include <string_view>
+#include <variant>
 
+#include "app/wire_names.h"
 #include "decision_log/explain_service.h"
 #include "net/http.h"
 #include "net/socket.h"
@@ -15,94 +19,123 @@
 namespace liftrudder::app {
 namespace {
 
-constexpr coordinator::Micros kPatience = 10'000'000;
-constexpr std::size_t kMostAnswer = 4 * 1024 * 1024;
+constexpr coordinator::Micros kTimeoutUs = 10'000'000;
+constexpr std::size_t kMaxAnswerBytes = 4 * 1024 * 1024;
+constexpr int kDefaultLimit = 20;
+constexpr int kMaxLimit = 500;
 
+// As the command line has them; an empty filter is none.
 struct Options {
-  std::string at = "127.0.0.1:8080", file;
-  std::string id, class_name, verdict, endpoint, reason, since, until;
-  int limit = 20;
-  bool summary = false, json = false;
+  std::string coordinator_address = "127.0.0.1:8080";
+  std::string record_file;
+  std::string id;
+  std::string class_name;
+  std::string verdict;
+  std::string endpoint;
+  std::string reason;
+  std::string since;
+  std::string until;
+  int limit = kDefaultLimit;
+  bool summary = false;
+  bool json = false;
 
   decision_log::Parameters Parameters() const {
-    decision_log::Parameters out;
-    auto add = [&out](const char* name, const std::string& value) {
-      if (!value.empty()) out.emplace_back(name, value);
+    decision_log::Parameters parameters;
+    auto add = [&parameters](const char* name, const std::string& value) {
+      if (!value.empty()) parameters.emplace_back(name, value);
     };
-    add("id", id);
-    add("class", class_name);
-    add("verdict", verdict);
-    add("holder", endpoint);
-    add("reason", reason);
-    add("since", since);
-    add("until", until);
-    out.emplace_back("limit", std::to_string(limit));
-    out.emplace_back("format", json ? "json" : "text");
-    if (summary) out.emplace_back("summary", "1");
-    return out;
+    add(wire::kExplainId, id);
+    add(wire::kExplainClass, class_name);
+    add(wire::kExplainVerdict, verdict);
+    add(wire::kExplainEndpoint, endpoint);
+    add(wire::kExplainReason, reason);
+    add(wire::kExplainSince, since);
+    add(wire::kExplainUntil, until);
+    add(wire::kExplainLimit, std::to_string(limit));
+    add(wire::kExplainFormat, json ? "json" : "text");
+    add(wire::kExplainSummary, summary ? "1" : "");
+    return parameters;
   }
 };
 
-std::string Escaped(std::string_view text) {
-  std::string out;
+std::string PercentEncoded(std::string_view text) {
+  std::string encoded;
   for (unsigned char c : text) {
-    bool plain =
-        (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
-    out += plain ? std::string(1, static_cast<char>(c)) : fmt::format("%{:02x}", c);
+    const bool letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
+    const bool plain = letter || (c >= '0' && c <= '9') || c == '-' || c == '_';
+    encoded += plain ? std::string(1, static_cast<char>(c)) : fmt::format("%{:02x}", c);
   }
-  return out;
+  return encoded;
 }
 
 int ExitCode(int status) {
-  if (status == 200) return kFoundIt;
-  return status == 404 ? kNotFound : status == 400 ? kBadUsage : kNoAnswer;
+  switch (status) {
+    case 200:
+      return kFoundIt;
+    case 404:
+      return kNotFound;
+    case 400:
+      return kBadUsage;
+    default:
+      return kNoAnswer;
+  }
 }
 
 int Print(int status, const std::string& body) {
-  std::fwrite(body.data(), 1, body.size(), status == 200 || status == 404 ? stdout : stderr);
+  const bool answered = status == 200 || status == 404;
+  std::fwrite(body.data(), 1, body.size(), answered ? stdout : stderr);
   if (!body.ends_with('\n')) std::fputc('\n', stdout);
   return ExitCode(status);
 }
 
-int AskFile(const Options& options) try {
-  std::int64_t now_us = std::chrono::duration_cast<std::chrono::microseconds>(
-                            std::chrono::system_clock::now().time_since_epoch())
-                            .count();
-  auto question = decision_log::ReadQuestion(options.Parameters(), now_us);
+std::int64_t UnixTimeUs() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
+}
+
+int AskRecordFile(const Options& options) try {
+  auto question = decision_log::ReadQuestion(options.Parameters(), UnixTimeUs());
   if (const auto* wrong = std::get_if<std::string>(&question)) return Print(400, *wrong);
-  decision_log::Reply reply = decision_log::AnswerFrom(decision_log::RecordFile::Open(options.file),
-                                                       std::get<decision_log::Question>(question));
+  const decision_log::Reply reply = decision_log::AnswerFrom(
+      decision_log::RecordFile::Open(options.record_file), std::get<decision_log::Question>(question));
   return Print(reply.status, reply.body);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
   return kBadUsage;
 }
 
+// Whether the whole response has come.
+bool ReadResponse(const net::Fd& fd, net::HttpParser& parser) {
+  std::string pending;
+  auto state = net::HttpParser::State::kHead;
+  while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad) {
+    const net::Io got = net::ReadSome(fd, pending, kTimeoutUs);
+    state = parser.Feed(pending);
+    if (got == net::Io::kEnd && state != net::HttpParser::State::kDone) state = parser.End();
+    if (got != net::Io::kOk) break;
+  }
+  return state == net::HttpParser::State::kDone;
+}
+
 int AskCoordinator(const Options& options) {
-  std::string target = "/-/why";
+  const std::string& address = options.coordinator_address;
+  std::string target = wire::kExplainPath;
+  char separator = '?';
   for (const auto& [name, value] : options.Parameters()) {
-    target += fmt::format("{}{}={}", target.find('?') == std::string::npos ? '?' : '&', name, Escaped(value));
+    target += fmt::format("{}{}={}", separator, name, PercentEncoded(value));
+    separator = '&';
   }
-  net::Fd fd = net::Connect(options.at, kPatience);
+  net::Fd fd = net::Connect(address, kTimeoutUs);
   if (!fd.Valid()) {
-    fmt::print(stderr, "no gatherer at {}\n", options.at);
+    fmt::print(stderr, "no coordinator at {}\n", address);
     return kNoAnswer;
   }
-  std::string request =
-      fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n", target, options.at);
-  net::HttpParser parser(net::HttpParser::Kind::kResponse, kMostAnswer);
-  std::string in;
-  auto state = net::HttpParser::State::kHead;
-  if (net::WriteAll(fd, request, kPatience).status == net::Io::kOk) {
-    while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad) {
-      net::Io got = net::ReadSome(fd, in, kPatience);
-      state = parser.Feed(in);
-      if (got == net::Io::kEnd && state != net::HttpParser::State::kDone) state = parser.End();
-      if (got != net::Io::kOk) break;
-    }
-  }
-  if (state != net::HttpParser::State::kDone) {
-    fmt::print(stderr, "the gatherer at {} gave no whole answer\n", options.at);
+  const std::string request =
+      fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n", target, address);
+  net::HttpParser parser(net::HttpParser::Kind::kResponse, kMaxAnswerBytes);
+  const bool written = net::WriteAll(fd, request, kTimeoutUs).status == net::Io::kOk;
+  if (!written || !ReadResponse(fd, parser)) {
+    fmt::print(stderr, "the coordinator at {} gave no complete answer\n", address);
     return kNoAnswer;
   }
   return Print(parser.message().status, parser.message().body);
@@ -112,32 +145,37 @@
 
 void AddExplainCommand(CLI::App& app, std::function<int()>& run) {
   auto options = std::make_shared<Options>();
-  CLI::App* reason =
-      app.add_subcommand("why", "Why queries went where they went, and why they ended as they did");
-  reason->add_option("id", options->id, "A call id, or the client's own X-Opaque-Id");
-  auto* at = reason->add_option("--at", options->at, "Where the gatherer listens, HOST:PORT in numbers")
-                 ->capture_default_str();
-  reason->add_option("--file", options->file, "A record's file in place of a running gatherer")->excludes(at);
-  reason->add_option("--class", options->class_name, "Only queries of this class");
-  reason->add_option("--verdict", options->verdict,
-                     "open, whole, partial, refused, failed, late, gone or turned_away");
-  reason->add_option("--holder", options->endpoint,
-                     "Only queries of which a part went to this holder (id or address)");
-  reason->add_option("--reason", options->reason,
-                     "Only queries that ended for this reason, such as pressure");
-  reason->add_option("--since", options->since,
-                     "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
-  reason->add_option("--until", options->until, "Came no later");
-  reason->add_option("--limit", options->limit, "At most so many, newest first")
-      ->check(CLI::Range(1, 500))
+  CLI::App* command = app.add_subcommand(wire::kExplainCommand,
+                                         "Why queries went where they went, and why they ended as they did");
+  command->add_option("id", options->id, "A call id, or the client's own X-Opaque-Id");
+  auto* address = command
+                      ->add_option("--at", options->coordinator_address,
+                                   "Where the coordinator listens, HOST:PORT in numbers")
+                      ->capture_default_str();
+  command->add_option("--file", options->record_file, "A record's file in place of a running coordinator")
+      ->excludes(address);
+  command->add_option("--class", options->class_name, "Only queries of this class");
+  command->add_option("--verdict", options->verdict, wire::kExplainVerdicts);
+  command->add_option(wire::kExplainEndpointOption, options->endpoint,
+                      "Only queries of which a shard request went to this endpoint (id or address)");
+  command->add_option(
+      "--reason", options->reason,
+      fmt::format("Only queries that ended for this reason, such as {}", wire::kExplainReasonExample));
+  command->add_option("--since", options->since,
+                      "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
+  command->add_option("--until", options->until, "Came no later");
+  command->add_option("--limit", options->limit, "At most so many, newest first")
+      ->check(CLI::Range(1, kMaxLimit))
       ->capture_default_str();
-  reason->add_flag("--summary", options->summary,
-                   "Counts of the last minute and since the start, by reason and holder");
-  reason->add_flag("--json", options->json, "JSON in place of text");
-  reason->footer(
+  command->add_flag("--summary", options->summary,
+                    "Counts of the last minute and since the start, by reason and endpoint");
+  command->add_flag("--json", options->json, "JSON in place of text");
+  command->footer(
       "Ends with 0; 1: nothing is kept of that id; 2: a filter or file that cannot be used; 3: no answer.");
-  reason->callback([options, &run] {
-    run = [options] { return options->file.empty() ? AskCoordinator(*options) : AskFile(*options); };
+  command->callback([options, &run] {
+    run = [options] {
+      return options->record_file.empty() ? AskCoordinator(*options) : AskRecordFile(*options);
+    };
   });
 }
 
--- a/src/app/explain_command.h
+++ b/src/app/explain_command.h
@@ -1,5 +1,5 @@
-// `liftrudder why ...`: asks a running gatherer, or the file that one left, why queries went where they went.
-// Prints to standard output and ends; serves nothing.
+// The sub-command that explains decisions: asks a running coordinator, or reads the record file that one
+// left, why queries went where they went. Prints the answer and ends; serves nothing. Main thread only.
 #ifndef LIFTRUDDER_APP_EXPLAIN_COMMAND_H_
 #define LIFTRUDDER_APP_EXPLAIN_COMMAND_H_
 
@@ -11,13 +11,13 @@
 
 namespace liftrudder::app {
 
-// Exit codes, the same for ever: scripts may rely on them.
+// Exit codes. Scripts rely on them: they never change.
 constexpr int kFoundIt = 0;
-constexpr int kNotFound = 1;  // nothing is kept of the query that was named
-constexpr int kBadUsage = 2;  // a filter that is none, a file that is no record
-constexpr int kNoAnswer = 3;  // the gatherer could not be reached, or had no time
+constexpr int kNotFound = 1;  // the record has nothing on the query that was named
+constexpr int kBadUsage = 2;  // a filter or a record file that cannot be used
+constexpr int kNoAnswer = 3;  // the coordinator could not be reached or gave no complete answer
 
-// Adds the sub-command; when it is chosen, `run` is set to what it does.
+// Adds the sub-command; where the user chose it, parsing sets `run` to a function that returns the exit code.
 void AddExplainCommand(CLI::App& app, std::function<int()>& run);
 
 }  // namespace liftrudder::app
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -3,12 +3,16 @@
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <chrono>
 #include <cstdio>
 #include <iostream>
 #include <iterator>
 #include <memory>
 #include <stdexcept>
+#include <string>
+#include <string_view>
+#include <variant>
 
 #include "config/config.h"
 #include "identity/base64url.h"
@@ -20,108 +24,131 @@
 namespace {
 
 using identity::KeySet;
-using Keys = std::shared_ptr<const KeySet>;
+using KeySetPtr = std::shared_ptr<const KeySet>;
 
-constexpr int kGood = 0, kNotGood = 1, kUnread = 2;
+constexpr int kValid = 0;
+constexpr int kInvalid = 1;
+constexpr int kUnreadable = 2;
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
+constexpr std::int64_t kMaxLifetimeSeconds = 86'400;
 
 struct Options {
-  std::string file, before, issuer, audience;
-  std::string kid, tenant, subject = "tests";
-  std::int64_t life_s = 300;
+  std::string file;      // a key set, or a private key
+  std::string previous;  // the key set that `file` is to replace
+  std::string issuer;
+  std::string audience;
+  std::string kid;
+  std::string tenant;
+  std::string subject = "tests";
+  std::int64_t lifetime_s = 300;
   bool jwk = false;
 };
 
-// Says what is wrong with it and gives nothing.
-Keys ReadKeys(const std::string& file) {
+// Null where the set is not valid; the reason has been printed then.
+KeySetPtr ReadKeys(const std::string& file) {
   auto read = KeySet::Read(config::ReadFile(file));
   if (const auto* wrong = std::get_if<std::string>(&read)) {
     fmt::print("{}: {}\n", file, *wrong);
     return nullptr;
   }
-  return std::get<Keys>(read);
+  return std::get<KeySetPtr>(read);
 }
 
 int CheckKeys(const Options& options) {
-  Keys keys = ReadKeys(options.file);
-  if (keys == nullptr) return kNotGood;
+  KeySetPtr keys = ReadKeys(options.file);
+  if (keys == nullptr) return kInvalid;
   for (const auto& [kid, key] : keys->keys()) {
     fmt::print("{} {} {}", kid, key.algorithm == identity::Algorithm::kEdDsa ? "EdDSA" : "ES256",
                identity::Name(key.state));
-    if (key.state == identity::KeyState::kRetiring) fmt::print(" until {}", key.until_us / 1'000'000);
+    if (key.state == identity::KeyState::kRetiring) fmt::print(" until {}", key.until_us / kMicrosPerSecond);
     fmt::print("\n");
   }
-  if (options.before.empty()) return kGood;
-  Keys before = ReadKeys(options.before);
-  if (before == nullptr) return kNotGood;
+  if (options.previous.empty()) return kValid;
+  KeySetPtr previous = ReadKeys(options.previous);
+  if (previous == nullptr) return kInvalid;
   identity::KnownKids known;
-  known.Take(*before);
+  known.Take(*previous);
   if (auto wrong = known.Take(*keys)) {
     fmt::print("{}\n", *wrong);
-    return kNotGood;
+    return kInvalid;
   }
-  for (const std::string& change : identity::Differences(*before, *keys)) fmt::print("{}\n", change);
-  return kGood;
+  for (const std::string& change : identity::Differences(*previous, *keys)) fmt::print("{}\n", change);
+  return kValid;
 }
 
-// Header and claims, and without the signature nothing that lets anybody in.
-int InspectToken(const Options& options) {
-  std::string token{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
-  while (!token.empty() && (token.back() == '\n' || token.back() == '\r')) token.pop_back();
-  std::string_view rest = token;
-  for (const char* shard_request : {"header", "claims"}) {
-    auto text = identity::DecodeBase64Url(rest.substr(0, rest.find('.')));
-    rest.remove_prefix(
-        std::min(rest.size(), rest.find('.') == std::string_view::npos ? rest.size() : rest.find('.') + 1));
-    auto json =
-        text ? identity::ReadStrictJson(*text, identity::kMostToken) : std::string("it is not base64url");
-    if (const auto* wrong = std::get_if<std::string>(&json)) {
-      fmt::print("{}: {}\n", shard_request, *wrong);
-    } else {
-      fmt::print("{}: {}\n", shard_request, std::get<nlohmann::json>(json).dump());
-    }
+std::chrono::microseconds UnixTime() {
+  return std::chrono::duration_cast<std::chrono::microseconds>(
+      std::chrono::system_clock::now().time_since_epoch());
+}
+
+// One part of a token, as JSON or why it is none.
+void PrintTokenPart(const char* name, std::string_view encoded) {
+  auto text = identity::DecodeBase64Url(encoded);
+  if (!text) {
+    fmt::print("{}: it is not base64url\n", name);
+    return;
+  }
+  auto json = identity::ReadStrictJson(*text, identity::kMostToken);
+  if (const auto* wrong = std::get_if<std::string>(&json)) {
+    fmt::print("{}: {}\n", name, *wrong);
+    return;
   }
-  if (options.file.empty()) return kGood;
-  Keys keys = ReadKeys(options.file);
-  if (keys == nullptr) return kNotGood;
-  auto now = std::chrono::system_clock::now().time_since_epoch();
-  auto verified = identity::Verify(token, *keys, {options.issuer, options.audience},
-                                   std::chrono::duration_cast<std::chrono::microseconds>(now).count());
+  fmt::print("{}: {}\n", name, std::get<nlohmann::json>(json).dump());
+}
+
+int VerifyToken(const std::string& token, const Options& options) {
+  KeySetPtr keys = ReadKeys(options.file);
+  if (keys == nullptr) return kInvalid;
+  auto verified = identity::Verify(token, *keys, {options.issuer, options.audience}, UnixTime().count());
   if (const auto* denial = std::get_if<identity::Denial>(&verified)) {
     fmt::print("not good: {}\n", identity::Name(*denial));
-    return kNotGood;
+    return kInvalid;
+  }
+  const auto& valid = std::get<identity::VerifiedToken>(verified);
+  fmt::print("good until {}: tenant {}, subject {}\n", valid.until_us / kMicrosPerSecond,
+             nlohmann::json(valid.tenant).dump(), nlohmann::json(valid.subject).dump());
+  return kValid;
+}
+
+// Prints header and claims but never the signature, so what is printed admits nobody.
+int InspectToken(const Options& options) {
+  std::string token{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
+  while (token.ends_with('\n') || token.ends_with('\r')) token.pop_back();
+  std::string_view rest = token;
+  for (const char* name : {"header", "claims"}) {
+    const std::string_view part = rest.substr(0, rest.find('.'));
+    PrintTokenPart(name, part);
+    rest.remove_prefix(std::min(rest.size(), part.size() + 1));
   }
-  const auto& caller = std::get<identity::VerifiedToken>(verified);
-  fmt::print("good until {}: tenant {}, subject {}\n", caller.until_us / 1'000'000,
-             nlohmann::json(caller.tenant).dump(), nlohmann::json(caller.subject).dump());
-  return kGood;
+  return options.file.empty() ? kValid : VerifyToken(token, options);
 }
 
-// Of a key made for trying out. What is printed lets its bearer in wherever that key is in the set.
+// For a key made for tests. The token that is printed admits its bearer wherever that key is in the set.
 int SignForTests(const Options& options) {
   auto read = identity::SigningKey::Read(config::ReadFile(options.file));
   if (const auto* wrong = std::get_if<std::string>(&read)) {
     fmt::print("{}: {}\n", options.file, *wrong);
-    return kNotGood;
+    return kInvalid;
   }
   const auto& key = std::get<identity::SigningKey>(read);
   if (options.jwk) {
     fmt::print("{}\n", key.Jwk(options.kid).dump());
-    return kGood;
+    return kValid;
   }
-  auto now = std::chrono::system_clock::now().time_since_epoch();
-  std::int64_t now_s = std::chrono::duration_cast<std::chrono::seconds>(now).count();
+  const std::int64_t now_s = std::chrono::duration_cast<std::chrono::seconds>(UnixTime()).count();
   nlohmann::json claims = {
-      {"iss", options.issuer},         {"aud", options.audience},  {"iat", now_s},          {"nbf", now_s},
-      {"exp", now_s + options.life_s}, {"tenant", options.tenant}, {"sub", options.subject}};
+      {"iss", options.issuer}, {"aud", options.audience},           {"iat", now_s},
+      {"nbf", now_s},          {"exp", now_s + options.lifetime_s}, {"tenant", options.tenant},
+      {"sub", options.subject}};
   fmt::print("{}\n", key.Token(options.kid, claims));
-  return kGood;
+  return kValid;
 }
 
-int Guarded(int (*what)(const Options&), const Options& options) try {
-  return what(options);
+int RunGuarded(int (*command)(const Options&), const Options& options) try {
+  return command(options);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
-  return kUnread;
+  return kUnreadable;
 }
 
 }  // namespace
@@ -129,14 +156,14 @@
 void AddIdentityCommands(CLI::App& app, std::function<int()>& run) {
   auto options = std::make_shared<Options>();
   const char* codes = "Ends with 0; 1: it is not good, and why; 2: a file that cannot be read.";
-  CLI::App* keys = app.add_subcommand("keys", "Key sets that callers' tokens are held against");
+  CLI::App* keys = app.add_subcommand("keys", "Key sets that clients' tokens are verified with");
   keys->require_subcommand(1);
   CLI::App* check = keys->add_subcommand("check", "Whether a set can be used, and the state of each key");
   check->add_option("file", options->file, "A JWK set")->required();
-  check->add_option("--before", options->before, "The set that it is to replace: says what changes");
+  check->add_option("--before", options->previous, "The set that it is to replace: says what changes");
   check->footer(codes);
-  check->callback([options, &run] { run = [options] { return Guarded(CheckKeys, *options); }; });
-  CLI::App* token = app.add_subcommand("token", "Callers' tokens");
+  check->callback([options, &run] { run = [options] { return RunGuarded(CheckKeys, *options); }; });
+  CLI::App* token = app.add_subcommand("token", "Clients' tokens");
   token->require_subcommand(1);
   CLI::App* inspect = token->add_subcommand(
       "inspect", "What a token says, read from standard input; with a key set, whether it is good now");
@@ -145,7 +172,7 @@
   auto* audience = inspect->add_option("--audience", options->audience, "As in the operator's file");
   file->needs(issuer)->needs(audience);
   inspect->footer(codes);
-  inspect->callback([options, &run] { run = [options] { return Guarded(InspectToken, *options); }; });
+  inspect->callback([options, &run] { run = [options] { return RunGuarded(InspectToken, *options); }; });
   CLI::App* sign =
       token->add_subcommand("sign-for-tests", "A token of a private key of your own, for trying out");
   sign->add_option("--key", options->file, "A private key in PEM, Ed25519 or P-256")->required();
@@ -158,14 +185,15 @@
                              {"--subject", &options->subject}}) {
     sign->add_option(name, *where, "As in the operator's file; not beside --jwk")->excludes(jwk);
   }
-  sign->add_option("--life", options->life_s, "Seconds until it expires; below 0: expired already")
-      ->check(CLI::Range(-86'400, 86'400))
+  sign->add_option("--life", options->lifetime_s, "Seconds until it expires; below 0: expired already")
+      ->check(CLI::Range(-kMaxLifetimeSeconds, kMaxLifetimeSeconds))
       ->excludes(jwk);
   sign->footer(codes);
   sign->callback([options, &run] {
-    bool whole = !options->issuer.empty() && !options->audience.empty() && !options->tenant.empty();
-    if (!options->jwk && !whole) throw CLI::ValidationError("--issuer, --audience and --tenant are needed");
-    run = [options] { return Guarded(SignForTests, *options); };
+    bool complete = !options->issuer.empty() && !options->audience.empty() && !options->tenant.empty();
+    if (!options->jwk && !complete)
+      throw CLI::ValidationError("--issuer, --audience and --tenant are needed");
+    run = [options] { return RunGuarded(SignForTests, *options); };
   });
 }
 
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -195,7 +195,7 @@
 }
 
 TEST(SettingsText, MissingOrWrongKeysAreNamed) {
-  auto parse_error = [](std::string text) -> std::string {
+  auto parse_error = [](const std::string& text) -> std::string {
     try {
       config::ParseRoutingSettings(text);
     } catch (const config::SettingsError& error) {
