--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -191,8 +191,9 @@
   sign->footer(codes);
   sign->callback([options, &run] {
     bool complete = !options->issuer.empty() && !options->audience.empty() && !options->tenant.empty();
-    if (!options->jwk && !complete)
+    if (!options->jwk && !complete) {
       throw CLI::ValidationError("--issuer, --audience and --tenant are needed");
+    }
     run = [options] { return RunGuarded(SignForTests, *options); };
   });
 }
