--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -1,5 +1,5 @@
-// Daily running on the started program: the second address, figures held against what stand-in holders and
-// clients saw, a drain and its end, and a process replaced under load with every request accounted for.
+// The started program in operation: the admin address, figures compared with what fake endpoints and clients
+// saw, a drain and its end, and a process replaced under load with every request accounted for.
 #define CATCH_CONFIG_MAIN
 #include <fmt/format.h>
 #include <signal.h>
@@ -22,7 +22,7 @@
 
 constexpr int kMaxEndpoints = 3;
 
-std::string Config(const test_support::FakeDiscovery& discovery, const std::string& mgmt) {
+std::string Config(const test_support::FakeDiscovery& discovery, const std::string& admin_address) {
   return fmt::format(
       R"({{"name":"n1","seed":"8c1f30d27a5be964","listen":"127.0.0.1:0","mgmt":"{}","discovery":"{}","limits":{{"cores":1,"sockets":256,"memory_mb":64}},
 "known":{},"settings":{{"az":0,"groupSize":1,"ordinal":0,"resolutionUs":1000,"dcs":[],"kinds":["k"],
@@ -32,29 +32,29 @@
 "familyInfo":{{"cells":{},"reach":1,"slices":{},"perCall":1,"classFetch":[0,0],"classFloor":[1.0,1.0],"wholeAt":[1.0,1.0],"incompleteWorth":[0.95,0.95]}},
 "bounds":{{"attemptsCap":3,"cancelling":true,"connectTimeoutUs":250000,"idleCloseUs":30000000,"maxOpen":500,"maxRetryAfterUs":500000,"probes":true,"retryAfter":true,"secondCopies":false,"streamsPerConn":100}},
 "rules":{{"graceToAnswerUs":5000,"stopSendingWithinUs":1000000}}}}}})",
-      mgmt, discovery.addr(), discovery.List(), kMaxEndpoints, kMaxEndpoints);
+      admin_address, discovery.addr(), discovery.List(), kMaxEndpoints, kMaxEndpoints);
 }
 
-struct World {
-  World() : field(kMaxEndpoints, 2'000) {
+struct Environment {
+  Environment() : fleet(kMaxEndpoints, 2'000) {
     std::vector<test_support::FakeDiscovery::Entry> all;
-    for (int i = 0; i < kMaxEndpoints; ++i) all.push_back({fmt::format("h{}", i), field.addr(i), i});
+    for (int i = 0; i < kMaxEndpoints; ++i) all.push_back({fmt::format("h{}", i), fleet.addr(i), i});
     discovery.Tell(all);
   }
-  int Parts() const {
+  int ShardRequestsReceived() const {
     int sum = 0;
-    for (int i = 0; i < kMaxEndpoints; ++i) sum += field.shard_requests(i);
+    for (int i = 0; i < kMaxEndpoints; ++i) sum += fleet.shard_requests(i);
     return sum;
   }
-  test_support::TestFleet field;
+  test_support::TestFleet fleet;
   test_support::FakeDiscovery discovery;
   test_support::TemporaryDirectory directory;
 };
 
-// Calls at a second address.
-struct ExplainService {
-  explicit ExplainService(const test_support::CoordinatorProcess& coordinator_process)
-      : addr(coordinator_process.Logged("are answered at ")) {}
+// Requests at the admin address.
+struct AdminClient {
+  explicit AdminClient(const test_support::CoordinatorProcess& coordinator)
+      : addr(coordinator.Logged("are answered at ")) {}
   net::HttpMessage Call(const std::string& method, const std::string& path) const {
     return test_support::Fetch(addr, fmt::format("{} {} HTTP/1.1\r\nHost: g\r\n\r\n", method, path));
   }
@@ -68,31 +68,32 @@
   std::string addr;
 };
 
-// One client that keeps its connection while it may.
+// A client that keeps its connection while it may.
 struct Client {
   // The status; 0: the connection ended without an answer.
-  int Ask(const std::string& addr, const std::string& id, const std::string& group, int shards) {
-    if (!fd.Valid()) fd = net::Connect(addr, test_support::kPatience), ++connections;
-    std::string tablets;
+  int Ask(const std::string& addr, const std::string& id, const std::string& class_name, int shards) {
+    if (!fd.Valid()) fd = net::Connect(addr, test_support::kPatience);
+    std::string shard_requests;
     for (int i = 0; i < shards; ++i)
-      tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "", i, 1.0 / shards);
-    std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", tablets), in;
+      shard_requests +=
+          fmt::format("{}{{\"tablet\":{},\"fraction\":{:.6f}}}", i > 0 ? "," : "", i, 1.0 / shards);
+    std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", shard_requests);
+    std::string pending;
     net::WriteAll(
         fd,
         fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\nX-Budget: 8\r\n"
                     "Content-Length: {}\r\n\r\n{}",
-                    id, group, body.size(), body),
+                    id, class_name, body.size(), body),
         test_support::kPatience);
     net::HttpParser parser(net::HttpParser::Kind::kResponse);
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone &&
-           net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk)
-      state = parser.Feed(in);
+           net::ReadSome(fd, pending, test_support::kPatience) == net::Io::kOk)
+      state = parser.Feed(pending);
     if (state != net::HttpParser::State::kDone || parser.message().close) fd = net::Fd();
     return state == net::HttpParser::State::kDone ? parser.message().status : 0;
   }
   net::Fd fd;
-  int connections = 0;
 };
 
 template <typename Condition>
@@ -112,52 +113,50 @@
 
 }  // namespace
 
-TEST_CASE("the second address: what may be called, and what is wrong about a call") {
-  World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
-                                                       Config(world.discovery, "127.0.0.1:0"));
-  INFO(coordinator_process.Log());
-  REQUIRE(!coordinator_process.addr().empty());
-  ExplainService explain_service(coordinator_process);
-  Until([&] { return explain_service.Call("GET", "/healthcheck").status == 200; }, "ready");
-  CHECK(explain_service.Call("GET", "/stats").status == 200);
-  CHECK(explain_service.Call("GET", "/nothing").status == 404);
-  CHECK(explain_service.Call("GET", "/").status == 404);
+TEST_CASE("the admin address: which requests it takes, and what is wrong about others") {
+  Environment environment;
+  test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, environment.directory.path(),
+                                               Config(environment.discovery, "127.0.0.1:0"));
+  INFO(coordinator.Log());
+  REQUIRE(!coordinator.addr().empty());
+  AdminClient admin(coordinator);
+  Until([&] { return admin.Call("GET", "/healthcheck").status == 200; }, "ready");
+  CHECK(admin.Call("GET", "/stats").status == 200);
+  CHECK(admin.Call("GET", "/nothing").status == 404);
+  CHECK(admin.Call("GET", "/").status == 404);
   for (auto [method, path] : {std::pair("PUT", "/healthcheck"),
                               {"POST", "/stats"},
                               {"GET", "/healthcheck/fail"},
                               {"DELETE", "/healthcheck/ok"}}) {
-    net::HttpMessage answer = explain_service.Call(method, path);
+    net::HttpMessage answer = admin.Call(method, path);
     CHECK(answer.status == 405);
     CHECK(answer.Header("Allow") != nullptr);
   }
-  CHECK(test_support::Fetch(explain_service.addr, "GET /stats\r\n\r\n").status == 400);
-  CHECK(test_support::Fetch(explain_service.addr,
-                            "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
+  CHECK(test_support::Fetch(admin.addr, "GET /stats\r\n\r\n").status == 400);
+  CHECK(test_support::Fetch(admin.addr, "GET /stats HTTP/1.1\r\nA: " + std::string(20'000, 'a') + "\r\n\r\n")
             .status == 400);
-  CHECK(test_support::Fetch(explain_service.addr,
-                            "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n")
+  CHECK(test_support::Fetch(admin.addr, "PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n")
             .status == 400);
-  // Mute and half-finished callers, far more than are held, keep nobody out.
-  std::vector<net::Fd> mute;
+  // Idle and half-finished connections, far more than the server keeps, shut nobody out.
+  std::vector<net::Fd> idle_connections;
   for (int i = 0; i < 100; ++i) {
-    mute.push_back(net::Connect(explain_service.addr, test_support::kPatience));
-    if (i % 2 == 0) net::WriteAll(mute.back(), "GET /stats HT", test_support::kPatience);
+    idle_connections.push_back(net::Connect(admin.addr, test_support::kPatience));
+    if (i % 2 == 0) net::WriteAll(idle_connections.back(), "GET /stats HT", test_support::kPatience);
   }
-  CHECK(explain_service.Call("GET", "/healthcheck").status == 200);
-  CHECK(coordinator_process.Stop() >= 0);
+  CHECK(admin.Call("GET", "/healthcheck").status == 200);
+  CHECK(coordinator.Stop() >= 0);
 }
 
-TEST_CASE("a second address or a passed socket that cannot be had is an error that names it") {
-  World world;
+TEST_CASE("an admin address or a passed socket that cannot be had is an error that names it") {
+  Environment environment;
   net::Fd taken = net::Listen("127.0.0.1:0");
-  std::string addr = net::LocalAddress(taken), path = world.directory.path() + "/config.json";
-  std::ofstream(path) << Config(world.discovery, addr);
+  std::string addr = net::LocalAddress(taken), path = environment.directory.path() + "/config.json";
+  std::ofstream(path) << Config(environment.discovery, addr);
   ::setenv("BALANCER_CONFIG", path.c_str(), 1);
   auto [code, said] = test_support::RunProgram(LIFTRUDDER_PROGRAM, {});
   CHECK(code == 1);
   CHECK(said.find("cannot listen on " + addr) != std::string::npos);
-  std::ofstream(path) << Config(world.discovery, "");
+  std::ofstream(path) << Config(environment.discovery, "");
   for (auto [number, reason] : {std::pair("77", "descriptor 77: Bad file descriptor"),
                                 {"0", "passed socket: descriptor 0"},
                                 {"3x", "'3x' is no descriptor's number"}}) {
@@ -171,119 +170,125 @@
   ::unsetenv("BALANCER_CONFIG");
 }
 
-TEST_CASE("the figures are what clients were given and what holders saw") {
-  World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
-                                                       Config(world.discovery, "127.0.0.1:0"));
-  REQUIRE(!coordinator_process.addr().empty());
-  ExplainService explain_service(coordinator_process);
+TEST_CASE("the figures are what clients were given and what endpoints saw") {
+  Environment environment;
+  test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, environment.directory.path(),
+                                               Config(environment.discovery, "127.0.0.1:0"));
+  REQUIRE(!coordinator.addr().empty());
+  AdminClient admin(coordinator);
   std::map<std::string, std::map<int, long>> given;
   Client client;
   for (int i = 0; i < 60; ++i) {
-    std::string group = i % 3 == 0 ? "report" : "search";
-    ++given[group]
-           [client.Ask(coordinator_process.addr(), fmt::format("q{}", i), group, 1 + i % kMaxEndpoints)];
+    std::string class_name = i % 3 == 0 ? "report" : "search";
+    ++given[class_name]
+           [client.Ask(coordinator.addr(), fmt::format("q{}", i), class_name, 1 + i % kMaxEndpoints)];
   }
-  CHECK(client.Ask(coordinator_process.addr(), "bad", "nosuch", 1) == 400);
-  auto stats = explain_service.Stats();
+  CHECK(client.Ask(coordinator.addr(), "bad", "nosuch", 1) == 400);
+  auto stats = admin.Stats();
   CHECK(stats["app_answered_total{group=\"search\"}"] == given["search"][200]);
   CHECK(stats["app_answered_total{group=\"report\"}"] == given["report"][200]);
   CHECK(given["search"][200] + given["report"][200] == 60);
   CHECK(stats["app_sends_total{group=\"search\"}"] + stats["app_sends_total{group=\"report\"}"] ==
-        world.Parts());
+        environment.ShardRequestsReceived());
   CHECK(stats["app_errored_total{group=\"search\"}"] == 0);
   CHECK(stats["app_current"] == 0);
   CHECK(stats["app_cluster_size"] == kMaxEndpoints);
   CHECK(stats["app_cluster_unhealthy"] == 0);
-  // One leaves: listed and avoided, then not listed; a query for its shard is refused or fails at once.
-  world.discovery.Tell("h2", world.field.addr(2), 2, "draining");
-  Until([&] { return explain_service.Stats()["app_cluster_unhealthy"] == 1; }, "one avoided");
-  CHECK(explain_service.Stats()["app_cluster_size"] == kMaxEndpoints);
-  world.discovery.Tell("h2", world.field.addr(2), 2, "gone");
-  // The list is told at once, what is avoided with the next round of decisions.
-  Until([&] { return explain_service.Stats()["app_cluster_size"] == kMaxEndpoints - 1; }, "one less");
-  Until([&] { return explain_service.Stats()["app_cluster_unhealthy"] == 0; }, "none avoided");
-  int status = client.Ask(coordinator_process.addr(), "none", "report", kMaxEndpoints);
+  // One drains: listed and avoided, then not listed; a query for its shard is rejected or fails at once.
+  environment.discovery.Tell("h2", environment.fleet.addr(2), 2, "draining");
+  Until([&] { return admin.Stats()["app_cluster_unhealthy"] == 1; }, "one avoided");
+  CHECK(admin.Stats()["app_cluster_size"] == kMaxEndpoints);
+  environment.discovery.Tell("h2", environment.fleet.addr(2), 2, "gone");
+  // The list's size changes at once, the number avoided with the next decision round.
+  Until([&] { return admin.Stats()["app_cluster_size"] == kMaxEndpoints - 1; }, "one less");
+  Until([&] { return admin.Stats()["app_cluster_unhealthy"] == 0; }, "none avoided");
+  int status = client.Ask(coordinator.addr(), "none", "report", kMaxEndpoints);
   CHECK(status != 200);
-  stats = explain_service.Stats();
+  stats = admin.Stats();
   CHECK(stats["app_deferred_total{group=\"report\"}"] + stats["app_errored_total{group=\"report\"}"] == 1);
-  CHECK(coordinator_process.Stop() >= 0);
+  CHECK(coordinator.Stop() >= 0);
 }
 
 TEST_CASE("a drain ends kept connections behind their answers and when idle, and its end is an end") {
-  World world;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, world.directory.path(),
-                                                       Config(world.discovery, "127.0.0.1:0"));
-  REQUIRE(!coordinator_process.addr().empty());
-  ExplainService explain_service(coordinator_process);
+  Environment environment;
+  test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, environment.directory.path(),
+                                               Config(environment.discovery, "127.0.0.1:0"));
+  REQUIRE(!coordinator.addr().empty());
+  AdminClient admin(coordinator);
   Client busy, idle;
-  CHECK(busy.Ask(coordinator_process.addr(), "b0", "search", 1) == 200);
-  CHECK(idle.Ask(coordinator_process.addr(), "i0", "search", 1) == 200);
-  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);
-  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);  // twice is once
-  CHECK(explain_service.Call("GET", "/healthcheck").status == 503);
-  CHECK(test_support::Get(coordinator_process.addr(), "/-/ready").status == 503);
-  coordinator_process.Signal(SIGHUP);
+  CHECK(busy.Ask(coordinator.addr(), "b0", "search", 1) == 200);
+  CHECK(idle.Ask(coordinator.addr(), "i0", "search", 1) == 200);
+  CHECK(admin.Call("PUT", "/healthcheck/fail").status == 200);
+  CHECK(admin.Call("PUT", "/healthcheck/fail").status == 200);  // twice is once
+  CHECK(admin.Call("GET", "/healthcheck").status == 503);
+  CHECK(test_support::Get(coordinator.addr(), "/-/ready").status == 503);
+  coordinator.Signal(SIGHUP);
   int asked = 0;
   // Kept busy: every request is answered, and at last the connection is ended behind an answer.
   Until(
       [&] {
-        return busy.Ask(coordinator_process.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 &&
+        return busy.Ask(coordinator.addr(), fmt::format("b{}", ++asked), "search", 1) == 200 &&
                !busy.fd.Valid();
       },
       "the busy connection ends");
   Until([&] { return Ended(idle.fd); }, "the idle connection ends");
-  // Who comes all the same is served, on a connection for that one request.
+  // A client that connects all the same is served, on a connection for that one request.
   Client late;
-  CHECK(late.Ask(coordinator_process.addr(), "l0", "search", 1) == 200);
+  CHECK(late.Ask(coordinator.addr(), "l0", "search", 1) == 200);
   CHECK(!late.fd.Valid());
-  CHECK(explain_service.Call("GET", "/healthcheck").status == 503);
-  CHECK(explain_service.Call("PUT", "/healthcheck/ok").status == 200);
-  CHECK(explain_service.Call("GET", "/healthcheck").status == 200);
-  CHECK(test_support::Get(coordinator_process.addr(), "/-/ready").status == 200);
-  CHECK(late.Ask(coordinator_process.addr(), "l1", "search", 1) == 200);
+  CHECK(admin.Call("GET", "/healthcheck").status == 503);
+  CHECK(admin.Call("PUT", "/healthcheck/ok").status == 200);
+  CHECK(admin.Call("GET", "/healthcheck").status == 200);
+  CHECK(test_support::Get(coordinator.addr(), "/-/ready").status == 200);
+  CHECK(late.Ask(coordinator.addr(), "l1", "search", 1) == 200);
   CHECK(late.fd.Valid());
   late.fd = net::Fd();
-  CHECK(explain_service.Call("PUT", "/healthcheck/fail").status == 200);
-  CHECK(coordinator_process.Stop() >= 0);  // SIGTERM while it drains
+  CHECK(admin.Call("PUT", "/healthcheck/fail").status == 200);
+  CHECK(coordinator.Stop() >= 0);  // SIGTERM while it drains
 }
 
-TEST_CASE("a process is replaced under load with nothing refused, reset or unread") {
-  World world;
+TEST_CASE("a process is replaced under load with no connection refused, reset or unread") {
+  Environment environment;
   net::Fd listener = net::Listen("127.0.0.1:0");
   std::string addr = net::LocalAddress(listener);
   test_support::TemporaryDirectory second;
-  std::string config = Config(world.discovery, "127.0.0.1:0");
+  std::string config = Config(environment.discovery, "127.0.0.1:0");
   auto old = std::make_unique<test_support::CoordinatorProcess>(
-      LIFTRUDDER_PROGRAM, world.directory.path(), config, std::vector<std::string>{}, listener.Get());
+      LIFTRUDDER_PROGRAM, environment.directory.path(), config, std::vector<std::string>{}, listener.Get());
   REQUIRE(old->addr() == addr);
-  Until([&] { return ExplainService(*old).Call("GET", "/healthcheck").status == 200; }, "ready");
+  Until([&] { return AdminClient(*old).Call("GET", "/healthcheck").status == 200; }, "ready");
   std::atomic<bool> over{false};
-  std::atomic<int> answered{0}, refused{0}, lost{0};
+  std::atomic<int> answered{0}, rejected{0}, lost{0};
   std::vector<std::thread> clients;
   for (int c = 0; c < 6; ++c) {
     clients.emplace_back([&, c] {
       Client client;
       for (int i = 0; !over; ++i) {
         int status = client.Ask(addr, fmt::format("c{}-{}", c, i), "search", 1 + i % kMaxEndpoints);
-        // 429 is the module's word on its load, given in time; a lost connection has none, and 503 is the
-        // door's.
-        ++(status == 200 ? answered : status == 429 ? refused : lost);
+        // 429 is a decision under load, given in time; 503 comes from the intake, and a lost connection
+        // gives no answer at all.
+        if (status == 200) {
+          ++answered;
+        } else if (status == 429) {
+          ++rejected;
+        } else {
+          ++lost;
+        }
       }
     });
   }
   Until([&] { return answered > 100; }, "load");
   test_support::CoordinatorProcess fresh(LIFTRUDDER_PROGRAM, second.path(), config, {}, listener.Get());
-  ExplainService explain_service(fresh);
-  Until([&] { return explain_service.Call("GET", "/healthcheck").status == 200; }, "the new one is ready");
+  AdminClient admin(fresh);
+  Until([&] { return admin.Call("GET", "/healthcheck").status == 200; }, "the new one is ready");
   CHECK(old->Stop() >= 0);  // it ends what it has, and leaves by itself
   int before = answered;
   Until([&] { return answered > before + 200; }, "load on the new one alone");
   over = true;
   for (std::thread& client : clients) client.join();
   CHECK(lost == 0);
-  CHECK(refused < answered / 20);
-  auto stats = explain_service.Stats();
+  CHECK(rejected < answered / 20);
+  auto stats = admin.Stats();
   CHECK(stats["app_answered_total{group=\"search\"}"] >= 200);
   CHECK(fresh.Stop() >= 0);
 }
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -1,5 +1,5 @@
-// A list that grows to 1,024 holders on the started program, with fewer descriptors than holders and little
-// memory: all shards are served, a holder that is told to leave gets nothing more, and the limits hold.
+// An endpoint list that grows to 1,024 on the started program, with fewer descriptors than endpoints and
+// little memory: all shards are served, an endpoint that drains gets nothing more, and the limits hold.
 #define CATCH_CONFIG_MAIN
 #include <fmt/format.h>
 
@@ -36,11 +36,11 @@
 std::string Name(int endpoint) { return fmt::format("holder-{:0>64}", endpoint); }
 
 net::HttpMessage AskAll(const std::string& addr, const std::string& id) {
-  std::string tablets;
+  std::string shard_requests;
   for (int shard = 0; shard < kMaxEndpoints; ++shard)
-    tablets += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard,
-                           1.0 / kMaxEndpoints);
-  std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", tablets);
+    shard_requests += fmt::format("{}{{\"tablet\":{},\"fraction\":{:.9f}}}", shard > 0 ? "," : "", shard,
+                                  1.0 / kMaxEndpoints);
+  std::string body = fmt::format("{{\"tablets\":[{}],\"statement\":\"s\"}}", shard_requests);
   return test_support::Fetch(
       addr, fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: {}\r\nX-Call-Class: report\r\n"
                         "X-Budget: 19\r\nContent-Length: {}\r\n\r\n{}",
@@ -66,74 +66,74 @@
   return std::distance(std::filesystem::directory_iterator(fmt::format("/proc/{}/fd", pid)), {});
 }
 
-void WaitLog(const test_support::CoordinatorProcess& coordinator_process, const std::string& text) {
+void WaitLog(const test_support::CoordinatorProcess& coordinator, const std::string& text) {
   net::SteadyClock clock;
   for (net::Micros until = clock.Now() + test_support::kPatience; clock.Now() < until;) {
-    if (coordinator_process.Log().find(text) != std::string::npos) return;
+    if (coordinator.Log().find(text) != std::string::npos) return;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
-  FAIL("the log does not say: " << text << "\n" << coordinator_process.Log());
+  FAIL("the log does not say: " << text << "\n" << coordinator.Log());
 }
 
 }  // namespace
 
 TEST_CASE(
-    "a list that grows from a few holders to 1,024 is served within the limits, a drain in its middle") {
-  test_support::TestFleet field(kMaxEndpoints, kServeUs);
+    "a list that grows from a few endpoints to 1,024 is served within the limits, a drain in its middle") {
+  test_support::TestFleet fleet(kMaxEndpoints, kServeUs);
   test_support::FakeDiscovery discovery;
   discovery.Indent();
   std::vector<test_support::FakeDiscovery::Entry> few, rest;
-  for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Name(i), field.addr(i), i});
+  for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Name(i), fleet.addr(i), i});
   discovery.Tell(few);
   test_support::TemporaryDirectory directory;
-  test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory.path(),
-                                                       Config(discovery));
-  INFO(coordinator_process.Log());
-  REQUIRE(!coordinator_process.addr().empty());
-  // It listens before its watch is taken; told earlier, both lists come as one and nothing grows.
-  WaitLog(coordinator_process, fmt::format(", full: {} entries", few.size()));
+  test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, directory.path(), Config(discovery));
+  INFO(coordinator.Log());
+  REQUIRE(!coordinator.addr().empty());
+  // It listens before its watch is open; if the rest were announced now, both lists would come as one and
+  // nothing would grow.
+  WaitLog(coordinator, fmt::format(", full: {} entries", few.size()));
   discovery.Tell(rest);
-  WaitLog(coordinator_process, fmt::format("{} entries", rest.size()));
+  WaitLog(coordinator, fmt::format("{} entries", rest.size()));
 
   for (int round = 0; round < 3; ++round) {
-    net::HttpMessage answer = AskAll(coordinator_process.addr(), fmt::format("wide-{}", round));
+    net::HttpMessage answer = AskAll(coordinator.addr(), fmt::format("wide-{}", round));
     REQUIRE(answer.status == 200);
     CHECK(answer.body.starts_with("{\"full\":true"));
     CHECK(Count(answer.body, "\"tablet\":") == kMaxEndpoints);
   }
-  // Half of the list is told to leave in one change: once it is heard, none of those gets a first byte.
-  std::vector<test_support::FakeDiscovery::Entry> leaving;
+  // Half of the list drains in one change: once it is applied, none of those gets a first byte.
+  std::vector<test_support::FakeDiscovery::Entry> draining;
   std::vector<int> before;
-  for (int i = 0; i < kMaxEndpoints; i += 2) leaving.push_back({Name(i), field.addr(i), i, "draining"});
-  discovery.Tell(leaving);
-  WaitLog(coordinator_process, fmt::format("{} entries", leaving.size()));
-  for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(field.shard_requests(i));
+  for (int i = 0; i < kMaxEndpoints; i += 2) draining.push_back({Name(i), fleet.addr(i), i, "draining"});
+  discovery.Tell(draining);
+  WaitLog(coordinator, fmt::format("{} entries", draining.size()));
+  for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(fleet.shard_requests(i));
   for (int round = 0; round < 3; ++round) {
-    net::HttpMessage answer = AskAll(coordinator_process.addr(), fmt::format("left-{}", round));
+    net::HttpMessage answer = AskAll(coordinator.addr(), fmt::format("left-{}", round));
     REQUIRE(answer.status == 200);
     CHECK(answer.body.starts_with("{\"full\":true"));
-    CHECK(Descriptors(coordinator_process.pid()) <= kSockets);
+    CHECK(Descriptors(coordinator.pid()) <= kSockets);
   }
   int late = 0;
-  for (int i = 0; i < kMaxEndpoints; i += 2) late += field.shard_requests(i) - before[static_cast<std::size_t>(i / 2)];
+  for (int i = 0; i < kMaxEndpoints; i += 2)
+    late += fleet.shard_requests(i) - before[static_cast<std::size_t>(i / 2)];
   CHECK(late == 0);
 
-  // What can be asked of the record covers them all.
-  net::HttpMessage reason = test_support::Get(coordinator_process.addr(), "/-/why?id=left-0");
-  CHECK(reason.status == 200);
-  long held_kb = Status(coordinator_process.pid(), "VmHWM"),
-       threads = Status(coordinator_process.pid(), "Threads");
+  // The decision log covers them all.
+  net::HttpMessage explanation = test_support::Get(coordinator.addr(), "/-/why?id=left-0");
+  CHECK(explanation.status == 200);
+  long max_memory_kb = Status(coordinator.pid(), "VmHWM"), threads = Status(coordinator.pid(), "Threads");
   std::printf(
-      "1,024 holders: %ld KB at most, %ld descriptors, %ld threads, %d connections taken for 6 x 1,024 "
-      "parts\n",
-      held_kb, Descriptors(coordinator_process.pid()), threads, field.taken());
-  if (!LIFTRUDDER_SANITIZED) CHECK(held_kb <= kMemoryMb * 1024);
+      "1,024 endpoints: %ld KB at most, %ld descriptors, %ld threads, %d connections taken for 6 x 1,024 "
+      "shard requests\n",
+      max_memory_kb, Descriptors(coordinator.pid()), threads, fleet.taken());
+  if (!LIFTRUDDER_SANITIZED) CHECK(max_memory_kb <= kMemoryMb * 1024);
   CHECK(threads <= 12);
-  CHECK(Descriptors(coordinator_process.pid()) <= kSockets);
-  // Fewer places than holders: most connections live on all the same.
-  CHECK(field.taken() < 6 * kMaxEndpoints);
-  std::string log = coordinator_process.Log();
+  CHECK(Descriptors(coordinator.pid()) <= kSockets);
+  // There are fewer descriptors than endpoints, and most connections live on all the same.
+  CHECK(fleet.taken() < 6 * kMaxEndpoints);
+  std::string log = coordinator.Log();
   CHECK(log.find("no connection after") == std::string::npos);
   CHECK(log.find(" error ") == std::string::npos);
-  CHECK(coordinator_process.Stop() >= 0);
+  CHECK(coordinator.Stop() >= 0);
 }
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Lists of holders as they may come: on one line or many, cut at any byte, long, or not to be understood.
+// Endpoint lists as they may come: on one line or many, cut at any byte, long, or malformed.
 #define CATCH_CONFIG_MAIN
 #include "config/endpoint_list.h"
 
@@ -46,7 +46,7 @@
   return out;
 }
 
-config::Config Known() {
+config::Config ConfigWithNames() {
   config::Config config;
   config.zones = {"z"};
   config.kinds = {"k"};
@@ -107,7 +107,7 @@
   CHECK(wrong("{} {\"a\":  123456}") == "an object of more than 12 bytes (0x36) at byte 15");
 }
 
-TEST_CASE("a list of 1,024 holders with long names is read, on one line and indented") {
+TEST_CASE("a list of 1,024 endpoints with long names is read, on one line and indented") {
   Json servers = Json::array();
   for (int i = 0; i < 1024; ++i) {
     servers.push_back({{"id", fmt::format("s-{:0>200}", i)},
@@ -121,7 +121,7 @@
   }
   Json all = {{"version", 7}, {"full", true}, {"servers", servers}};
   for (int indent : {-1, 4}) {
-    coordinator::EndpointList list = config::ParseEndpointList(all.dump(indent), Known());
+    coordinator::EndpointList list = config::ParseEndpointList(all.dump(indent), ConfigWithNames());
     CHECK(list.version == 7);
     CHECK(list.kind == liftrudder::routing::EndpointListKind::kFull);
     REQUIRE(list.entries.size() == 1024);
@@ -138,7 +138,7 @@
     std::string good = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
     try {
       config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}",
-                                Known());
+                                ConfigWithNames());
     } catch (const config::EndpointListError& error) {
       return error.what();
     }
