--- a/tests/scenario/client_statements.cpp
+++ b/tests/scenario/client_statements.cpp
@@ -47,8 +47,9 @@
   std::istringstream list(shard_list);
   for (std::string shard; std::getline(list, shard, ',');) shards.push_back(std::stoi(shard));
   Json body = {{"tablets", Json::array()}, {"statement", "st-" + call_id}};
-  for (int shard : shards)
+  for (int shard : shards) {
     body["tablets"].push_back({{"tablet", shard}, {"fraction", 1.0 / static_cast<double>(shards.size())}});
+  }
   std::string headers = QueryHeaders(call_id, class_name, timeout);
   if (!key.empty()) headers += "Idempotency-Key: " + key + "\r\n";
   Write(Client(statement.subject), HttpRequest("POST", "/api", headers, body.dump()));
--- a/tests/scenario/endpoint_statements.cpp
+++ b/tests/scenario/endpoint_statements.cpp
@@ -114,8 +114,9 @@
   int others = 0;
   words >> state >> others;
   Json entries = Json::array();
-  for (const auto& [name, peer] : endpoints_)
+  for (const auto& [name, peer] : endpoints_) {
     entries.push_back(Entry(name, name == Resolve(statement.subject) ? state : "ready"));
+  }
   for (int i = 0; i < others; ++i) {
     Json entry = entries.front();
     entry["id"] = "other-" + std::string(40, 'x') + std::to_string(i);
--- a/tests/scenario/peer.cpp
+++ b/tests/scenario/peer.cpp
@@ -73,8 +73,9 @@
 
 void Write(Connection& connection, const std::string& bytes) {
   const std::string sealed = connection.tls ? connection.tls->Say(bytes) : bytes;
-  if (net::WriteAll(connection.fd, sealed, kWriteTimeoutUs).status != net::Io::kOk)
+  if (net::WriteAll(connection.fd, sealed, kWriteTimeoutUs).status != net::Io::kOk) {
     throw ScenarioError("the connection takes nothing");
+  }
 }
 
 void Handshake(Connection& connection) {
@@ -84,8 +85,9 @@
     if (!out.empty()) net::WriteAll(connection.fd, out, kWriteTimeoutUs);
     came.clear();
     if (SSL_is_init_finished(connection.tls->raw()) != 0) return;
-    if (net::ReadSome(connection.fd, came, kWriteTimeoutUs) != net::Io::kOk)
+    if (net::ReadSome(connection.fd, came, kWriteTimeoutUs) != net::Io::kOk) {
       throw ScenarioError("no handshake");
+    }
   }
 }
 
@@ -101,8 +103,9 @@
 void CloseAll(Peer& peer, CloseKind kind) {
   for (Connection& connection : peer.connections) {
     const linger reset{1, 0};
-    if (kind != CloseKind::kClose)
+    if (kind != CloseKind::kClose) {
       ::setsockopt(connection.fd.Get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
+    }
     connection.fd = net::Fd();
     connection.ended = true;
   }
--- a/tests/scenario/player.cpp
+++ b/tests/scenario/player.cpp
@@ -1,10 +1,10 @@
 #include "scenario/player.h"
 
 #include <poll.h>
-#include <signal.h>
-#include <stdlib.h>
 #include <sys/wait.h>
 
+#include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <sstream>
 #include <utility>
@@ -88,8 +88,9 @@
   std::string& arguments = statement.arguments;
   for (const auto& [name, value] : kept_values_) {
     const std::string reference = "$" + name;
-    for (auto at = arguments.find(reference); at != std::string::npos; at = arguments.find(reference))
+    for (auto at = arguments.find(reference); at != std::string::npos; at = arguments.find(reference)) {
       arguments.replace(at, reference.size(), value);
+    }
   }
   return statement;
 }
@@ -170,8 +171,9 @@
   Connection& connection = peer.connections.emplace_back();
   connection.fd = net::Accept(peer.listener, 0);
   connection.wire = wire;
-  if (wire == WireKind::kHttp)
+  if (wire == WireKind::kHttp) {
     connection.http = std::make_unique<net::HttpParser>(net::HttpParser::Kind::kRequest);
+  }
 }
 
 void Player::AcceptWatch() {
--- a/tests/scenario/process_statements.cpp
+++ b/tests/scenario/process_statements.cpp
@@ -1,11 +1,11 @@
 // The program under test: its start, configuration, signals and end.
-#include <signal.h>
-#include <stdlib.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <array>
+#include <csignal>
+#include <cstdlib>
 #include <fstream>
 #include <list>
 
@@ -38,8 +38,9 @@
   serves_search_ = statement.subject == "search";
   WriteConfiguration(config_.dump());
   std::array<int, 2> ends{};
-  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends.data()) != 0)
+  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends.data()) != 0) {
     throw ScenarioError("no socket pair");
+  }
   child_ = ::fork();
   if (child_ == 0) ExecuteProgram(ends[1]);
   ::close(ends[1]);
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -1,7 +1,6 @@
 #include "scenario/scenario.h"
 
-#include <signal.h>
-
+#include <csignal>
 #include <exception>
 #include <sstream>
 
--- a/tests/scenario/statements.cpp
+++ b/tests/scenario/statements.cpp
@@ -95,8 +95,9 @@
 
 void Player::ExpectFinished(const Statement& statement) {
   ExpectEnded(statement);
-  if (!FindPeer(statement.subject).connections.back().tls->ended())
+  if (!FindPeer(statement.subject).connections.back().tls->ended()) {
     throw ScenarioError("it was cut, without a close_notify");
+  }
 }
 
 void Player::ExpectQuiet(const Statement& statement) {
@@ -123,8 +124,9 @@
           return MatchesGlob(glob, counters);
         }
         if (!counters.empty() && MatchesGlob(glob, counters)) return true;
-        if (client.connections.empty() || !counters_requested_)
+        if (client.connections.empty() || !counters_requested_) {
           Write(Client(kCountersClient), HttpRequest("GET", "/-/metrics", "", ""));
+        }
         counters_requested_ = true;
         return false;
       },
--- a/tools/test_support/allocation_counter.h
+++ b/tools/test_support/allocation_counter.h
@@ -1,5 +1,5 @@
-// Counts the allocations of the program that it is linked into. For tests and measurements. A sanitizer
-// brings allocators of its own and minds others; there nothing is counted, and kCounted says so.
+// Counts the allocations of the program that it is linked into, for tests and measurements. Any thread. A
+// sanitizer brings an allocator of its own: nothing is counted then, and kCounted is false.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
 
@@ -13,9 +13,10 @@
 constexpr bool kCounted = true;
 #endif
 
-std::size_t Allocations();  // so far, of all threads
+// So far, of all threads.
+std::size_t Allocations();
 
-// Bytes held now, and the most since the last ForgetMost.
+// Bytes allocated and not freed now, and the most since the last ForgetMost.
 std::size_t BytesHeld();
 std::size_t MostBytesHeld();
 void ForgetMost();
--- a/tools/test_support/coordinator_process.h
+++ b/tools/test_support/coordinator_process.h
@@ -27,7 +27,7 @@
   CoordinatorProcess(const CoordinatorProcess&) = delete;
 
   const std::string& addr() const { return addr_; }
-  // The word after this in the log; empty: it has not said so.
+  // What follows this mark in its line of the log; empty while there is no such line.
   std::string Logged(const std::string& mark) const;
   pid_t pid() const { return child_; }
   std::string Log() const;
--- a/tools/test_support/fake_discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -1,4 +1,5 @@
-// A stand-in discovery on a loopback port: gives the holder list and streams its changes to whoever watches.
+// A fake discovery on a loopback port: answers with the endpoint list and streams its changes to watches. One
+// thread of its own; its functions are for any thread.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
 
@@ -18,9 +19,9 @@
   FakeDiscovery();
   ~FakeDiscovery();
 
-  // From now on lists come indented, cut into chunks in the middle of anything.
+  // From now on lists are indented, and cut into chunks at any byte.
   void Indent() { indented_ = true; }
-  // Several holders at once, in one change.
+  // Several endpoints at once, in one change.
   struct Entry {
     std::string id, addr;
     int cell = 0;
@@ -29,9 +30,9 @@
   void Tell(const std::vector<Entry>& entries);
 
   const std::string& addr() const { return addr_; }
-  // state: ready, draining or gone. Watchers are told at once.
+  // state: ready, draining or gone (removed). Watches get it at once.
   void Tell(const std::string& id, const std::string& endpoint_addr, int cell, const std::string& state);
-  // The whole list, in the form that a configuration's `known` has too.
+  // The full list, as discovery sends it and as a configuration carries a cached one.
   std::string List() const;
 
  private:
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -85,8 +85,8 @@
   if (frame.empty()) return;
   if (frame[0] == 'c') {
     std::string shard_request(frame.substr(1));
-    auto last =
-        std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
+    auto last = std::find_if(log_.rbegin(), log_.rend(),
+                             [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
     if (last != log_.rend()) last->given_up = true;
     return;
   }
@@ -131,9 +131,10 @@
         net::WriteAll(reply.to->fd, Frame("z no such letter"), kWriteWait);
         break;
       default:
-        net::WriteAll(reply.to->fd,
-                      Frame("a" + reply.shard_request + " " + end + " 1 queue=0,inflight=1\nv-" + reply.shard_request),
-                      kWriteWait);
+        net::WriteAll(
+            reply.to->fd,
+            Frame("a" + reply.shard_request + " " + end + " 1 queue=0,inflight=1\nv-" + reply.shard_request),
+            kWriteWait);
     }
     lock.lock();
   }
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -1,5 +1,6 @@
-// A stand-in record holder that speaks the platform's frames on a loopback port, misbehaves as its script
-// says, and logs every part that reaches it. For tests and demonstrations; decides nothing about queries.
+// A fake endpoint that speaks the platform's frames on a loopback port, misbehaves as its script says, and
+// logs every shard request that reaches it. For tests; decides nothing about queries. Threads of its own; its
+// functions are for any thread.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
 
@@ -25,15 +26,15 @@
 };
 
 struct LoggedRequest {
-  std::string shard_request;  // the call id, a dot, the shard
+  std::string shard_request;  // its id: the call id, a dot, the shard
   net::Micros at_us = 0;
-  Act act = Act::kServe;  // what was done about it
-  bool given_up = false;  // a frame `c` came for it
+  Act act = Act::kServe;  // how it was answered
+  bool given_up = false;  // its cancellation was requested
 };
 
 class FakeEndpoint {
  public:
-  // Asked for each part, on the connection's thread; `nth`: how many parts came before it.
+  // Called for each shard request, on the connection's thread; `nth`: how many came before it.
   using Script = std::function<Behaviour(const std::string& shard_request, std::size_t nth)>;
 
   explicit FakeEndpoint(Script script);
--- a/tools/test_support/temporary_directory.h
+++ b/tools/test_support/temporary_directory.h
@@ -1,4 +1,4 @@
-// A folder of a test's own in the system's place for such, gone with the object.
+// A folder of a test's own in the system's temporary folder; removed with the object.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
 
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -77,7 +77,7 @@
 bool TestFleet::Read(Line& line) {
   net::Io got = net::ReadNow(line.fd, line.in);
   if (got == net::Io::kEnd || got == net::Io::kError) {
-    // Its number may be given again: what was to go out on it goes nowhere.
+    // The descriptor may be used again: replies that are still due on it are dropped.
     std::erase_if(replies_, [&](const Reply& reply) { return reply.fd == line.fd.Get(); });
     return false;
   }
--- a/tools/test_support/test_fleet.h
+++ b/tools/test_support/test_fleet.h
@@ -1,5 +1,5 @@
-// Many stand-in record holders on one thread, for lists of a thousand: each serves every part after the same
-// time, and what came is counted by holder. For tests and measurements.
+// Many fake endpoints on one thread, for lists of a thousand: each answers every shard request after the same
+// delay, and what came is counted by endpoint. For tests and measurements; its functions are for any thread.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_TEST_FLEET_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_TEST_FLEET_H_
 
@@ -22,9 +22,9 @@
 
   const std::string& addr(int endpoint) const { return addrs_[static_cast<std::size_t>(endpoint)]; }
   int shard_requests(int endpoint) const;
-  // When the newest part came there, by the steady clock; 0: none has.
+  // When the newest shard request came there, by the steady clock; 0: none has.
   net::Micros newest_us(int endpoint) const;
-  // Connections taken in so far, and open now.
+  // Connections accepted so far, those that have closed included.
   int taken() const { return taken_; }
 
  private:
@@ -45,7 +45,7 @@
   net::SteadyClock clock_;
   std::vector<net::Fd> listeners_;
   std::vector<std::string> addrs_;
-  std::map<int, Line> lines_;  // by descriptor; the thread's, as are the replies
+  std::map<int, Line> lines_;  // by descriptor; owned by the thread, as are the replies
   std::deque<Reply> replies_;
   mutable std::mutex mutex_;
   std::vector<int> shard_requests_;
