--- a/src/opensearch/access_control.cpp
+++ b/src/opensearch/access_control.cpp
@@ -89,33 +89,45 @@
   return Forbidden(fmt::format("[{}] is not for callers whose rows are kept apart", what));
 }
 
+// An object in the place of an array of terms names a document elsewhere to take the terms from.
+std::optional<ApiError> CheckTerms(const Json& value) {
+  for (const auto& [field, terms] : value.items()) {
+    if (terms.is_object()) return NotForConfined("terms look-up");
+  }
+  if (!value.is_object()) return BadRequest("[terms] must be an object");
+  return std::nullopt;
+}
+
+std::optional<ApiError> CheckCompound(const Compound& compound, const Json& value);
+
 std::optional<ApiError> CheckQuery(const Json& query) {
   if (!query.is_object() || query.size() != 1) return BadRequest("a query is an object with one member");
   const std::string& kind = query.begin().key();
   const Json& value = *query.begin();
   if (IsOneOf(kind, kPlainQueries)) return std::nullopt;
-  if (kind == "terms") {
-    // An object in an array's place names a document elsewhere to take the terms from.
-    for (const auto& [field, terms] : value.items()) {
-      if (terms.is_object()) return NotForConfined("terms look-up");
-    }
-    return value.is_object() ? std::nullopt : std::optional(BadRequest("[terms] must be an object"));
-  }
+  if (kind == "terms") return CheckTerms(value);
   auto compound = std::ranges::find(kCompounds, kind, &Compound::name);
   if (compound == std::end(kCompounds)) return NotForConfined(kind);
   if (!value.is_object()) return BadRequest(fmt::format("[{}] must be an object", kind));
+  return CheckCompound(*compound, value);
+}
+
+// A query, or an array of them.
+std::optional<ApiError> CheckInner(const Json& inner) {
+  if (!inner.is_array()) return CheckQuery(inner);
+  for (const Json& query : inner) {
+    if (auto error = CheckQuery(query)) return error;
+  }
+  return std::nullopt;
+}
+
+std::optional<ApiError> CheckCompound(const Compound& compound, const Json& value) {
   for (const auto& [name, inner] : value.items()) {
-    if (!name.empty() && IsOneOf(name, compound->plain)) continue;
-    if (name.empty() || !IsOneOf(name, compound->inner)) {
-      return NotForConfined(fmt::format("{}.{}", kind, name));
-    }
-    if (!inner.is_array()) {
-      if (auto error = CheckQuery(inner)) return error;
-      continue;
-    }
-    for (const Json& one : inner) {
-      if (auto error = CheckQuery(one)) return error;
+    if (!name.empty() && IsOneOf(name, compound.plain)) continue;
+    if (name.empty() || !IsOneOf(name, compound.inner)) {
+      return NotForConfined(fmt::format("{}.{}", compound.name, name));
     }
+    if (auto error = CheckInner(inner)) return error;
   }
   return std::nullopt;
 }
--- a/src/opensearch/caller_access.cpp
+++ b/src/opensearch/caller_access.cpp
@@ -33,11 +33,11 @@
                                                              const net::Exchange& exchange) {
   if (authenticator_ == nullptr) return Principal{};
   // Several tokens are no good one, whatever else the connection shows.
-  static const std::string kSeveralTokens;
+  static const std::string several_tokens;
   identity::Presented presented;
   std::size_t tokens = request.Count(wire::kAuthorizationHeader);
   if (tokens > 0) {
-    presented.authorization = tokens == 1 ? request.Header(wire::kAuthorizationHeader) : &kSeveralTokens;
+    presented.authorization = tokens == 1 ? request.Header(wire::kAuthorizationHeader) : &several_tokens;
   }
   presented.address = net::PeerHost(exchange.line->fd());
   if (const net::TlsPeer* peer = exchange.line->Peer(clock_.Now(), presented.wrong)) {
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -40,7 +40,7 @@
     if (a_missing != b_missing) return a_missing == keys[i].missing_first;
     if (a_missing) continue;
     auto order = CompareValues(a.sort[i], b.sort[i]);
-    if (order != 0) return keys[i].descending ? order > 0 : order < 0;
+    if (std::is_neq(order)) return keys[i].descending ? std::is_gt(order) : std::is_lt(order);
   }
   return std::tie(a.shard, a.place) < std::tie(b.shard, b.place);
 }
--- a/src/opensearch/operations.cpp
+++ b/src/opensearch/operations.cpp
@@ -22,8 +22,8 @@
 }
 
 const std::string& FilterOf(const Principal& principal) {
-  static const std::string kNoFilter;
-  return principal.permissions == nullptr ? kNoFilter : principal.permissions->filter;
+  static const std::string no_filter;
+  return principal.permissions == nullptr ? no_filter : principal.permissions->filter;
 }
 
 }  // namespace
