--- a/src/decision_log/event_encoding.cpp
+++ b/src/decision_log/event_encoding.cpp
@@ -26,12 +26,14 @@
 }
 
 void AddCandidates(const routing::Choice& choice, EncodedEvent& event) {
+  std::size_t at = event.size;
   for (std::size_t i = 0; i < choice.count; ++i) {
     const routing::Candidate& candidate = choice.endpoints[i];
-    event.words[event.size++] =
+    event.words[at++] =
         Join(candidate.endpoint.address, std::uint32_t{candidate.out} | Byte(candidate.standing) << 16 |
                                              std::uint32_t{candidate.eligible} << 24);
   }
+  event.size = at;
 }
 
 }  // namespace
--- a/src/decision_log/query_index.h
+++ b/src/decision_log/query_index.h
@@ -19,20 +19,26 @@
   void Put(std::uint32_t query, std::uint32_t place);
   void Erase(std::uint32_t query);
   // kNotFound where the query is not there.
-  std::uint32_t Find(std::uint32_t query) const;
+  std::uint32_t Find(std::uint32_t query) const { return slots_[SlotOf(query)].place; }
 
   static std::size_t BytesFor(std::size_t queries);
   std::size_t BytesHeld() const { return slots_.capacity() * sizeof(Slot); }
 
  private:
+  static constexpr std::uint32_t kHashMultiplier =
+      0x9e3779b1u;  // 2^32 over the golden ratio (Knuth, vol. 3, 6.4)
   struct Slot {
     std::uint32_t query = 0;
     std::uint32_t place = kNotFound;  // kNotFound: an empty slot
   };
   std::size_t Mask() const { return slots_.size() - 1; }
-  std::size_t Home(std::uint32_t query) const;
+  std::size_t Home(std::uint32_t query) const { return query * kHashMultiplier & Mask(); }
   // The query's slot, or the empty one where it would go.
-  std::size_t SlotOf(std::uint32_t query) const;
+  std::size_t SlotOf(std::uint32_t query) const {
+    std::size_t at = Home(query);
+    while (slots_[at].place != kNotFound && slots_[at].query != query) at = (at + 1) & Mask();
+    return at;
+  }
 
   std::vector<Slot> slots_;
 };
--- a/src/decision_log/query_store.cpp
+++ b/src/decision_log/query_store.cpp
@@ -47,11 +47,6 @@
          index_.BytesHeld();
 }
 
-StoredQuery* QueryStore::Find(std::uint32_t query) {
-  std::uint32_t place = index_.Find(query);
-  return place == QueryIndex::kNotFound ? nullptr : &queries_[place];
-}
-
 StoredQuery* QueryStore::Add(std::uint32_t query, std::int64_t arrived_us) {
   std::uint32_t block = TakeBlock();
   if (block == kNoBlock || free_query_ == kNoBlock) {
@@ -82,7 +77,8 @@
 }
 
 bool QueryStore::Append(StoredQuery& query, const EncodedEvent& event) {
-  std::uint64_t use = record_file_.Load(WordOf(query.tail) + kUseWord);
+  std::size_t at = WordOf(query.tail);
+  std::uint64_t use = record_file_.Load(at + kUseWord);
   std::size_t used = use >> kUsedShift;
   if (used + event.size > kMaxEventWords) {
     std::uint32_t serial = query.serial;
@@ -94,15 +90,15 @@
                          LinkWord(query.head) | std::uint64_t{kEventsDroppedFlag} << kFlagsShift);
       return true;
     }
-    use = record_file_.Load(WordOf(query.tail) + kUseWord);
+    at = WordOf(query.tail);
+    use = record_file_.Load(at + kUseWord);
     used = 0;
   }
   Touch(query.tail);
-  std::size_t at = WordOf(query.tail);
-  for (std::size_t i = 0; i < event.size; ++i) {
-    record_file_.Store(at + kBlockHeadWords + used + i, event.words[i]);
-  }
-  record_file_.Store(at + kUseWord, (use & kUseMask) | std::uint64_t{used + event.size} << kUsedShift);
+  const std::size_t first = at + kBlockHeadWords + used;
+  const std::size_t size = event.size;
+  for (std::size_t i = 0; i < size; ++i) record_file_.Store(first + i, event.words[i]);
+  record_file_.Store(at + kUseWord, (use & kUseMask) | std::uint64_t{used + size} << kUsedShift);
   return true;
 }
 
@@ -138,8 +134,7 @@
   dirty_blocks_.clear();
 }
 
-void QueryStore::Touch(std::uint32_t block) {
-  if (is_dirty_[block] != 0) return;
+void QueryStore::BeginBlock(std::uint32_t block) {
   is_dirty_[block] = 1;
   dirty_blocks_.push_back(block);
   record_file_.BeginCell(WordOf(block));
--- a/src/decision_log/query_store.h
+++ b/src/decision_log/query_store.h
@@ -46,7 +46,10 @@
   void SetTime(std::int64_t now_us) { now_us_ = now_us; }
 
   // Null where it is not there: never recorded, or evicted.
-  StoredQuery* Find(std::uint32_t query);
+  StoredQuery* Find(std::uint32_t query) {
+    std::uint32_t place = index_.Find(query);
+    return place == QueryIndex::kNotFound ? nullptr : &queries_[place];
+  }
   // Null, and counted as lost, where there is no space. `query` 0: a rejection at intake.
   StoredQuery* Add(std::uint32_t query, std::int64_t arrived_us);
   // The query is no longer found by its number.
@@ -64,7 +67,11 @@
   void Flush();
 
  private:
-  void Touch(std::uint32_t block);
+  // Marks a block as being written, until the next Flush.
+  void Touch(std::uint32_t block) {
+    if (is_dirty_[block] == 0) BeginBlock(block);
+  }
+  void BeginBlock(std::uint32_t block);
   std::uint32_t TakeBlock();
   bool AddBlock(StoredQuery& query);
   void Evict(std::uint32_t place);
--- a/src/decision_log/record_counters.cpp
+++ b/src/decision_log/record_counters.cpp
@@ -9,34 +9,9 @@
 namespace {
 
 constexpr std::int64_t kSecondUs = 1'000'000;
-constexpr int kBucketShift = 48;  // where a word of an endpoint's counts has its bucket's number
-constexpr std::uint64_t kBucketMask = 0xffff;
-constexpr std::uint64_t kMaxCount = 0xffffffff;
 
 }  // namespace
 
-// A word holds a second and a count, so it is never torn; a slot with an older second begins anew.
-void RecordCounters::Add(std::size_t counter, std::uint64_t count) {
-  const Layout& layout = record_file_.layout();
-  record_file_.Store(layout.total_start + counter, record_file_.Load(layout.total_start + counter) + count);
-  auto second = static_cast<std::uint32_t>(now_us_ / kSecondUs);
-  std::size_t at = layout.counter_start + second % kCounterSeconds * kCounters + counter;
-  std::uint64_t word = record_file_.Load(at);
-  std::uint64_t sum = HighHalf(word) == second ? LowHalf(word) + count : count;
-  record_file_.Store(at, std::uint64_t{second} << 32 | std::min(sum, kMaxCount));
-}
-
-void RecordCounters::AddEndpoint(std::uint32_t endpoint, EndpointCount kind) {
-  auto bucket = static_cast<std::uint32_t>(now_us_ / kSecondUs / kBucketSeconds);
-  std::size_t at = record_file_.layout().EndpointCountWord(endpoint) + bucket % kCountBuckets;
-  std::uint64_t word = record_file_.Load(at);
-  std::uint64_t mark = bucket & kBucketMask;
-  if (word >> kBucketShift != mark) word = mark << kBucketShift;
-  int shift = static_cast<int>(kind) * kEndpointCountBits;
-  if ((word >> shift & kMaxEndpointCount) < kMaxEndpointCount) word += std::uint64_t{1} << shift;
-  record_file_.Store(at, word);
-}
-
 void RecordCounters::SetEndpointName(std::uint32_t number, std::string_view id, std::string_view address) {
   const Layout& layout = record_file_.layout();
   std::size_t cell = layout.EndpointWord(number);
--- a/src/decision_log/record_counters.h
+++ b/src/decision_log/record_counters.h
@@ -3,14 +3,21 @@
 #ifndef LIFTRUDDER_DECISION_LOG_RECORD_COUNTERS_H_
 #define LIFTRUDDER_DECISION_LOG_RECORD_COUNTERS_H_
 
+#include <algorithm>
 #include <cstdint>
 #include <string_view>
 
 #include "decision_log/counts.h"
 #include "decision_log/record_file.h"
+#include "decision_log/record_format.h"
 
 namespace liftrudder::decision_log {
 
+constexpr std::int64_t kCounterSecondUs = 1'000'000;
+constexpr int kBucketShift = 48;  // where a word of an endpoint's counts has its bucket's number
+constexpr std::uint64_t kBucketMask = 0xffff;
+constexpr std::uint64_t kMaxCounter = 0xffffffff;
+
 class RecordCounters {
  public:
   // `record_file` must outlive it.
@@ -33,6 +40,30 @@
   std::uint64_t next_occurrence_ = 0;
 };
 
+// Counted on the hot path: each event adds to several counters.
+
+// A word holds a second and a count, so it is never torn; a slot with an older second begins anew.
+inline void RecordCounters::Add(std::size_t counter, std::uint64_t count) {
+  const Layout& layout = record_file_.layout();
+  record_file_.Store(layout.total_start + counter, record_file_.Load(layout.total_start + counter) + count);
+  auto second = static_cast<std::uint32_t>(now_us_ / kCounterSecondUs);
+  std::size_t at = layout.counter_start + second % kCounterSeconds * kCounters + counter;
+  std::uint64_t word = record_file_.Load(at);
+  std::uint64_t sum = HighHalf(word) == second ? LowHalf(word) + count : count;
+  record_file_.Store(at, std::uint64_t{second} << 32 | std::min(sum, kMaxCounter));
+}
+
+inline void RecordCounters::AddEndpoint(std::uint32_t endpoint, EndpointCount kind) {
+  auto bucket = static_cast<std::uint32_t>(now_us_ / kCounterSecondUs / kBucketSeconds);
+  std::size_t at = record_file_.layout().EndpointCountWord(endpoint) + bucket % kCountBuckets;
+  std::uint64_t word = record_file_.Load(at);
+  std::uint64_t mark = bucket & kBucketMask;
+  if (word >> kBucketShift != mark) word = mark << kBucketShift;
+  int shift = static_cast<int>(kind) * kEndpointCountBits;
+  if ((word >> shift & kMaxEndpointCount) < kMaxEndpointCount) word += std::uint64_t{1} << shift;
+  record_file_.Store(at, word);
+}
+
 }  // namespace liftrudder::decision_log
 
 #endif  // LIFTRUDDER_DECISION_LOG_RECORD_COUNTERS_H_
