--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -45,6 +45,11 @@
     }
   }
 
+  void Advance(std::int64_t us) {
+    now += us;
+    record.SetTime(now);
+  }
+
   std::uint32_t Open(const std::string& id, int class_index, int shard_requests = 2,
                      const std::string& label = "") {
     std::uint32_t query = next;
@@ -113,11 +118,11 @@
   std::uint32_t query = f.Open("q-1", 1);
   f.Send(query, 0, 0, 1);
   f.Send(query, 1, 0, 2);
-  f.now += 10'000, f.record.SetTime(f.now);
+  f.Advance(10'000);
   f.record.Ended(query, 0, 0, 1, AttemptOutcome::kOverloaded, decision_log::Progress::kAnswering,
                  decision_log::Cause::kEndpointRejected);
   f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kOverloaded);
-  f.now += 10'000, f.record.SetTime(f.now);
+  f.Advance(10'000);
   f.record.Ended(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kConnectionLost);
   f.Send(query, 0, 2, 3, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kReset);
@@ -128,7 +133,7 @@
                  decision_log::Cause::kServed);
   f.record.Cancelled(query, 1, {0, 0, liftrudder::routing::CancelReason::kAnswered});
   f.End(query, Verdict::kComplete);
-  f.now += 10'000, f.record.SetTime(f.now);
+  f.Advance(10'000);
   f.record.Ended(query, 1, 0, 2, AttemptOutcome::kCancelled, decision_log::Progress::kWhollyWritten,
                  decision_log::Cause::kCancelled);
   auto found = f.Find("q-1");
@@ -265,8 +270,7 @@
   std::size_t claimed = f.record.ClaimedBytes();
   std::size_t before = test_support::Allocations();
   for (int i = 0; i < 20'000; ++i) {
-    f.now += 7'000;
-    f.record.SetTime(f.now);
+    f.Advance(7'000);
     std::uint32_t query = f.next;
     f.next += 7;
     f.record.Opened({query, f.now, f.now + kSecond, i % 3, decision_log::FrontKind::kPlatform, false,
@@ -295,8 +299,7 @@
   // rejected.
   std::set<std::string> reports, ordinary;
   for (int i = 0; i < 1200; ++i) {
-    f.now += 50'000;
-    f.record.SetTime(f.now);
+    f.Advance(50'000);
     std::string id = "before-" + std::to_string(i);
     if (i % 80 == 0) {
       f.Whole(id, 1, i % 160 == 0 ? Verdict::kRejected : Verdict::kPartial, CompletionCause::kLoad);
@@ -311,8 +314,7 @@
   for (const std::string& id : ordinary) ordinary_before += f.Find(id).traces.size();
   for (int burst = 0; burst < 20; ++burst) {  // 20 such bursts: no room is left by the first
     for (int i = 0; i < 8 * 36; ++i) {
-      f.now += 27'000;
-      f.record.SetTime(f.now);
+      f.Advance(27'000);
       bool rejected = i % 2 == 0;
       f.Whole("burst-" + std::to_string(burst) + "-" + std::to_string(i), i % 3,
               rejected ? Verdict::kRejected : Verdict::kComplete,
@@ -466,8 +468,7 @@
     });
   }
   for (int i = 0; i < 30'000 || read < 1000; ++i) {
-    f.now += 1000;
-    f.record.SetTime(f.now);
+    f.Advance(1000);
     f.Whole("q-" + std::to_string(i), i % 3);
     f.record.Flush();
   }
@@ -501,7 +502,9 @@
     int steps = *rc::gen::inRange(1, 3000);
     std::uint64_t dice = *rc::gen::arbitrary<std::uint64_t>() | 1;
     auto next = [&dice](std::uint64_t most) {
-      dice ^= dice << 13, dice ^= dice >> 7, dice ^= dice << 17;
+      dice ^= dice << 13;
+      dice ^= dice >> 7;
+      dice ^= dice << 17;
       return dice % most;
     };
     for (int step = 0; step < steps; ++step) {
