--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -91,6 +91,7 @@
     std::uint32_t query = next_query_;
     next_query_ += static_cast<std::uint32_t>(shard_requests) + 1;
     std::vector<decision_log::RecordedShardRequest> recorded;
+    recorded.reserve(static_cast<std::size_t>(shard_requests));
     for (int i = 0; i < shard_requests; ++i) recorded.push_back({3 + i, 1.0 / shard_requests, i * 250});
     recorder_.Opened({query, now_us_, now_us_ + 4 * kSecondUs, class_index, front, is_retry, id, label},
                      recorded);
@@ -267,6 +268,7 @@
  public:
   RunningCoordinator() : fleet_(kEndpoints, 2'000) {
     std::vector<test_support::FakeDiscovery::Entry> entries;
+    entries.reserve(kEndpoints);
     for (int i = 0; i < kEndpoints; ++i) entries.push_back({fmt::format("h{}", i), fleet_.addr(i), i});
     discovery_.Tell(entries);
     process_ = std::make_unique<test_support::CoordinatorProcess>(LIFTRUDDER_PROGRAM, directory_.path(),
