--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -40,8 +40,8 @@
 void Tokens(const char* name, bool ecdsa) {
   tests::Signer signer(ecdsa);
   identity::TokenVerifier token_verifier({"issuer", "gatherer", 5'000'000, 86'400'000'000}, 2 * kRuns);
-  auto keys = identity::KeySet::Read(Json{{"keys", Json::array({signer.Jwk("a")})}}.dump());
-  token_verifier.Replace(std::get<std::shared_ptr<const identity::KeySet>>(keys));
+  auto keys = identity::KeySet::Parse(Json{{"keys", Json::array({signer.Jwk("a")})}}.dump());
+  token_verifier.ReplaceKeys(keys.value());
   std::vector<double> fresh, seen;
   for (int i = 0; i < kRuns; ++i) {
     std::int64_t now_s = kNow / 1'000'000;
@@ -52,8 +52,8 @@
                                            {"tenant", "north"},
                                            {"sub", std::to_string(i)}});
     bool in = true;
-    fresh.push_back(Spent([&] { in = token_verifier.Admit(token, kNow).index() == 0; }));
-    seen.push_back(Spent([&] { in = token_verifier.Admit(token, kNow).index() == 0 && in; }));
+    fresh.push_back(Spent([&] { in = token_verifier.Verify(token, kNow).has_value(); }));
+    seen.push_back(Spent([&] { in = token_verifier.Verify(token, kNow).has_value() && in; }));
     if (!in) std::printf("%s: a token was not let in\n", name);
   }
   Say((std::string(name) + " token, not seen before").c_str(), fresh);
@@ -101,13 +101,13 @@
   Say("handshake, with a client's certificate", both);
   Say("a KiB sealed", sealed);
   // Clients first, so that only the server's side is counted.
-  std::vector<std::unique_ptr<tests::TlsClient>> authenticator;
+  std::vector<std::unique_ptr<tests::TlsClient>> open_clients;
   std::vector<std::unique_ptr<net::TlsChannel>> held;
   std::vector<std::string> flights;
   std::string said;
   for (int i = 0; i < kOpen; ++i) {
-    authenticator.push_back(std::make_unique<tests::TlsClient>());
-    flights.push_back(authenticator.back()->Step("", said));
+    open_clients.push_back(std::make_unique<tests::TlsClient>());
+    flights.push_back(open_clients.back()->Step("", said));
   }
   std::string wire;
   auto bytes = [] { return static_cast<double>(mallinfo2().uordblks); };
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -33,12 +33,12 @@
 
 // Says what is wrong with it and gives nothing.
 Keys ReadKeys(const std::string& file) {
-  auto read = KeySet::Read(config::ReadFile(file));
-  if (const auto* wrong = std::get_if<std::string>(&read)) {
-    fmt::print("{}: {}\n", file, *wrong);
+  auto keys = KeySet::Parse(config::ReadFile(file));
+  if (!keys) {
+    fmt::print("{}: {}\n", file, keys.error().Message());
     return nullptr;
   }
-  return std::get<Keys>(read);
+  return *keys;
 }
 
 int CheckKeys(const Options& options) {
@@ -47,16 +47,16 @@
   for (const auto& [kid, key] : keys->keys()) {
     fmt::print("{} {} {}", kid, key.algorithm == identity::Algorithm::kEdDsa ? "EdDSA" : "ES256",
                identity::Name(key.state));
-    if (key.state == identity::KeyState::kRetiring) fmt::print(" until {}", key.until_us / 1'000'000);
+    if (key.state == identity::KeyState::kRetiring) fmt::print(" until {}", key.retires_at_us / 1'000'000);
     fmt::print("\n");
   }
   if (options.before.empty()) return kGood;
   Keys before = ReadKeys(options.before);
   if (before == nullptr) return kNotGood;
-  identity::KnownKids known;
-  known.Take(*before);
-  if (auto wrong = known.Take(*keys)) {
-    fmt::print("{}\n", *wrong);
+  identity::KeyIdRegistry known_kids;
+  known_kids.Register(*before);
+  if (auto error = known_kids.Register(*keys)) {
+    fmt::print("{}\n", error->Message());
     return kNotGood;
   }
   for (const std::string& change : identity::Differences(*before, *keys)) fmt::print("{}\n", change);
@@ -68,44 +68,41 @@
   std::string token{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
   while (!token.empty() && (token.back() == '\n' || token.back() == '\r')) token.pop_back();
   std::string_view rest = token;
-  for (const char* shard_request : {"header", "claims"}) {
+  for (const char* section : {"header", "claims"}) {
     auto text = identity::DecodeBase64Url(rest.substr(0, rest.find('.')));
     rest.remove_prefix(
         std::min(rest.size(), rest.find('.') == std::string_view::npos ? rest.size() : rest.find('.') + 1));
-    auto json =
-        text ? identity::ReadStrictJson(*text, identity::kMostToken) : std::string("it is not base64url");
-    if (const auto* wrong = std::get_if<std::string>(&json)) {
-      fmt::print("{}: {}\n", shard_request, *wrong);
-    } else {
-      fmt::print("{}: {}\n", shard_request, std::get<nlohmann::json>(json).dump());
+    if (!text) {
+      fmt::print("{}: it is not base64url\n", section);
+      continue;
     }
+    auto json = identity::ParseStrictJson(*text, identity::kMaxTokenBytes);
+    fmt::print("{}: {}\n", section, json ? json->dump() : json.error().Message());
   }
   if (options.file.empty()) return kGood;
   Keys keys = ReadKeys(options.file);
   if (keys == nullptr) return kNotGood;
   auto now = std::chrono::system_clock::now().time_since_epoch();
-  auto verified = identity::Verify(token, *keys, {options.issuer, options.audience},
-                                   std::chrono::duration_cast<std::chrono::microseconds>(now).count());
-  if (const auto* denial = std::get_if<identity::Denial>(&verified)) {
-    fmt::print("not good: {}\n", identity::Name(*denial));
+  auto verified = identity::VerifyToken(token, *keys, {options.issuer, options.audience},
+                                        std::chrono::duration_cast<std::chrono::microseconds>(now).count());
+  if (!verified) {
+    fmt::print("not good: {}\n", identity::Name(verified.error()));
     return kNotGood;
   }
-  const auto& caller = std::get<identity::VerifiedToken>(verified);
-  fmt::print("good until {}: tenant {}, subject {}\n", caller.until_us / 1'000'000,
-             nlohmann::json(caller.tenant).dump(), nlohmann::json(caller.subject).dump());
+  fmt::print("good until {}: tenant {}, subject {}\n", verified->valid_until_us / 1'000'000,
+             nlohmann::json(verified->tenant).dump(), nlohmann::json(verified->subject).dump());
   return kGood;
 }
 
 // Of a key made for trying out. What is printed lets its bearer in wherever that key is in the set.
 int SignForTests(const Options& options) {
-  auto read = identity::SigningKey::Read(config::ReadFile(options.file));
-  if (const auto* wrong = std::get_if<std::string>(&read)) {
-    fmt::print("{}: {}\n", options.file, *wrong);
+  auto key = identity::SigningKey::Parse(config::ReadFile(options.file));
+  if (!key) {
+    fmt::print("{}: {}\n", options.file, key.error().Message());
     return kNotGood;
   }
-  const auto& key = std::get<identity::SigningKey>(read);
   if (options.jwk) {
-    fmt::print("{}\n", key.Jwk(options.kid).dump());
+    fmt::print("{}\n", key->Jwk(options.kid).dump());
     return kGood;
   }
   auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -113,7 +110,7 @@
   nlohmann::json claims = {
       {"iss", options.issuer},         {"aud", options.audience},  {"iat", now_s},          {"nbf", now_s},
       {"exp", now_s + options.life_s}, {"tenant", options.tenant}, {"sub", options.subject}};
-  fmt::print("{}\n", key.Token(options.kid, claims));
+  fmt::print("{}\n", key->Token(options.kid, claims));
   return kGood;
 }
 
--- a/src/app/identity_files.cpp
+++ b/src/app/identity_files.cpp
@@ -19,10 +19,9 @@
 std::unique_ptr<IdentityFiles> IdentityFiles::Open(const std::string& operator_file, std::string_view text) {
   std::string_view member = net::json::Get(text, "identity");
   if (member.empty()) return nullptr;
-  auto read = identity::PermissionTable::Read(member);
-  if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
-  std::unique_ptr<IdentityFiles> out(
-      new IdentityFiles(operator_file, std::get<identity::PermissionTable>(std::move(read))));
+  auto table = identity::PermissionTable::Parse(member);
+  if (!table) throw std::runtime_error(table.error().Message());
+  std::unique_ptr<IdentityFiles> out(new IdentityFiles(operator_file, std::move(*table)));
   out->TakeKeys();
   if (!out->said_.empty()) throw std::runtime_error(out->said_);
   return out;
@@ -43,7 +42,12 @@
   std::vector<std::string> changes;
   std::string wrong;
   try {
-    wrong = authenticator_.TakeKeys(config::ReadFile(keys_file_), changes).value_or("");
+    auto replaced = authenticator_.ReplaceKeys(config::ReadFile(keys_file_));
+    if (replaced) {
+      changes = std::move(*replaced);
+    } else {
+      wrong = replaced.error().Message();
+    }
   } catch (const std::runtime_error& error) {
     wrong = error.what();
   }
@@ -55,17 +59,16 @@
 
 void IdentityFiles::Reload() {
   try {
-    auto read = identity::PermissionTable::Read(net::json::Get(config::ReadFile(operator_file_), "identity"));
-    if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error(*wrong);
-    auto& permission_table = std::get<identity::PermissionTable>(read);
-    std::string keys_file = Beside(operator_file_, permission_table.keys_file);
-    std::vector<std::string> changes;
-    if (auto wrong = authenticator_.TakePermissions(std::move(permission_table), changes))
-      throw std::runtime_error("identity: " + *wrong);
+    std::string text = config::ReadFile(operator_file_);
+    auto table = identity::PermissionTable::Parse(net::json::Get(text, "identity"));
+    if (!table) throw std::runtime_error(table.error().Message());
+    std::string keys_file = Beside(operator_file_, table->keys_file);
+    auto changes = authenticator_.ReplacePermissions(std::move(*table));
+    if (!changes) throw std::runtime_error(changes.error().Message());
     keys_file_ = keys_file;
-    Say(changes);
+    Say(*changes);
   } catch (const std::runtime_error& error) {
-    log::Error("{}; the rights so far stay", error.what());
+    log::Error("{}; the permissions so far stay", error.what());
   }
   TakeKeys();
 }
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -37,33 +37,33 @@
 }
 
 TlsFiles::Names TlsFiles::ReadNames(std::string_view text) const {
-  auto read = identity::ReadStrictJson(text, kMostBytes);
-  if (const auto* wrong = std::get_if<std::string>(&read)) throw std::runtime_error("tls: " + *wrong);
+  auto json = identity::ParseStrictJson(text, kMostBytes);
+  if (!json) throw std::runtime_error("tls: " + json.error().Message());
   Names out;
   auto need = [](identity::JsonMembers& members) {
-    members.End();
-    if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
+    members.RejectUnknown();
+    if (members.error()) throw std::runtime_error(members.error()->Message());
   };
-  identity::JsonMembers members(std::get<Json>(read), "tls");
-  if (!members.wrong.empty()) throw std::runtime_error(members.wrong);
-  const Json* pairs = members.Member("certificates");
+  identity::JsonMembers members(*json, "tls");
+  if (members.error()) throw std::runtime_error(members.error()->Message());
+  const Json* pairs = members.Find("certificates");
   if (pairs == nullptr || !pairs->is_array() || pairs->empty() || pairs->size() > kMostPairs)
     throw std::runtime_error(fmt::format("tls: [certificates] must be a list of 1 to {}", kMostPairs));
   for (std::size_t i = 0; i < pairs->size(); ++i) {
     identity::JsonMembers pair((*pairs)[i], fmt::format("tls: certificate {}", i + 1));
     std::string certificate, key;
-    if (pair.wrong.empty()) pair.Take("certificate", certificate);
-    if (pair.wrong.empty()) pair.Take("key", key);
-    if (certificate.empty() || key.empty()) pair.Wrong("names no [certificate] or no [key]");
+    pair.Read("certificate", certificate);
+    pair.Read("key", key);
+    if (certificate.empty() || key.empty()) pair.Fail("names no [certificate] or no [key]");
     need(pair);
     out.pairs.emplace_back(Beside(operator_file_, certificate), Beside(operator_file_, key));
   }
-  if (const Json* clients = members.Member("clients")) {
+  if (const Json* clients = members.Find("clients")) {
     identity::JsonMembers of(*clients, "tls: clients");
-    if (of.wrong.empty()) of.Take("issuers", out.issuers);
-    if (of.wrong.empty()) of.Take("revoked", out.revoked);
-    if (of.wrong.empty()) of.Take("required", out.required);
-    if (out.issuers.empty()) of.Wrong("names no [issuers]");
+    of.Read("issuers", out.issuers);
+    of.Read("revoked", out.revoked);
+    of.Read("required", out.required);
+    if (out.issuers.empty()) of.Fail("names no [issuers]");
     need(of);
     out.issuers = Beside(operator_file_, out.issuers);
     if (!out.revoked.empty()) out.revoked = Beside(operator_file_, out.revoked);
--- a/src/identity/authenticator.cpp
+++ b/src/identity/authenticator.cpp
@@ -8,24 +8,60 @@
 namespace liftrudder::identity {
 namespace {
 
-// RFC 6750 section 2.1; the scheme's letters in any case, as RFC 9110 section 11.1 has it.
-std::optional<std::string_view> Bearer(std::string_view text) {
+using Kind = AuthenticationError::Kind;
+
+struct Caller {
+  std::string tenant;
+  std::string subject;
+};
+
+tl::unexpected<AuthenticationError> Unauthenticated(std::string reason, std::string tenant = "") {
+  return tl::unexpected(AuthenticationError{Kind::kUnauthenticated, std::move(reason), std::move(tenant)});
+}
+
+char ToLowerAscii(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
+
+// RFC 6750 section 2.1; the scheme is case-insensitive (RFC 9110 section 11.1).
+std::optional<std::string_view> BearerToken(std::string_view authorization) {
   constexpr std::string_view kScheme = "bearer ";
-  if (text.size() <= kScheme.size()) return std::nullopt;
-  for (std::size_t i = 0; i < kScheme.size(); ++i)
-    if ((text[i] >= 'A' && text[i] <= 'Z' ? text[i] + ('a' - 'A') : text[i]) != kScheme[i])
-      return std::nullopt;
-  text.remove_prefix(text.find_first_not_of(' ', kScheme.size()) == std::string_view::npos
-                         ? text.size()
-                         : text.find_first_not_of(' ', kScheme.size()));
-  return text;
+  if (authorization.size() <= kScheme.size()) return std::nullopt;
+  auto same_letter = [](char given, char expected) { return ToLowerAscii(given) == expected; };
+  if (!std::ranges::equal(authorization.substr(0, kScheme.size()), kScheme, same_letter)) return std::nullopt;
+  auto token_start = authorization.find_first_not_of(' ', kScheme.size());
+  authorization.remove_prefix(std::min(token_start, authorization.size()));
+  return authorization;
+}
+
+// The tenant that the certificate's names are listed under; an empty tenant: none of them is.
+tl::expected<Caller, AuthenticationError> CallerOfCertificate(const PermissionTable& table,
+                                                              const std::vector<std::string>& names) {
+  Caller caller;
+  for (const std::string& name : names) {
+    auto owner = table.tenant_by_certificate.find(name);
+    if (owner == table.tenant_by_certificate.end()) continue;
+    if (caller.tenant.empty()) {
+      // Never the same text as a token's subject: the two have separate quotas.
+      caller = {owner->second, "certificate " + name};
+    } else if (caller.tenant != owner->second) {
+      return Unauthenticated("a certificate with names of two tenants", caller.tenant);
+    }
+  }
+  return caller;
+}
+
+// Cached tokens were verified under these, and quotas are made from them once.
+bool NeedsRestart(const PermissionTable& before, const PermissionTable& after) {
+  return after.issuer != before.issuer || after.audience != before.audience ||
+         after.clock_skew_us != before.clock_skew_us || after.work_per_s != before.work_per_s ||
+         after.max_open_queries != before.max_open_queries;
 }
 
 }  // namespace
 
 Authenticator::Authenticator(PermissionTable permission_table)
-    : token_verifier_(Rules{permission_table.issuer, permission_table.audience, permission_table.skew_us},
-                      permission_table.most_cached),
+    : token_verifier_(TokenRequirements{permission_table.issuer, permission_table.audience,
+                                        permission_table.clock_skew_us},
+                      permission_table.max_cached_tokens),
       permission_table_(std::make_shared<const PermissionTable>(std::move(permission_table))) {}
 
 std::shared_ptr<const PermissionTable> Authenticator::permission_table() const {
@@ -33,84 +69,81 @@
   return permission_table_;
 }
 
-std::optional<std::string> Authenticator::TakeKeys(std::string_view text, std::vector<std::string>& changes) {
-  auto read = KeySet::Read(text);
-  if (auto* wrong = std::get_if<std::string>(&read)) return std::move(*wrong);
-  auto keys = std::get<std::shared_ptr<const KeySet>>(read);
+tl::expected<Authenticator::Changes, ReadError> Authenticator::ReplaceKeys(std::string_view text) {
+  auto keys = KeySet::Parse(text);
+  if (!keys) return tl::unexpected(keys.error());
   auto before = token_verifier_.keys();
-  if (auto wrong = token_verifier_.Replace(keys)) return wrong;
-  changes = Differences(*before, *keys);
-  return std::nullopt;
+  if (auto error = token_verifier_.ReplaceKeys(*keys)) return tl::unexpected(std::move(*error));
+  return Differences(*before, **keys);
 }
 
-std::optional<std::string> Authenticator::TakePermissions(PermissionTable permission_table,
-                                                          std::vector<std::string>& changes) {
+tl::expected<Authenticator::Changes, ReadError> Authenticator::ReplacePermissions(
+    PermissionTable permission_table) {
   std::shared_ptr<const PermissionTable> before = this->permission_table();
-  // Cached tokens were held against these; a program that changed them in service would need both at once.
-  if (permission_table.issuer != before->issuer || permission_table.audience != before->audience ||
-      permission_table.skew_us != before->skew_us || permission_table.work_per_s != before->work_per_s ||
-      permission_table.most_open != before->most_open)
-    return "issuer, audience, skewS, workPerS and mostOpen change with a restart only";
-  for (const auto& [name, permissions] : before->tenants)
+  if (NeedsRestart(*before, permission_table)) {
+    return tl::unexpected(
+        ReadError{"identity", "issuer, audience, skewS, workPerS and mostOpen change with a restart only"});
+  }
+  Changes changes;
+  for (const auto& [name, permissions] : before->tenants) {
     if (!permission_table.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' is gone", name));
-  for (const auto& [name, permissions] : permission_table.tenants) {
+  }
+  for (auto& [name, permissions] : permission_table.tenants) {
     auto old = before->tenants.find(name);
-    if (old == before->tenants.end()) changes.push_back(fmt::format("tenant '{}' is new", name));
-    // Rights that are the same stay the same object: what was begun under them goes on.
-    if (old != before->tenants.end() && *old->second == *permissions)
-      permission_table.tenants[name] = old->second;
-    if (old != before->tenants.end() && !(*old->second == *permissions))
-      changes.push_back(fmt::format("tenant '{}' has other rights", name));
+    if (old == before->tenants.end()) {
+      changes.push_back(fmt::format("tenant '{}' is new", name));
+    } else if (*old->second == *permissions) {
+      // The same object stays: scrolls compare it to see whether their tenant's permissions have changed.
+      permissions = old->second;
+    } else {
+      changes.push_back(fmt::format("tenant '{}' has other permissions", name));
+    }
   }
   std::lock_guard lock(mutex_);
   permission_table_ = std::make_shared<const PermissionTable>(std::move(permission_table));
-  return std::nullopt;
+  return changes;
 }
 
-std::variant<Principal, Refusal> Authenticator::Admit(const Presented& presented, Micros now_us) {
-  if (!presented.wrong.empty()) return Refusal{"certificate: " + presented.wrong, true, ""};
-  std::shared_ptr<const PermissionTable> permission_table = this->permission_table();
-  VerifiedToken caller;
-  for (const std::string& name : presented.names) {
-    auto owner = permission_table->by_certificate.find(name);
-    if (owner == permission_table->by_certificate.end()) continue;
-    if (!caller.tenant.empty() && caller.tenant != owner->second)
-      return Refusal{"a certificate with names of two tenants", true, caller.tenant};
-    // Never the same text as a token's subject: they have different accounts.
-    if (caller.tenant.empty()) caller.subject = "certificate " + name;
-    caller.tenant = owner->second;
+tl::expected<Principal, AuthenticationError> Authenticator::Authenticate(const Credentials& credentials,
+                                                                         Micros now_us) {
+  if (!credentials.certificate_error.empty()) {
+    return Unauthenticated("certificate: " + credentials.certificate_error);
+  }
+  std::shared_ptr<const PermissionTable> table = permission_table();
+  auto caller = CallerOfCertificate(*table, credentials.certificate_names);
+  if (!caller) return tl::unexpected(caller.error());
+  if (credentials.authorization != nullptr) {
+    auto token_text = BearerToken(*credentials.authorization);
+    if (!token_text) return Unauthenticated("no bearer token");
+    auto token = token_verifier_.Verify(*token_text, now_us);
+    if (!token) return Unauthenticated(std::string(Name(token.error())));
+    bool other_tenant = !caller->tenant.empty() && caller->tenant != token->tenant;
+    if (other_tenant) return Unauthenticated("a token of another tenant than the certificate", token->tenant);
+    *caller = {std::move(token->tenant), std::move(token->subject)};
+  } else if (caller->tenant.empty()) {
+    bool no_certificate = credentials.certificate_names.empty();
+    return Unauthenticated(no_certificate ? "no token" : "no token, and no tenant for the certificate");
   }
-  if (presented.authorization != nullptr) {
-    auto token = Bearer(*presented.authorization);
-    if (!token) return Refusal{"no bearer token", true, ""};
-    auto admitted = token_verifier_.Admit(*token, now_us);
-    if (const auto* denial = std::get_if<Denial>(&admitted))
-      return Refusal{std::string(Name(*denial)), true, ""};
-    auto& told = std::get<VerifiedToken>(admitted);
-    if (!caller.tenant.empty() && caller.tenant != told.tenant)
-      return Refusal{"a token of another tenant than the certificate", true, told.tenant};
-    caller = std::move(told);
-  } else if (caller.tenant.empty()) {
-    return Refusal{presented.names.empty() ? "no token" : "no token, and no tenant for the certificate", true,
-                   ""};
+  auto found = table->tenants.find(caller->tenant);
+  if (found == table->tenants.end()) return Unauthenticated("unknown tenant", caller->tenant);
+  const Networks& networks = found->second->networks;
+  if (!networks.empty() && !networks.Contains(credentials.address)) {
+    return tl::unexpected(AuthenticationError{Kind::kForbidden, "not from this network", caller->tenant});
   }
-  auto found = permission_table->tenants.find(caller.tenant);
-  if (found == permission_table->tenants.end()) return Refusal{"unknown tenant", true, caller.tenant};
-  if (!found->second->networks.empty() && !found->second->networks.Contain(presented.address))
-    return Refusal{"not from this network", false, caller.tenant};
-  return Principal{std::move(caller.tenant), std::move(caller.subject), found->second};
+  return Principal{std::move(caller->tenant), std::move(caller->subject), found->second};
 }
 
-bool AuditLimiter::Take(Micros now_us, std::int64_t& unwritten) {
-  tokens_ = std::min(kBurst, tokens_ + kLinesPerSecond * static_cast<double>(now_us - filled_us_) / 1e6);
-  filled_us_ = now_us;
+std::optional<std::int64_t> AuditLimiter::TryWrite(Micros now_us) {
+  constexpr double kMicrosPerSecond = 1e6;
+  double refill = kLinesPerSecond * static_cast<double>(now_us - refilled_us_) / kMicrosPerSecond;
+  tokens_ = std::min(kBurstLines, tokens_ + refill);
+  refilled_us_ = now_us;
   if (tokens_ < 1) {
-    ++unwritten_;
-    return false;
+    ++suppressed_;
+    return std::nullopt;
   }
   tokens_ -= 1;
-  unwritten = std::exchange(unwritten_, 0);
-  return true;
+  return std::exchange(suppressed_, 0);
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/authenticator.h
+++ b/src/identity/authenticator.h
@@ -1,14 +1,15 @@
-// Lets requests in or turns them away: the gate for tokens, and the newest book of tenants' rights. Decides
-// from what it is handed; files are read elsewhere. Any thread.
+// Authenticates requests: verifies the token, matches the client's certificate, and looks up the tenant's
+// permissions. Keys and permissions are handed in; files are read elsewhere. Any thread.
 #ifndef LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
 #define LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
 
+#include <cstdint>
 #include <memory>
 #include <mutex>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "identity/permissions.h"
@@ -16,63 +17,66 @@
 
 namespace liftrudder::identity {
 
-// Who was let in, with the rights that hold for this request whatever changes meanwhile.
+// An authenticated caller, with the permissions that hold for this request whatever changes meanwhile.
 struct Principal {
-  std::string tenant, subject;
+  std::string tenant;
+  std::string subject;
   std::shared_ptr<const Permissions> permissions;
 };
 
-// What a request and its connection show of who asks.
-struct Presented {
-  const std::string* authorization =
-      nullptr;  // that header's text; null where there is none or more than one
-  std::string address;
-  // Of the client's certificate, as net::TlsPeer has them; none where none was shown.
-  std::vector<std::string> names;
-  std::string wrong;  // why that certificate is not good any more; empty: it is
+// What a request and its connection present.
+struct Credentials {
+  const std::string* authorization = nullptr;  // the header's text; null: absent
+  std::string address;                         // of the client
+  std::vector<std::string> certificate_names;  // as net::TlsPeer has them; empty: no certificate
+  std::string certificate_error;               // why the certificate is no longer good; empty: it is good
 };
 
-// `why` is for the audit alone; a caller learns only whether it is unknown or not let in from there.
-struct Refusal {
-  std::string reason;
-  bool unknown = true;  // 401; else 403
-  std::string tenant;   // where the token was good
+struct AuthenticationError {
+  enum class Kind {
+    kUnauthenticated,  // 401
+    kForbidden,        // 403: authenticated, but not from this network
+  };
+  Kind kind = Kind::kUnauthenticated;
+  std::string reason;  // for the audit log alone: it would tell a forger how far it came
+  std::string tenant;  // where one was established
 };
 
 class Authenticator {
  public:
   explicit Authenticator(PermissionTable permission_table);
 
-  // The newer keys or rights hold for every request after; or nothing changes and it says why. What changed
-  // is a line each in `changes`.
-  std::optional<std::string> TakeKeys(std::string_view text, std::vector<std::string>& changes);
-  std::optional<std::string> TakePermissions(PermissionTable permission_table,
-                                             std::vector<std::string>& changes);
+  // One line of text for each change, for the audit log.
+  using Changes = std::vector<std::string>;
+  // The new version holds for all requests from now on. On an error nothing changes.
+  tl::expected<Changes, ReadError> ReplaceKeys(std::string_view text);
+  tl::expected<Changes, ReadError> ReplacePermissions(PermissionTable permission_table);
 
-  // A token says who asks; where there is none, the certificate. Where both name a tenant it must be the
-  // same, so that a token that was taken is no use on another tenant's connection.
-  std::variant<Principal, Refusal> Admit(const Presented& presented, Micros now_us);
+  // The token names the caller; without one, the certificate does. Where both name a tenant it must be the
+  // same, so that a stolen token is useless on another tenant's connection.
+  tl::expected<Principal, AuthenticationError> Authenticate(const Credentials& credentials, Micros now_us);
 
   std::shared_ptr<const PermissionTable> permission_table() const;
 
  private:
   TokenVerifier token_verifier_;
   mutable std::mutex mutex_;
-  std::shared_ptr<const PermissionTable> permission_table_;
+  std::shared_ptr<const PermissionTable> permission_table_;  // guarded by mutex_
 };
 
-// Bounds what is written of refusals: so many lines a second, and how many there were besides. Not for
-// several threads without a lock of the caller's.
+// Limits the lines that rejected callers can cause in the audit log. Not thread-safe.
 class AuditLimiter {
  public:
-  // Whether this refusal's line is written; `unwritten` says how many were not since the last that was.
-  bool Take(Micros now_us, std::int64_t& unwritten);
+  // Nothing: this line is not to be written. Otherwise the number of lines suppressed since the last written
+  // one.
+  std::optional<std::int64_t> TryWrite(Micros now_us);
 
  private:
-  static constexpr double kLinesPerSecond = 10, kBurst = 20;
-  double tokens_ = kBurst;
-  Micros filled_us_ = 0;
-  std::int64_t unwritten_ = 0;
+  static constexpr double kLinesPerSecond = 10;
+  static constexpr double kBurstLines = 20;
+  double tokens_ = kBurstLines;
+  Micros refilled_us_ = 0;
+  std::int64_t suppressed_ = 0;
 };
 
 }  // namespace liftrudder::identity
--- a/src/identity/json_members.h
+++ b/src/identity/json_members.h
@@ -1,67 +1,99 @@
-// Reads the members of an object in an operator's file. Plain class, any thread.
+// Reads the members of one object in an operator's file and remembers the first thing that is wrong. For one
+// thread.
 #ifndef LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
 #define LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
 
 #include <fmt/format.h>
 
+#include <cstdint>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <set>
 #include <string>
+#include <type_traits>
 #include <utility>
 #include <vector>
 
+#include "identity/read_error.h"
+
 namespace liftrudder::identity {
 
-// One member after the other, each told where it stands; what is not known is an error, since a right that is
-// misspelt would be one that is not held against anybody.
+// The range that a number must lie in, and its value where the member is absent.
+struct NumberRange {
+  std::int64_t min = 0;
+  std::int64_t max = 0;
+  std::int64_t fallback = 0;
+};
+
+// Unknown members are an error: a misspelt permission would otherwise be silently not in force.
 class JsonMembers {
  public:
+  // `where` begins each error. The object must outlive this.
   JsonMembers(const nlohmann::json& object, std::string where) : object_(object), where_(std::move(where)) {
-    if (!object.is_object()) Wrong("is not an object");
+    if (!object.is_object()) Fail("is not an object");
   }
 
+  // A bool, a string or a list of strings; an absent member leaves `value` as it is.
   template <typename T>
-  void Take(const char* name, T& out) {
-    known_.insert(name);
-    auto found = object_.find(name);
-    if (found == object_.end()) return;
-    bool fits = std::is_same_v<T, bool> ? found->is_boolean() : found->is_string();
-    if constexpr (std::is_same_v<T, std::vector<std::string>>) {
-      fits = found->is_array();
-      for (const nlohmann::json& one : *found) fits = fits && one.is_string();
-    }
-    if (!fits) return Wrong(fmt::format("[{}] is of another kind", name));
-    found->get_to(out);
+  void Read(const char* name, T& value) {
+    const nlohmann::json* member = Find(name);
+    if (member == nullptr) return;
+    if (!HasType<T>(*member)) return Fail(fmt::format("[{}] is of another kind", name));
+    member->get_to(value);
   }
-  std::int64_t Number(const char* name, std::int64_t least, std::int64_t most, std::int64_t otherwise) {
-    known_.insert(name);
-    auto found = object_.find(name);
-    if (found == object_.end()) return otherwise;
-    if (!found->is_number_integer() || found->get<std::int64_t>() < least ||
-        found->get<std::int64_t>() > most)
-      Wrong(fmt::format("[{}] must be a whole number from {} to {}", name, least, most));
-    return wrong.empty() ? found->get<std::int64_t>() : otherwise;
+
+  std::int64_t ReadNumber(const char* name, const NumberRange& range) {
+    const nlohmann::json* member = Find(name);
+    if (member == nullptr) return range.fallback;
+    bool fits = member->is_number_integer() && member->get<std::int64_t>() >= range.min &&
+                member->get<std::int64_t>() <= range.max;
+    if (!fits) Fail(fmt::format("[{}] must be a whole number from {} to {}", name, range.min, range.max));
+    return fits ? member->get<std::int64_t>() : range.fallback;
   }
-  const nlohmann::json* Member(const char* name) {
+
+  // Null where there is no such member, or where this is not an object.
+  const nlohmann::json* Find(const char* name) {
     known_.insert(name);
+    if (!object_.is_object()) return nullptr;
     auto found = object_.find(name);
     return found == object_.end() ? nullptr : &*found;
   }
-  void End() {
+
+  // After all members have been read: the others are errors.
+  void RejectUnknown() {
     if (!object_.is_object()) return;
-    for (const auto& [name, value] : object_.items())
-      if (!known_.contains(name)) Wrong(fmt::format("[{}] is not known", name));
+    for (const auto& [name, value] : object_.items()) {
+      if (!known_.contains(name)) Fail(fmt::format("[{}] is not known", name));
+    }
   }
-  void Wrong(const std::string& what) {
-    if (wrong.empty()) wrong = fmt::format("{}: {}", where_, what);
+
+  // Only the first call counts.
+  void Fail(const std::string& problem) {
+    if (!error_) error_ = ReadError{where_, problem};
   }
 
-  std::string wrong;
+  const std::optional<ReadError>& error() const { return error_; }
 
  private:
+  template <typename T>
+  static bool HasType(const nlohmann::json& member) {
+    if constexpr (std::is_same_v<T, bool>) {
+      return member.is_boolean();
+    } else if constexpr (std::is_same_v<T, std::vector<std::string>>) {
+      if (!member.is_array()) return false;
+      for (const nlohmann::json& element : member) {
+        if (!element.is_string()) return false;
+      }
+      return true;
+    } else {
+      return member.is_string();
+    }
+  }
+
   const nlohmann::json& object_;
   std::string where_;
   std::set<std::string, std::less<>> known_;
+  std::optional<ReadError> error_;
 };
 
 }  // namespace liftrudder::identity
--- a/src/identity/keys.h
+++ b/src/identity/keys.h
@@ -1,81 +1,88 @@
-// The keys that sign callers' tokens: read from a JWK set (RFC 7517, RFC 8037), each in a state of its life.
-// Decides which key may vouch for what at a moment that is handed in; does no I/O. A KeySet never changes
-// once made and may be read by any thread.
+// The public keys that sign callers' tokens: parsed from a JWK set (RFC 7517, RFC 8037), each in a state of
+// its life cycle. No I/O, no clock. A KeySet is immutable and may be read by any thread.
 #ifndef LIFTRUDDER_IDENTITY_KEYS_H_
 #define LIFTRUDDER_IDENTITY_KEYS_H_
 
 #include <openssl/types.h>
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
+#include "identity/read_error.h"
+
 namespace liftrudder::identity {
 
-using Micros = std::int64_t;
+using Micros = std::int64_t;  // since the Unix epoch
 
-constexpr std::size_t kMostKeySetBytes = 256 * 1024;
-constexpr std::size_t kMostKeys = 256;
-constexpr std::size_t kMostKid = 128;
-constexpr std::size_t kMostKnownKids = 4096;
+constexpr std::size_t kMaxKeySetBytes = 256 * 1024;
+constexpr std::size_t kMaxKeys = 256;  // of one set
+constexpr std::size_t kMaxKeyIdBytes = 128;
+constexpr std::size_t kMaxKnownKeyIds = 4096;
 
 enum class Algorithm { kEdDsa, kEs256 };  // RFC 8037 section 3.1 (Ed25519 alone), RFC 7518 section 3.4
 
-// Announced: known, vouches for nothing yet. Active. Retiring: vouches until `until_us`, the stated overlap's
-// end. Withdrawn: vouches for nothing, and its kid may not come back as another key.
-enum class KeyState { kAnnounced, kActive, kRetiring, kWithdrawn };
+enum class KeyState {
+  kAnnounced,  // known; its signatures do not count yet
+  kActive,
+  kRetiring,  // its signatures count until `retires_at_us`
+  kWithdrawn  // its signatures count no more, and its kid may not come back as another key
+};
+
+std::string_view Name(KeyState state);
 
-// SHA-256 of a key's required members (RFC 7638): the key's identity, whatever its kid.
+// SHA-256 of a key's required members (RFC 7638): the identity of a key, whatever its kid.
 using Thumbprint = std::array<unsigned char, 32>;
 
 struct Key {
   std::string kid;
   Algorithm algorithm = Algorithm::kEdDsa;
   KeyState state = KeyState::kActive;
-  Micros until_us = 0;  // of a retiring one, Unix time
+  Micros retires_at_us = 0;  // of a retiring key
   Thumbprint thumbprint{};
   std::shared_ptr<EVP_PKEY> public_key;
 };
 
 class KeySet {
  public:
-  // Members beside RFC 7517's: "state" (announced, active, retiring, withdrawn; active where absent) and, of
-  // a retiring key, "until" (Unix seconds). The set, or what is wrong and with which key. Private members,
-  // other kinds of key or use, points that are not on the curve, and a kid that is there twice are refused:
-  // the whole set is.
-  static std::variant<std::shared_ptr<const KeySet>, std::string> Read(std::string_view text);
+  // Beside RFC 7517's members a key may have "state" (active where absent) and, while retiring, "until" (Unix
+  // seconds). A set with a private member, another kind of key or use, a point off its curve, a duplicate key
+  // or a duplicate kid is rejected as a whole.
+  static tl::expected<std::shared_ptr<const KeySet>, ReadError> Parse(std::string_view text);
 
+  // Null: no such key.
   const Key* Find(std::string_view kid) const;
   const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
 
  private:
+  std::optional<ReadError> Add(Key key);
+
   std::map<std::string, Key, std::less<>> keys_;
 };
 
-// What differs, a line each, for the log and for `liftrudder keys`.
+// One line of text for each key that differs, for the log and the `keys` sub-command.
 std::vector<std::string> Differences(const KeySet& before, const KeySet& after);
 
-// The keys that kids have named so far, those that are gone from the set included: a kid names one key for as
-// long as the program runs. Else tokens signed by the old one would be held against the new one, and an audit
-// line with that kid would be true of two keys. Not safe for several threads.
-class KnownKids {
+// Remembers which key each kid has named since the program started. A kid must not come to name another key:
+// tokens of the old key would be checked against the new one, and an audit line with that kid would be
+// ambiguous. Not thread-safe.
+class KeyIdRegistry {
  public:
-  // Takes in a set's kids; or nothing changes, and it says which kid names another key now, or that
-  // kMostKnownKids are known.
-  std::optional<std::string> Take(const KeySet& keys);
+  // Registers the kids of a set. On an error (a kid names another key, or kMaxKnownKeyIds are known) nothing
+  // changes.
+  std::optional<ReadError> Register(const KeySet& keys);
 
  private:
-  std::map<std::string, Thumbprint, std::less<>> named_;
+  std::map<std::string, Thumbprint, std::less<>> thumbprints_;
 };
 
-std::string_view Name(KeyState state);
-
 }  // namespace liftrudder::identity
 
 #endif  // LIFTRUDDER_IDENTITY_KEYS_H_
--- a/src/identity/permissions.cpp
+++ b/src/identity/permissions.cpp
@@ -3,136 +3,191 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <optional>
+#include <utility>
 extern "C" {
 #include <libcidr.h>
 }
 
 #include "identity/json_members.h"
 #include "identity/strict_json.h"
+#include "identity/wire_names.h"
 
 namespace liftrudder::identity {
 namespace {
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kMostSkewS = 300;
-constexpr std::int64_t kMostCached = 65536;
-constexpr std::int64_t kMostWeight = 1000;
-constexpr std::int64_t kMostWork = 1'000'000'000;
-constexpr std::int64_t kMostOpen = 1'000'000;
+constexpr std::size_t kMaxTableDepth = 24;  // filters are queries, which nest deeply
+constexpr Micros kMicrosPerSecond = 1'000'000;
+constexpr NumberRange kClockSkewSeconds{0, 300, 5};
+constexpr NumberRange kCachedTokens{1, 65536, 1024};
+constexpr NumberRange kTenantWeight{1, 1000, 1};
+constexpr NumberRange kWorkPerSecond{0, 1'000'000'000, 0};
+constexpr NumberRange kOpenQueries{0, 1'000'000, 0};
+constexpr char kFirstPrintable = 0x20;
 
-std::shared_ptr<cidr_addr> Prefix(const std::string& text) {
-  return {cidr_from_str(text.c_str()), [](cidr_addr* prefix) {
-            if (prefix != nullptr) cidr_free(prefix);
-          }};
+std::shared_ptr<cidr_addr> ParsePrefix(const std::string& text) {
+  auto free_prefix = [](cidr_addr* prefix) {
+    if (prefix != nullptr) cidr_free(prefix);
+  };
+  return {cidr_from_str(text.c_str()), free_prefix};
 }
 
-std::string ReadPermissions(const Json& value, const std::string& where, Permissions& out) {
-  JsonMembers reader(value, where);
-  if (!reader.wrong.empty()) return reader.wrong;
-  std::vector<std::string> indices, networks, certificates;
-  reader.Take("indices", indices);
-  reader.Take("partial", out.partial);
-  reader.Take("scrolls", out.scrolls);
-  reader.Take("pages", out.pages);
-  reader.Take("networks", networks);
-  reader.Take("certificates", certificates);
-  out.weight = static_cast<double>(reader.Number("weight", 1, kMostWeight, 1));
-  if (const Json* filter = reader.Member("filter")) {
-    if (!filter->is_object() || filter->size() != 1)
-      reader.Wrong("[filter] must be a query: an object with one member");
-    out.filter = filter->dump();
+bool IsCertificateName(const std::string& name) {
+  auto colon = name.find(':');
+  if (colon == std::string::npos || colon + 1 == name.size()) return false;
+  std::string kind = name.substr(0, colon);
+  return kind == "dns" || kind == "uri" || kind == "email";
+}
+
+void ReadFilter(JsonMembers& members, Permissions& permissions) {
+  const Json* filter = members.Find(wire_names::kFilter);
+  if (filter == nullptr) return;
+  bool is_query = filter->is_object() && filter->size() == 1;
+  if (!is_query) members.Fail("[filter] must be a query: an object with one member");
+  permissions.filter = filter->dump();
+}
+
+void ReadNetworks(JsonMembers& members, const std::vector<std::string>& prefixes, Permissions& permissions) {
+  auto networks = Networks::Parse(prefixes);
+  if (networks) {
+    permissions.networks = std::move(*networks);
+  } else {
+    members.Fail(
+        fmt::format("[networks] '{}' is no prefix such as 10.1.0.0/16 or fd00::/8", networks.error().text));
+  }
+  // An empty list that admits everybody would be a trap for an operator who empties it to lock a tenant out.
+  bool is_present = members.Find(wire_names::kNetworks) != nullptr;
+  if (is_present && prefixes.empty()) members.Fail("[networks] names none; leave it out for any");
+  if (prefixes.size() > kMaxNetworks) members.Fail(fmt::format("[networks] has over {}", kMaxNetworks));
+}
+
+void ReadCertificates(JsonMembers& members, const std::vector<std::string>& names, Permissions& permissions) {
+  for (const std::string& name : names) {
+    if (IsCertificateName(name)) continue;
+    members.Fail(
+        fmt::format("[certificates] '{}' is no name such as dns:a.example, uri:urn:a or email:a@b", name));
   }
-  std::string wrong;
-  if (!Networks::Read(networks, out.networks, wrong))
-    reader.Wrong(fmt::format("[networks] '{}' is no prefix such as 10.1.0.0/16 or fd00::/8", wrong));
-  // An empty list that lets all in would be a trap for whoever empties it to shut a tenant out.
-  if (reader.Member("networks") != nullptr && networks.empty())
-    reader.Wrong("[networks] names none; leave it out for any");
-  if (networks.size() > kMostNetworks) reader.Wrong(fmt::format("[networks] has over {}", kMostNetworks));
-  for (const std::string& name : certificates) {
-    auto colon = name.find(':');
-    std::string kind = name.substr(0, colon);
-    if (colon == std::string::npos || colon + 1 == name.size() ||
-        (kind != "dns" && kind != "uri" && kind != "email"))
-      reader.Wrong(
-          fmt::format("[certificates] '{}' is no name such as dns:a.example, uri:urn:a or email:a@b", name));
+  if (names.size() > kMaxCertificates) {
+    members.Fail(fmt::format("[certificates] has over {}", kMaxCertificates));
   }
-  if (certificates.size() > kMostCertificates)
-    reader.Wrong(fmt::format("[certificates] has over {}", kMostCertificates));
-  out.certificates.insert(certificates.begin(), certificates.end());
-  out.indices.insert(indices.begin(), indices.end());
-  reader.End();
-  return reader.wrong;
+  permissions.certificates.insert(names.begin(), names.end());
+}
+
+tl::expected<Permissions, ReadError> ParsePermissions(const Json& value, const std::string& where) {
+  JsonMembers members(value, where);
+  if (members.error()) return tl::unexpected(*members.error());
+  Permissions permissions;
+  std::vector<std::string> indices;
+  std::vector<std::string> networks;
+  std::vector<std::string> certificates;
+  members.Read(wire_names::kIndices, indices);
+  permissions.indices.insert(indices.begin(), indices.end());
+  members.Read(wire_names::kPartialResults, permissions.partial);
+  members.Read(wire_names::kScrolls, permissions.scrolls);
+  members.Read(wire_names::kStatusPages, permissions.pages);
+  members.Read(wire_names::kNetworks, networks);
+  members.Read(wire_names::kCertificates, certificates);
+  permissions.weight = static_cast<double>(members.ReadNumber(wire_names::kWeight, kTenantWeight));
+  ReadFilter(members, permissions);
+  ReadNetworks(members, networks, permissions);
+  ReadCertificates(members, certificates, permissions);
+  members.RejectUnknown();
+  if (members.error()) return tl::unexpected(*members.error());
+  return permissions;
+}
+
+void Require(JsonMembers& members, const char* name, const std::string& value) {
+  if (value.empty()) members.Fail(fmt::format("[{}] is missing", name));
+}
+
+void ReadLimits(JsonMembers& members, PermissionTable& table) {
+  table.clock_skew_us =
+      kMicrosPerSecond * members.ReadNumber(wire_names::kClockSkewSeconds, kClockSkewSeconds);
+  table.work_per_s = members.ReadNumber(wire_names::kWorkPerSecond, kWorkPerSecond);
+  table.max_open_queries = members.ReadNumber(wire_names::kMaxOpenQueries, kOpenQueries);
+  bool only_one = (table.work_per_s == 0) != (table.max_open_queries == 0);
+  if (only_one) members.Fail("[workPerS] and [mostOpen] go together");
+  table.max_cached_tokens =
+      static_cast<std::size_t>(members.ReadNumber(wire_names::kMaxCachedTokens, kCachedTokens));
+}
+
+bool IsTenantName(const std::string& name) {
+  auto is_control = [](char c) { return static_cast<unsigned char>(c) < kFirstPrintable; };
+  return !name.empty() && name.size() <= kMaxClaimBytes && std::ranges::none_of(name, is_control);
+}
+
+std::optional<ReadError> AddTenant(PermissionTable& table, const std::string& name, const Json& value) {
+  if (!IsTenantName(name)) {
+    return ReadError{"identity", fmt::format("a tenant's name has 1 to {} bytes, none a control character",
+                                             kMaxClaimBytes)};
+  }
+  std::string where = fmt::format("identity: tenant '{}'", name);
+  auto permissions = ParsePermissions(value, where);
+  if (!permissions) return permissions.error();
+  for (const std::string& certificate : permissions->certificates) {
+    auto [owner, is_new] = table.tenant_by_certificate.emplace(certificate, name);
+    if (!is_new) {
+      return ReadError{
+          where, fmt::format("[certificates] '{}' is tenant '{}''s already", certificate, owner->second)};
+    }
+  }
+  table.tenants[name] = std::make_shared<const Permissions>(std::move(*permissions));
+  return std::nullopt;
 }
 
 }  // namespace
 
-bool Networks::Read(const std::vector<std::string>& prefixes, Networks& out, std::string& wrong) {
+tl::expected<Networks, InvalidPrefix> Networks::Parse(const std::vector<std::string>& prefixes) {
+  Networks networks;
   for (const std::string& text : prefixes) {
-    std::shared_ptr<cidr_addr> prefix = Prefix(text);
-    if (prefix == nullptr) {
-      wrong = text;
-      return false;
-    }
-    out.prefixes_.push_back(std::move(prefix));
-    out.texts_.push_back(text);
+    std::shared_ptr<cidr_addr> prefix = ParsePrefix(text);
+    if (prefix == nullptr) return tl::unexpected(InvalidPrefix{text});
+    networks.prefixes_.push_back(std::move(prefix));
+    networks.texts_.push_back(text);
   }
-  return true;
+  return networks;
 }
 
-bool Networks::Contain(const std::string& address) const {
+bool Networks::Contains(const std::string& address) const {
+  constexpr std::string_view kMappedIpv4 = "::ffff:";
   std::string_view plain = address;
-  if (plain.starts_with("::ffff:") && plain.find('.') != std::string_view::npos) plain.remove_prefix(7);
-  std::shared_ptr<cidr_addr> host = Prefix(std::string(plain));
+  bool is_mapped = plain.starts_with(kMappedIpv4) && plain.find('.') != std::string_view::npos;
+  if (is_mapped) plain.remove_prefix(kMappedIpv4.size());
+  std::shared_ptr<cidr_addr> host = ParsePrefix(std::string(plain));
   if (host == nullptr) return false;
-  for (const auto& prefix : prefixes_) {
-    if (cidr_get_proto(prefix.get()) == cidr_get_proto(host.get()) &&
-        cidr_contains(prefix.get(), host.get()) == 0)
-      return true;
-  }
-  return false;
+  auto contains_host = [&host](const std::shared_ptr<cidr_addr>& prefix) {
+    return cidr_get_proto(prefix.get()) == cidr_get_proto(host.get()) &&
+           cidr_contains(prefix.get(), host.get()) == 0;
+  };
+  return std::ranges::any_of(prefixes_, contains_host);
 }
 
-std::variant<PermissionTable, std::string> PermissionTable::Read(std::string_view text) {
-  constexpr std::size_t kMostDepth = 24;  // filters are queries, and those nest
-  auto read = ReadStrictJson(text, kMaxPermissionTableBytes, kMostDepth);
-  if (const auto* wrong = std::get_if<std::string>(&read)) return "identity: " + *wrong;
-  PermissionTable out;
-  JsonMembers reader(std::get<Json>(read), "identity");
-  if (!reader.wrong.empty()) return reader.wrong;
-  reader.Take("keys", out.keys_file);
-  reader.Take("issuer", out.issuer);
-  reader.Take("audience", out.audience);
-  out.skew_us = 1'000'000 * reader.Number("skewS", 0, kMostSkewS, 5);
-  out.work_per_s = reader.Number("workPerS", 0, kMostWork, 0);
-  out.most_open = reader.Number("mostOpen", 0, kMostOpen, 0);
-  if ((out.work_per_s == 0) != (out.most_open == 0)) reader.Wrong("[workPerS] and [mostOpen] go together");
-  out.most_cached = static_cast<std::size_t>(reader.Number("cached", 1, kMostCached, 1024));
-  for (auto [name, value] :
-       {std::pair("keys", &out.keys_file), {"issuer", &out.issuer}, {"audience", &out.audience}})
-    if (value->empty()) reader.Wrong(fmt::format("[{}] is missing", name));
-  const Json* tenants = reader.Member("tenants");
-  if (tenants == nullptr || !tenants->is_object() || tenants->empty()) reader.Wrong("[tenants] names none");
-  if (!reader.wrong.empty()) return reader.wrong;
-  if (tenants->size() > kMostTenants) reader.Wrong(fmt::format("[tenants] has over {}", kMostTenants));
+tl::expected<PermissionTable, ReadError> PermissionTable::Parse(std::string_view text) {
+  auto json = ParseStrictJson(text, kMaxPermissionTableBytes, kMaxTableDepth);
+  if (!json) return tl::unexpected(ReadError{"identity", json.error().problem});
+  PermissionTable table;
+  JsonMembers members(*json, "identity");
+  if (members.error()) return tl::unexpected(*members.error());
+  members.Read(wire_names::kKeysFile, table.keys_file);
+  members.Read(wire_names::kIssuer, table.issuer);
+  members.Read(wire_names::kAudience, table.audience);
+  ReadLimits(members, table);
+  Require(members, wire_names::kKeysFile, table.keys_file);
+  Require(members, wire_names::kIssuer, table.issuer);
+  Require(members, wire_names::kAudience, table.audience);
+  const Json* tenants = members.Find(wire_names::kTenants);
+  bool has_tenants = tenants != nullptr && tenants->is_object() && !tenants->empty();
+  if (!has_tenants) members.Fail("[tenants] names none");
+  if (members.error()) return tl::unexpected(*members.error());
+  if (tenants->size() > kMaxTenants) members.Fail(fmt::format("[tenants] has over {}", kMaxTenants));
   for (const auto& [name, value] : tenants->items()) {
-    auto control = [](char c) { return static_cast<unsigned char>(c) < 0x20; };
-    if (name.empty() || name.size() > kMostClaim || std::ranges::any_of(name, control))
-      return fmt::format("identity: a tenant's name has 1 to {} bytes, none a control character", kMostClaim);
-    auto permissions = std::make_shared<Permissions>();
-    std::string wrong = ReadPermissions(value, fmt::format("identity: tenant '{}'", name), *permissions);
-    if (!wrong.empty()) return wrong;
-    for (const std::string& one : permissions->certificates) {
-      if (auto [owner, is_new] = out.by_certificate.emplace(one, name); !is_new)
-        return fmt::format("identity: tenant '{}': [certificates] '{}' is tenant '{}''s already", name, one,
-                           owner->second);
-    }
-    out.tenants[name] = std::move(permissions);
+    if (auto error = AddTenant(table, name, value)) return tl::unexpected(std::move(*error));
   }
-  reader.End();
-  if (!reader.wrong.empty()) return reader.wrong;
-  return out;
+  members.RejectUnknown();
+  if (members.error()) return tl::unexpected(*members.error());
+  return table;
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/permissions.h
+++ b/src/identity/permissions.h
@@ -1,17 +1,21 @@
-// What a tenant may ask for and from where: read from the operator's file, then looked up for each request.
-// No I/O. A Book never changes once read; a request that was let in keeps the Rights it was let in with.
+// What each tenant may ask for and from where: parsed from the operator's file, then looked up for each
+// request. No I/O. A PermissionTable is immutable once parsed; a request keeps the Permissions that it was
+// admitted with.
 #ifndef LIFTRUDDER_IDENTITY_PERMISSIONS_H_
 #define LIFTRUDDER_IDENTITY_PERMISSIONS_H_
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
+#include "identity/read_error.h"
 #include "identity/token.h"
 
 struct cidr_addr;
@@ -19,16 +23,20 @@
 namespace liftrudder::identity {
 
 constexpr std::size_t kMaxPermissionTableBytes = 1024 * 1024;
-constexpr std::size_t kMostTenants = 4096;
-constexpr std::size_t kMostNetworks = 64;      // of one tenant
-constexpr std::size_t kMostCertificates = 64;  // names of one tenant's
+constexpr std::size_t kMaxTenants = 4096;
+constexpr std::size_t kMaxNetworks = 64;      // of one tenant
+constexpr std::size_t kMaxCertificates = 64;  // names of one tenant's certificates
 
-// IPv4 and IPv6 prefixes. An IPv4 address that came in IPv6's form is held against IPv4's prefixes.
+struct InvalidPrefix {
+  std::string text;
+};
+
+// IPv4 and IPv6 prefixes. An IPv4 address mapped into IPv6 is matched against the IPv4 prefixes.
 class Networks {
  public:
-  // Nothing where one of them is no prefix; `wrong` is set to it.
-  static bool Read(const std::vector<std::string>& prefixes, Networks& out, std::string& wrong);
-  bool Contain(const std::string& address) const;
+  static tl::expected<Networks, InvalidPrefix> Parse(const std::vector<std::string>& prefixes);
+
+  bool Contains(const std::string& address) const;
   bool empty() const { return prefixes_.empty(); }
   bool operator==(const Networks& other) const { return texts_ == other.texts_; }
 
@@ -39,29 +47,33 @@
 
 struct Permissions {
   std::set<std::string, std::less<>> indices;  // "*": all
-  bool partial = true;                         // answers in part
+  bool partial = true;                         // partial results
   bool scrolls = true;
-  bool pages = false;  // /-/metrics and /-/why, which tell of all tenants
-  double weight = 1;   // of its share of the work, where that is limited
-  std::string filter;  // a query of the search API that every search of it is confined to; empty: none
-  Networks networks;   // empty: from anywhere
-  std::set<std::string> certificates;  // names of clients' certificates that are its own, as dns:a.example
+  bool pages = false;                  // /-/metrics and /-/why, which show data of all tenants
+  double weight = 1;                   // of the tenant's share of the work, where work is limited
+  std::string filter;                  // a query that all searches are confined to; empty: none
+  Networks networks;                   // empty: from anywhere
+  std::set<std::string> certificates;  // names in clients' certificates, for instance dns:a.example
 
   bool operator==(const Permissions&) const = default;
-  bool MayIndex(std::string_view name) const { return indices.contains(name) || indices.contains("*"); }
+  bool AllowsIndex(std::string_view name) const { return indices.contains(name) || indices.contains("*"); }
 };
 
 struct PermissionTable {
-  std::string keys_file, issuer, audience;
-  Micros skew_us = 5'000'000;
-  std::size_t most_cached = 1024;
-  // Of all tenants together, shared out by weight; 0: no limit. Work is counted in parts of queries.
-  std::int64_t work_per_s = 0, most_open = 0;
+  std::string keys_file;
+  std::string issuer;
+  std::string audience;
+  Micros clock_skew_us = 5'000'000;
+  std::size_t max_cached_tokens = 1024;
+  // Limits on all tenants together, shared out by weight; both 0: no limits. Work is counted in shard
+  // requests.
+  std::int64_t work_per_s = 0;
+  std::int64_t max_open_queries = 0;
   std::map<std::string, std::shared_ptr<const Permissions>, std::less<>> tenants;
-  std::map<std::string, std::string, std::less<>> by_certificate;  // a certificate's name: its tenant
+  std::map<std::string, std::string, std::less<>> tenant_by_certificate;
 
-  // The file's "identity" member, or what is wrong and where.
-  static std::variant<PermissionTable, std::string> Read(std::string_view text);
+  // The "identity" member of the operator's file.
+  static tl::expected<PermissionTable, ReadError> Parse(std::string_view text);
 };
 
 }  // namespace liftrudder::identity
--- a/src/identity/strict_json.cpp
+++ b/src/identity/strict_json.cpp
@@ -1,39 +1,65 @@
 #include "identity/strict_json.h"
 
+#include <fmt/format.h>
+
 #include <set>
+#include <string>
 #include <vector>
 
 namespace liftrudder::identity {
+namespace {
 
-std::variant<nlohmann::json, std::string> ReadStrictJson(std::string_view text, std::size_t most_bytes,
-                                                         std::size_t most_depth) {
-  using Json = nlohmann::json;
-  if (text.size() > most_bytes)
-    return "it has " + std::to_string(text.size()) + " bytes, " + std::to_string(most_bytes) +
-           " at most are read";
-  std::vector<std::set<std::string>> open;
-  std::string wrong;
-  // Throwing ends the reading at once: depth is bounded before the reader's own stack is.
-  struct Stop {};
-  auto look = [&](int depth, Json::parse_event_t event, Json& value) {
-    if (static_cast<std::size_t>(depth) > most_depth) {
-      wrong = "it is nested deeper than " + std::to_string(most_depth);
-      throw Stop{};
-    }
-    if (event == Json::parse_event_t::object_start) open.emplace_back();
-    if (event == Json::parse_event_t::object_end) open.pop_back();
-    if (event == Json::parse_event_t::key && !open.back().insert(value.get<std::string>()).second) {
-      wrong = "the member '" + value.get<std::string>() + "' is there twice";
-      throw Stop{};
+using Json = nlohmann::json;
+
+// Thrown by the parser's callback, caught where the parser is called: the only way to stop it, and depth has
+// to be bounded before the parser's own stack is.
+struct RejectedJson {
+  ReadError error;
+};
+
+// Follows the parser through the text and stops it at the first violation.
+class StructureChecker {
+ public:
+  explicit StructureChecker(std::size_t max_depth) : max_depth_(max_depth) {}
+
+  bool operator()(int depth, Json::parse_event_t event, const Json& value) {
+    if (static_cast<std::size_t>(depth) > max_depth_) {
+      throw RejectedJson{{"", fmt::format("it is nested deeper than {}", max_depth_)}};
     }
+    if (event == Json::parse_event_t::object_start) open_objects_.emplace_back();
+    if (event == Json::parse_event_t::object_end) open_objects_.pop_back();
+    if (event == Json::parse_event_t::key) CheckUnique(value.get<std::string>());
     return true;
+  }
+
+ private:
+  void CheckUnique(const std::string& member) {
+    bool is_new = open_objects_.back().insert(member).second;
+    if (!is_new) throw RejectedJson{{"", fmt::format("the member '{}' is there twice", member)}};
+  }
+
+  const std::size_t max_depth_;
+  std::vector<std::set<std::string>> open_objects_;  // names of the members seen so far, by nesting
+};
+
+}  // namespace
+
+tl::expected<Json, ReadError> ParseStrictJson(std::string_view text, std::size_t max_bytes,
+                                              std::size_t max_depth) {
+  if (text.size() > max_bytes) {
+    return tl::unexpected(
+        ReadError{"", fmt::format("it has {} bytes, {} at most are read", text.size(), max_bytes)});
+  }
+  StructureChecker checker(max_depth);
+  auto callback = [&checker](int depth, Json::parse_event_t event, Json& value) {
+    return checker(depth, event, value);
   };
   try {
-    return Json::parse(text.begin(), text.end(), look);
-  } catch (const Stop&) {
-    return wrong;
+    return Json::parse(text.begin(), text.end(), callback);
+  } catch (const RejectedJson& rejected) {
+    return tl::unexpected(rejected.error);
   } catch (const Json::exception&) {
-    return std::string("it is not JSON");
+    return tl::unexpected(ReadError{"", "it is not JSON"});
   }
 }
 
--- a/src/identity/strict_json.h
+++ b/src/identity/strict_json.h
@@ -1,19 +1,22 @@
-// Reads JSON that a stranger signed or an operator wrote: bounded in bytes and depth, and no member twice,
-// since one reader would take the first and another the last (RFC 7515 section 4). Plain function, any
-// thread.
+// Parses JSON that an untrusted party signed or an operator wrote: bounded in bytes and depth, and without
+// duplicate members, since one parser would take the first and another the last (RFC 7515 section 4). A plain
+// function for any thread.
 #ifndef LIFTRUDDER_IDENTITY_STRICT_JSON_H_
 #define LIFTRUDDER_IDENTITY_STRICT_JSON_H_
 
+#include <cstddef>
 #include <nlohmann/json.hpp>
-#include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
+
+#include "identity/read_error.h"
 
 namespace liftrudder::identity {
 
-// The value, or what is wrong with the text.
-std::variant<nlohmann::json, std::string> ReadStrictJson(std::string_view text, std::size_t most_bytes,
-                                                         std::size_t most_depth = 8);
+constexpr std::size_t kDefaultMaxJsonDepth = 8;
+
+tl::expected<nlohmann::json, ReadError> ParseStrictJson(std::string_view text, std::size_t max_bytes,
+                                                        std::size_t max_depth = kDefaultMaxJsonDepth);
 
 }  // namespace liftrudder::identity
 
--- a/src/identity/token.cpp
+++ b/src/identity/token.cpp
@@ -1,156 +1,169 @@
 #include "identity/token.h"
 
-#include <openssl/ecdsa.h>
-#include <openssl/evp.h>
-
 #include <algorithm>
 #include <array>
-#include <cmath>
-#include <optional>
+#include <nlohmann/json.hpp>
 
 #include "identity/base64url.h"
+#include "identity/signature.h"
 #include "identity/strict_json.h"
+#include "identity/wire_names.h"
 
 namespace liftrudder::identity {
 namespace {
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kSignature = 64;  // bytes, of Ed25519 and of ES256's two numbers
-constexpr double kMostSeconds = 1e11;
-
-constexpr std::array<std::string_view, 22> kNames = {
-    "none",          "too_long",      "not_compact",    "bad_encoding",    "bad_header",    "critical",
-    "no_algorithm",  "no_kid",        "unknown_key",    "wrong_algorithm", "key_announced", "key_retired",
-    "key_withdrawn", "bad_signature", "bad_claims",     "no_issuer",       "no_audience",   "no_expiry",
-    "expired",       "not_yet",       "too_long_lived", "no_tenant"};
-
-// ES256 signs as two numbers in a row (RFC 7518 section 3.4); OpenSSL wants them in DER.
-std::string Der(std::string_view signature) {
-  const auto* bytes = reinterpret_cast<const unsigned char*>(signature.data());
-  std::unique_ptr<ECDSA_SIG, decltype(&ECDSA_SIG_free)> both(ECDSA_SIG_new(), ECDSA_SIG_free);
-  BIGNUM* r = BN_bin2bn(bytes, kSignature / 2, nullptr);
-  BIGNUM* s = BN_bin2bn(bytes + kSignature / 2, kSignature / 2, nullptr);
-  if (!both || r == nullptr || s == nullptr || ECDSA_SIG_set0(both.get(), r, s) != 1) {
-    BN_free(r);
-    BN_free(s);
-    return "";
-  }
-  unsigned char* der = nullptr;
-  int size = i2d_ECDSA_SIG(both.get(), &der);
-  std::string out = size > 0 ? std::string(reinterpret_cast<char*>(der), static_cast<std::size_t>(size)) : "";
-  OPENSSL_free(der);
-  return out;
-}
-
-bool Signed(const Key& key, std::string_view text, std::string_view signature) {
-  if (signature.size() != kSignature) return false;
-  bool ecdsa = key.algorithm == Algorithm::kEs256;
-  std::string given = ecdsa ? Der(signature) : std::string(signature);
-  std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(), EVP_MD_CTX_free);
-  return context && !given.empty() &&
-         EVP_DigestVerifyInit(context.get(), nullptr, ecdsa ? EVP_sha256() : nullptr, nullptr,
-                              key.public_key.get()) == 1 &&
-         EVP_DigestVerify(context.get(), reinterpret_cast<const unsigned char*>(given.data()), given.size(),
-                          reinterpret_cast<const unsigned char*>(text.data()), text.size()) == 1;
+constexpr double kMaxUnixSeconds = 1e11;
+constexpr double kMicrosPerSecond = 1e6;
+
+constexpr std::array<std::string_view, 21> kErrorNames = {
+    "too_long",      "not_compact",    "bad_encoding",    "bad_header",    "critical",    "no_algorithm",
+    "no_kid",        "unknown_key",    "wrong_algorithm", "key_announced", "key_retired", "key_withdrawn",
+    "bad_signature", "bad_claims",     "no_issuer",       "no_audience",   "no_expiry",   "expired",
+    "not_yet",       "too_long_lived", "no_tenant"};
+
+// A token's three sections, still encoded.
+struct Sections {
+  std::string_view header;
+  std::string_view payload;
+  std::string_view signature;
+  std::string_view signed_text;  // header and payload with their dot
+};
+
+struct Header {
+  std::string algorithm;
+  std::string kid;
+};
+
+std::optional<Sections> Split(std::string_view token) {
+  auto first_dot = token.find('.');
+  auto last_dot = token.rfind('.');
+  if (first_dot == std::string_view::npos || first_dot == last_dot) return std::nullopt;
+  if (token.find('.', first_dot + 1) != last_dot) return std::nullopt;
+  Sections sections;
+  sections.header = token.substr(0, first_dot);
+  sections.payload = token.substr(first_dot + 1, last_dot - first_dot - 1);
+  sections.signature = token.substr(last_dot + 1);
+  sections.signed_text = token.substr(0, last_dot);
+  return sections;
 }
 
-std::optional<std::string> Text(const Json& object, const char* name) {
+std::optional<std::string> StringMember(const Json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end() || !found->is_string()) return std::nullopt;
-  std::string text = found->get<std::string>();
-  if (text.empty() || text.size() > kMostClaim) return std::nullopt;
+  auto text = found->get<std::string>();
+  if (text.empty() || text.size() > kMaxClaimBytes) return std::nullopt;
   return text;
 }
 
-// Unix seconds, maybe with decimals (RFC 7519 section 2, NumericDate).
-std::optional<Micros> Time(const Json& object, const char* name) {
+// Unix seconds, possibly with decimals (RFC 7519 section 2, NumericDate).
+std::optional<Micros> TimeMember(const Json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end() || !found->is_number()) return std::nullopt;
-  double seconds = found->get<double>();
-  if (!(seconds >= 0 && seconds < kMostSeconds)) return std::nullopt;
-  return static_cast<Micros>(seconds * 1e6);
+  auto seconds = found->get<double>();
+  bool in_range = seconds >= 0 && seconds < kMaxUnixSeconds;
+  if (!in_range) return std::nullopt;
+  return static_cast<Micros>(seconds * kMicrosPerSecond);
 }
 
-bool Names(const Json& object, const std::string& audience) {
-  auto found = object.find("aud");
-  if (found == object.end()) return false;
+bool HasAudience(const Json& claims, const std::string& audience) {
+  auto found = claims.find(wire_names::kClaimAudience);
+  if (found == claims.end()) return false;
   if (found->is_string()) return *found == audience;
-  return found->is_array() && std::ranges::any_of(*found, [&](const Json& one) { return one == audience; });
+  auto is_ours = [&audience](const Json& one) { return one == audience; };
+  return found->is_array() && std::ranges::any_of(*found, is_ours);
+}
+
+tl::expected<Header, TokenError> ParseHeader(const std::string& text) {
+  auto json = ParseStrictJson(text, kMaxTokenBytes);
+  if (!json || !json->is_object()) return tl::unexpected(TokenError::kBadHeader);
+  if (json->contains(wire_names::kCritical) || json->contains(wire_names::kUnencodedPayload)) {
+    return tl::unexpected(TokenError::kCritical);
+  }
+  auto algorithm = StringMember(*json, wire_names::kAlgorithm);
+  bool known_algorithm = algorithm && (*algorithm == "EdDSA" || *algorithm == "ES256");
+  if (!known_algorithm) return tl::unexpected(TokenError::kNoAlgorithm);
+  auto kid = StringMember(*json, wire_names::kKeyId);
+  if (!kid) return tl::unexpected(TokenError::kNoKid);
+  return Header{*algorithm, *kid};
 }
 
-std::variant<VerifiedToken, Denial> ReadClaims(const Json& claims, const Rules& rules, Micros now_us) {
-  if (!claims.is_object()) return Denial::kBadClaims;
-  auto issuer = Text(claims, "iss");
-  if (!issuer || *issuer != rules.issuer) return Denial::kNoIssuer;
-  if (!Names(claims, rules.audience)) return Denial::kNoAudience;
-  auto expiry = Time(claims, "exp");
-  if (!expiry) return Denial::kNoExpiry;
-  auto not_before = Time(claims, "nbf"), issued = Time(claims, "iat");
-  if (!not_before || (claims.contains("iat") && !issued)) return Denial::kBadClaims;
-  if (now_us >= *expiry + rules.skew_us) return Denial::kExpired;
-  Micros from_us = std::max(*not_before, issued.value_or(0)) - rules.skew_us;
-  if (now_us < from_us) return Denial::kNotYet;
-  if (*expiry - issued.value_or(now_us) > rules.most_life_us) return Denial::kTooLongLived;
-  auto tenant = Text(claims, "tenant"), subject = Text(claims, "sub");
-  if (!tenant || !subject) return Denial::kNoTenant;
-  return VerifiedToken{*tenant, *subject, "", {}, from_us, *expiry + rules.skew_us};
+tl::expected<VerifiedToken, TokenError> ReadClaims(const Json& claims, const TokenRequirements& requirements,
+                                                   Micros now_us) {
+  if (!claims.is_object()) return tl::unexpected(TokenError::kBadClaims);
+  auto issuer = StringMember(claims, wire_names::kClaimIssuer);
+  if (!issuer || *issuer != requirements.issuer) return tl::unexpected(TokenError::kNoIssuer);
+  if (!HasAudience(claims, requirements.audience)) return tl::unexpected(TokenError::kNoAudience);
+  auto expiry_us = TimeMember(claims, wire_names::kClaimExpiry);
+  if (!expiry_us) return tl::unexpected(TokenError::kNoExpiry);
+  auto not_before_us = TimeMember(claims, wire_names::kClaimNotBefore);
+  auto issued_at_us = TimeMember(claims, wire_names::kClaimIssuedAt);
+  bool bad_issued_at = claims.contains(wire_names::kClaimIssuedAt) && !issued_at_us;
+  if (!not_before_us || bad_issued_at) return tl::unexpected(TokenError::kBadClaims);
+  Micros valid_until_us = *expiry_us + requirements.clock_skew_us;
+  if (now_us >= valid_until_us) return tl::unexpected(TokenError::kExpired);
+  Micros valid_from_us = std::max(*not_before_us, issued_at_us.value_or(0)) - requirements.clock_skew_us;
+  if (now_us < valid_from_us) return tl::unexpected(TokenError::kNotYet);
+  Micros lifetime_us = *expiry_us - issued_at_us.value_or(now_us);
+  if (lifetime_us > requirements.max_lifetime_us) return tl::unexpected(TokenError::kTooLongLived);
+  auto tenant = StringMember(claims, wire_names::kClaimTenant);
+  auto subject = StringMember(claims, wire_names::kClaimSubject);
+  if (!tenant || !subject) return tl::unexpected(TokenError::kNoTenant);
+  return VerifiedToken{*tenant, *subject, "", {}, valid_from_us, valid_until_us};
 }
 
 }  // namespace
 
-std::string_view Name(Denial reason) {
-  auto place = static_cast<std::size_t>(reason);
-  return place < kNames.size() ? kNames[place] : "unknown";
+std::string_view Name(TokenError error) {
+  auto index = static_cast<std::size_t>(error);
+  return index < kErrorNames.size() ? kErrorNames[index] : "unknown";
 }
 
-Denial MaySign(const Key* key, Micros now_us) {
-  if (key == nullptr) return Denial::kKeyWithdrawn;
+std::optional<TokenError> CheckKeyState(const Key* key, Micros now_us) {
+  if (key == nullptr) return TokenError::kKeyWithdrawn;
   switch (key->state) {
     case KeyState::kAnnounced:
-      return Denial::kKeyAnnounced;
+      return TokenError::kKeyAnnounced;
     case KeyState::kActive:
-      return Denial::kNone;
+      return std::nullopt;
     case KeyState::kRetiring:
-      return now_us < key->until_us ? Denial::kNone : Denial::kKeyRetired;
+      if (now_us < key->retires_at_us) return std::nullopt;
+      return TokenError::kKeyRetired;
     case KeyState::kWithdrawn:
-      return Denial::kKeyWithdrawn;
+      return TokenError::kKeyWithdrawn;
   }
-  return Denial::kKeyWithdrawn;
+  return TokenError::kKeyWithdrawn;
 }
 
-std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
-                                           Micros now_us) {
-  if (token.size() > kMostToken) return Denial::kTooLong;
-  auto first = token.find('.'), last = token.rfind('.');
-  if (first == std::string_view::npos || first == last || token.find('.', first + 1) != last)
-    return Denial::kNotCompact;
-  auto header = DecodeBase64Url(token.substr(0, first));
-  auto payload = DecodeBase64Url(token.substr(first + 1, last - first - 1));
-  auto signature = DecodeBase64Url(token.substr(last + 1));
-  if (!header || !payload || !signature) return Denial::kBadEncoding;
-  auto read = ReadStrictJson(*header, kMostToken);
-  const Json* head = std::get_if<Json>(&read);
-  if (head == nullptr || !head->is_object()) return Denial::kBadHeader;
-  if (head->contains("crit") || head->contains("b64")) return Denial::kCritical;
-  auto algorithm = Text(*head, "alg"), kid = Text(*head, "kid");
-  if (!algorithm || (*algorithm != "EdDSA" && *algorithm != "ES256")) return Denial::kNoAlgorithm;
-  if (!kid) return Denial::kNoKid;
-  const Key* key = keys.Find(*kid);
-  if (key == nullptr) return Denial::kUnknownKey;
-  // The key says how it signs; what the header claims must only agree.
-  if ((*algorithm == "ES256") != (key->algorithm == Algorithm::kEs256)) return Denial::kWrongAlgorithm;
-  if (Denial reason = MaySign(key, now_us); reason != Denial::kNone) return reason;
-  // Nothing of the claims is looked at before the signature holds.
-  if (!Signed(*key, token.substr(0, last), *signature)) return Denial::kBadSignature;
-  auto claims = ReadStrictJson(*payload, kMostToken);
-  if (!std::holds_alternative<Json>(claims)) return Denial::kBadClaims;
-  auto out = ReadClaims(std::get<Json>(claims), rules, now_us);
-  if (VerifiedToken* caller = std::get_if<VerifiedToken>(&out)) {
-    caller->kid = *kid;
-    caller->key = key->thumbprint;
+tl::expected<VerifiedToken, TokenError> VerifyToken(std::string_view token, const KeySet& keys,
+                                                    const TokenRequirements& requirements, Micros now_us) {
+  if (token.size() > kMaxTokenBytes) return tl::unexpected(TokenError::kTooLong);
+  auto sections = Split(token);
+  if (!sections) return tl::unexpected(TokenError::kNotCompact);
+  auto header_text = DecodeBase64Url(sections->header);
+  auto payload = DecodeBase64Url(sections->payload);
+  auto signature = DecodeBase64Url(sections->signature);
+  if (!header_text || !payload || !signature) return tl::unexpected(TokenError::kBadEncoding);
+  auto header = ParseHeader(*header_text);
+  if (!header) return tl::unexpected(header.error());
+  const Key* key = keys.Find(header->kid);
+  if (key == nullptr) return tl::unexpected(TokenError::kUnknownKey);
+  // The key decides how it signs; the header must only agree, so that an attacker cannot choose.
+  bool claims_es256 = header->algorithm == "ES256";
+  bool is_es256 = key->algorithm == Algorithm::kEs256;
+  if (claims_es256 != is_es256) return tl::unexpected(TokenError::kWrongAlgorithm);
+  if (auto error = CheckKeyState(key, now_us)) return tl::unexpected(*error);
+  if (!VerifySignature(*key, sections->signed_text, *signature)) {
+    return tl::unexpected(TokenError::kBadSignature);
   }
-  return out;
+  auto claims = ParseStrictJson(*payload, kMaxTokenBytes);
+  if (!claims) return tl::unexpected(TokenError::kBadClaims);
+  auto verified = ReadClaims(*claims, requirements, now_us);
+  if (!verified) return verified;
+  verified->kid = header->kid;
+  verified->key = key->thumbprint;
+  return verified;
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -1,66 +1,72 @@
-// Compact tokens of callers (JWS, RFC 7515; claims as RFC 7519 has them): read strictly and held against a
-// KeySet at a moment that is handed in. Says exactly why not. No I/O, no clock; plain functions, any thread.
+// Callers' compact tokens (JWS, RFC 7515, with the claims of RFC 7519): parsed strictly and verified against
+// a KeySet at a given time, with the exact reason of a rejection. No I/O, no clock. Plain functions for any
+// thread.
 #ifndef LIFTRUDDER_IDENTITY_TOKEN_H_
 #define LIFTRUDDER_IDENTITY_TOKEN_H_
 
+#include <cstddef>
+#include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 
 #include "identity/keys.h"
 
 namespace liftrudder::identity {
 
-constexpr std::size_t kMostToken = 4096;  // bytes
-constexpr std::size_t kMostClaim = 256;   // of a name in it
+constexpr std::size_t kMaxTokenBytes = 4096;
+constexpr std::size_t kMaxClaimBytes = 256;  // of a name in a claim or header
 
-enum class Denial {
-  kNone,
+enum class TokenError {
   kTooLong,
-  kNotCompact,   // not three parts between two dots
-  kBadEncoding,  // a part that is not strict base64url
-  kBadHeader,    // not JSON, a member twice, a member of another kind
+  kNotCompact,   // not three sections separated by two dots
+  kBadEncoding,  // a section that is not strict base64url
+  kBadHeader,    // not JSON, a duplicate member, a member of another type
   kCritical,     // `crit`: an extension that this program does not know (RFC 7515 section 4.1.11)
   kNoAlgorithm,  // `none`, or one that is neither EdDSA nor ES256
   kNoKid,
   kUnknownKey,
   kWrongAlgorithm,  // the header's does not fit the key
   kKeyAnnounced,
-  kKeyRetired,  // its overlap has ended
+  kKeyRetired,
   kKeyWithdrawn,
   kBadSignature,
   kBadClaims,
-  kNoIssuer,    // or another one
-  kNoAudience,  // we are not among them
+  kNoIssuer,    // absent, or another issuer
+  kNoAudience,  // the coordinator's audience is not among them
   kNoExpiry,
   kExpired,
-  kNotYet,  // `nbf`, or an `iat` that lies ahead
+  kNotYet,  // `nbf` or `iat` lies in the future
   kTooLongLived,
-  kNoTenant,
+  kNoTenant,  // no tenant, or no subject
 };
 
-std::string_view Name(Denial reason);
+// The reason as the audit log shows it.
+std::string_view Name(TokenError error);
 
-struct Rules {
-  std::string issuer, audience;
-  Micros skew_us = 5'000'000;           // that clocks may differ, both ways
-  Micros most_life_us = 86400'000'000;  // from `iat`, or from now where there is none, to `exp`
+struct TokenRequirements {
+  std::string issuer;
+  std::string audience;
+  Micros clock_skew_us = 5'000'000;        // tolerated in both directions
+  Micros max_lifetime_us = 86400'000'000;  // from `iat`, or from now where it is absent, to `exp`
 };
 
 struct VerifiedToken {
-  std::string tenant, subject;
+  std::string tenant;
+  std::string subject;
   std::string kid;
-  Thumbprint key{};
-  Micros from_us = 0, until_us = 0;  // within which the token holds, skew included
+  Thumbprint key{};          // that signed it
+  Micros valid_from_us = 0;  // with the tolerated skew, as is the next
+  Micros valid_until_us = 0;
 };
 
-// The caller, or why not. A denied token's own words are told nobody.
-std::variant<VerifiedToken, Denial> Verify(std::string_view token, const KeySet& keys, const Rules& rules,
-                                           Micros now_us);
+// No claim is read before the signature has been verified.
+tl::expected<VerifiedToken, TokenError> VerifyToken(std::string_view token, const KeySet& keys,
+                                                    const TokenRequirements& requirements, Micros now_us);
 
-// Whether the key may vouch at that moment, by its state alone; kNone: it may. A key that is not in the set
-// any more is withdrawn.
-Denial MaySign(const Key* key, Micros now_us);
+// Why signatures of this key do not count now, going by its state alone; nothing: they count. A null key is
+// one that has left the set, which withdraws it.
+std::optional<TokenError> CheckKeyState(const Key* key, Micros now_us);
 
 }  // namespace liftrudder::identity
 
--- a/src/identity/token_verifier.cpp
+++ b/src/identity/token_verifier.cpp
@@ -2,21 +2,25 @@
 
 #include <openssl/sha.h>
 
+#include <iterator>
+#include <utility>
+
 namespace liftrudder::identity {
 
-TokenVerifier::TokenVerifier(Rules rules, std::size_t most_cached)
-    : rules_(std::move(rules)), most_cached_(most_cached), keys_(std::make_shared<const KeySet>()) {}
+TokenVerifier::TokenVerifier(TokenRequirements requirements, std::size_t max_cached_tokens)
+    : requirements_(std::move(requirements)),
+      max_cached_tokens_(max_cached_tokens),
+      keys_(std::make_shared<const KeySet>()) {}
 
-std::optional<std::string> TokenVerifier::Replace(std::shared_ptr<const KeySet> keys) {
+std::optional<ReadError> TokenVerifier::ReplaceKeys(std::shared_ptr<const KeySet> keys) {
   std::lock_guard lock(mutex_);
-  if (auto wrong = known_.Take(*keys)) return wrong;
+  if (auto error = known_kids_.Register(*keys)) return error;
   keys_ = std::move(keys);
-  // What no key of the new set can vouch for is not kept either.
-  for (auto one = cache_.begin(); one != cache_.end();) {
-    const Key* key = keys_->Find(one->second.caller.kid);
+  for (auto entry = cache_.begin(); entry != cache_.end();) {
+    const Key* key = keys_->Find(entry->second.token.kid);
     bool withdrawn = key == nullptr || key->state == KeyState::kWithdrawn;
-    if (withdrawn) by_age_.erase(one->second.age);
-    one = withdrawn ? cache_.erase(one) : std::next(one);
+    if (withdrawn) by_age_.erase(entry->second.age);
+    entry = withdrawn ? cache_.erase(entry) : std::next(entry);
   }
   return std::nullopt;
 }
@@ -26,55 +30,55 @@
   return keys_;
 }
 
-std::size_t TokenVerifier::Cached() const {
+std::size_t TokenVerifier::CachedTokens() const {
   std::lock_guard lock(mutex_);
   return cache_.size();
 }
 
-std::variant<VerifiedToken, Denial> TokenVerifier::Admit(std::string_view token, Micros now_us) {
-  if (token.size() > kMostToken) return Denial::kTooLong;
+tl::expected<VerifiedToken, TokenError> TokenVerifier::Verify(std::string_view token, Micros now_us) {
+  if (token.size() > kMaxTokenBytes) return tl::unexpected(TokenError::kTooLong);
   Digest digest;
   ::SHA256(reinterpret_cast<const unsigned char*>(token.data()), token.size(), digest.data());
   std::shared_ptr<const KeySet> keys;
   {
     std::lock_guard lock(mutex_);
+    if (auto cached = FindCached(digest, now_us)) return *cached;
     keys = keys_;
-    auto found = cache_.find(digest);
-    if (found != cache_.end()) {
-      const VerifiedToken& caller = found->second.caller;
-      const Key* key = keys_->Find(caller.kid);
-      Denial reason = MaySign(key, now_us);
-      if (reason != Denial::kNone) return reason;
-      if (now_us >= caller.until_us) return Denial::kExpired;
-      // A clock that stepped back.
-      if (now_us < caller.from_us) return Denial::kNotYet;
-      if (key->thumbprint == caller.key) {
-        by_age_.splice(by_age_.end(), by_age_, found->second.age);
-        return caller;
-      }
-    }
-  }
-  auto out = Verify(token, *keys, rules_, now_us);
-  if (const VerifiedToken* caller = std::get_if<VerifiedToken>(&out)) {
-    std::lock_guard lock(mutex_);
-    // Guards against a withdrawal that came while the signature was checked: held against the newest set once
-    // more.
-    const Key* key = keys_->Find(caller->kid);
-    if (Denial reason = MaySign(key, now_us); reason != Denial::kNone) return reason;
-    if (key->thumbprint != caller->key) return Denial::kUnknownKey;
-    Remember(digest, *caller);
   }
-  return out;
+  auto verified = VerifyToken(token, *keys, requirements_, now_us);
+  if (!verified) return verified;
+  std::lock_guard lock(mutex_);
+  // The key may have been withdrawn while its signature was being verified.
+  const Key* key = keys_->Find(verified->kid);
+  if (auto error = CheckKeyState(key, now_us)) return tl::unexpected(*error);
+  if (key->thumbprint != verified->key) return tl::unexpected(TokenError::kUnknownKey);
+  Cache(digest, *verified);
+  return verified;
+}
+
+std::optional<tl::expected<VerifiedToken, TokenError>> TokenVerifier::FindCached(const Digest& digest,
+                                                                                 Micros now_us) {
+  auto found = cache_.find(digest);
+  if (found == cache_.end()) return std::nullopt;
+  const VerifiedToken& token = found->second.token;
+  const Key* key = keys_->Find(token.kid);
+  if (auto error = CheckKeyState(key, now_us)) return tl::unexpected(*error);
+  if (now_us >= token.valid_until_us) return tl::unexpected(TokenError::kExpired);
+  // The clock may have been set back.
+  if (now_us < token.valid_from_us) return tl::unexpected(TokenError::kNotYet);
+  if (key->thumbprint != token.key) return std::nullopt;
+  by_age_.splice(by_age_.end(), by_age_, found->second.age);
+  return token;
 }
 
-void TokenVerifier::Remember(const Digest& digest, const VerifiedToken& caller) {
-  if (most_cached_ == 0 || cache_.contains(digest)) return;
-  while (cache_.size() >= most_cached_) {
+void TokenVerifier::Cache(const Digest& digest, const VerifiedToken& token) {
+  if (max_cached_tokens_ == 0 || cache_.contains(digest)) return;
+  while (cache_.size() >= max_cached_tokens_) {
     cache_.erase(by_age_.front());
     by_age_.pop_front();
   }
   by_age_.push_back(digest);
-  cache_.emplace(digest, Entry{caller, std::prev(by_age_.end())});
+  cache_.emplace(digest, CacheEntry{token, std::prev(by_age_.end())});
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/token_verifier.h
+++ b/src/identity/token_verifier.h
@@ -1,22 +1,21 @@
-// Tells callers apart: holds the current KeySet and a bounded cache of tokens that were verified, so that the
-// ordinary request costs a hash. Decides who is let in; the key set is handed in, as is the time. Any thread;
-// what waits, waits for a lock that is held for a map look-up only, never for a signature's check.
+// Verifies callers' tokens against the current KeySet, with a bounded cache of tokens that were verified, so
+// that a token seen before costs one hash. Keys and time are arguments. Any thread; the lock is held for map
+// look-ups only, never while a signature is verified.
 //
-// A token is answered from the cache only as long as the very key that signed it may still vouch, so a
-// withdrawal counts for seen tokens from the moment the new set is in place.
+// A cached token counts only as long as the very key that signed it still does, so withdrawing a key takes
+// effect for cached tokens from the moment the new set is in place.
 #ifndef LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
 #define LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
 
 #include <array>
-#include <cstdint>
+#include <cstddef>
 #include <list>
 #include <map>
 #include <memory>
 #include <mutex>
 #include <optional>
-#include <string>
 #include <string_view>
-#include <variant>
+#include <tl/expected.hpp>
 
 #include "identity/token.h"
 
@@ -24,33 +23,36 @@
 
 class TokenVerifier {
  public:
-  // `most_cached`: tokens whose verification is remembered.
-  TokenVerifier(Rules rules, std::size_t most_cached);
+  TokenVerifier(TokenRequirements requirements, std::size_t max_cached_tokens);
 
-  // The set takes the place of the one before, for all that come after; or nothing changes and it is said
-  // why.
-  std::optional<std::string> Replace(std::shared_ptr<const KeySet> keys);
+  // The set replaces the current one for all calls from now on. On an error nothing changes.
+  std::optional<ReadError> ReplaceKeys(std::shared_ptr<const KeySet> keys);
   std::shared_ptr<const KeySet> keys() const;
 
-  std::variant<VerifiedToken, Denial> Admit(std::string_view token, Micros now_us);
+  tl::expected<VerifiedToken, TokenError> Verify(std::string_view token, Micros now_us);
 
-  std::size_t Cached() const;
+  std::size_t CachedTokens() const;
 
  private:
-  using Digest = std::array<unsigned char, 32>;  // SHA-256 of the token: the cache holds no secret
-  struct Entry {
-    VerifiedToken caller;
+  using Digest = std::array<unsigned char, 32>;  // SHA-256 of a token: the cache holds no secret
+  struct CacheEntry {
+    VerifiedToken token;
     std::list<Digest>::iterator age;
   };
-  void Remember(const Digest& digest, const VerifiedToken& caller);
 
-  const Rules rules_;
-  const std::size_t most_cached_;
-  mutable std::mutex mutex_;
+  // These are called with mutex_ held.
+  // Nothing: not in the cache, or signed by a key that is not in the set any more.
+  std::optional<tl::expected<VerifiedToken, TokenError>> FindCached(const Digest& digest, Micros now_us);
+  void Cache(const Digest& digest, const VerifiedToken& token);
+
+  const TokenRequirements requirements_;
+  const std::size_t max_cached_tokens_;
+
+  mutable std::mutex mutex_;  // guards all that follows
   std::shared_ptr<const KeySet> keys_;
-  KnownKids known_;
-  std::map<Digest, Entry> cache_;
-  std::list<Digest> by_age_;  // the longest unused first
+  KeyIdRegistry known_kids_;
+  std::map<Digest, CacheEntry> cache_;
+  std::list<Digest> by_age_;  // least recently used first
 };
 
 }  // namespace liftrudder::identity
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -116,7 +116,7 @@
   if (may_tls) tls = lr::app::TlsFiles::Open(path, lr::config::ReadFile(path), clock);
   bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
   if (identity != nullptr && !asks_clients &&
-      !identity->authenticator().permission_table()->by_certificate.empty())
+      !identity->authenticator().permission_table()->tenant_by_certificate.empty())
     throw std::runtime_error("identity: a tenant has [certificates], but [tls] asks no client for one");
   lr::coordinator::EndpointRegistry endpoint_registry;
   lr::coordinator::Coordinator coordinator(config.settings, config.seed, clock, endpoint_registry, counters);
--- a/src/opensearch/access_control.cpp
+++ b/src/opensearch/access_control.cpp
@@ -130,10 +130,11 @@
 
 std::optional<ApiError> CheckConfined(std::string_view body) {
   if (body.empty()) return std::nullopt;
-  auto read = identity::ReadStrictJson(body, net::kMaxBodyBytes, kMostDepth);
-  if (const auto* wrong = std::get_if<std::string>(&read))
-    return ApiError{400, "parsing_exception", "the body: " + *wrong, 0, false};
-  const Json& json = std::get<Json>(read);
+  auto parsed = identity::ParseStrictJson(body, net::kMaxBodyBytes, kMostDepth);
+  if (!parsed) {
+    return ApiError{400, "parsing_exception", "the body: " + parsed.error().Message(), 0, false};
+  }
+  const Json& json = *parsed;
   if (!json.is_object()) return ApiError{400, "parsing_exception", "the body is not a JSON object", 0, false};
   for (const auto& [name, value] : json.items()) {
     std::optional<ApiError> error;
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -61,7 +61,7 @@
   shared_by_ = authenticator->permission_table();
   limits::ShareSettings shares;
   shares.work_per_s = static_cast<double>(shared_by_->work_per_s);
-  shares.most_open = static_cast<int>(shared_by_->most_open);
+  shares.most_open = static_cast<int>(shared_by_->max_open_queries);
   shares.weights = Weights(*shared_by_);
   accounts_.emplace(std::move(shares), config.seed);
 }
@@ -79,7 +79,8 @@
   return ErrorResponse(error);
 }
 
-void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes, bool whole) {
+void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                  bool whole) {
   coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
@@ -163,28 +164,31 @@
 // Every refusal is counted and, bounded in rate, written for the operators; the caller learns less.
 std::optional<ApiError> Front::LetIn(const net::HttpMessage& request, const net::Exchange& exchange,
                                      Principal& out) {
-  identity::Presented shown;
-  // Two of them are none that is good, whatever else the connection shows.
-  static const std::string kSeveral;
+  identity::Credentials credentials;
+  // Two headers are no valid token, whatever else the connection shows.
+  static const std::string kAmbiguous;
   std::size_t tokens = request.Count("Authorization");
-  if (tokens > 0) shown.authorization = tokens == 1 ? request.Header("Authorization") : &kSeveral;
-  shown.address = net::PeerHost(exchange.line->fd());
-  if (const net::TlsPeer* peer = exchange.line->Peer(clock_.Now(), shown.wrong)) shown.names = peer->names;
-  auto admitted = authenticator_->Admit(shown, clock_.Now());
-  if (auto* principal = std::get_if<Principal>(&admitted)) {
+  if (tokens > 0) credentials.authorization = tokens == 1 ? request.Header("Authorization") : &kAmbiguous;
+  credentials.address = net::PeerHost(exchange.line->fd());
+  const net::TlsPeer* peer = exchange.line->Peer(clock_.Now(), credentials.certificate_error);
+  if (peer != nullptr) credentials.certificate_names = peer->names;
+  auto principal = authenticator_->Authenticate(credentials, clock_.Now());
+  if (principal) {
     out = std::move(*principal);
     return std::nullopt;
   }
-  const auto& refusal = std::get<identity::Refusal>(admitted);
+  const identity::AuthenticationError& error = principal.error();
   counters_.denied.Add();
-  std::int64_t unwritten = 0;
   std::unique_lock lock(audit_mutex_);
-  bool write = audit_.Take(clock_.Now(), unwritten);
+  std::optional<std::int64_t> suppressed = audit_.TryWrite(clock_.Now());
   lock.unlock();
-  std::string tenant = refusal.tenant.empty() ? "" : ", tenant " + json::Quote(refusal.tenant);
-  if (write) log::Info("audit: refused from {}: {}{}", shown.address, refusal.reason, tenant);
-  if (write && unwritten > 0) log::Info("audit: {} refusals before it were not written", unwritten);
-  if (refusal.unknown) return ApiError{401, "security_exception", "unknown caller", 0, false};
+  if (suppressed) {
+    std::string tenant = error.tenant.empty() ? "" : ", tenant " + json::Quote(error.tenant);
+    log::Info("audit: refused from {}: {}{}", credentials.address, error.reason, tenant);
+    if (*suppressed > 0) log::Info("audit: {} refusals before it were not written", *suppressed);
+  }
+  bool unauthenticated = error.kind == identity::AuthenticationError::Kind::kUnauthenticated;
+  if (unauthenticated) return ApiError{401, "security_exception", "unknown caller", 0, false};
   return Forbidden("not from here");
 }
 
@@ -205,7 +209,7 @@
 std::optional<ApiError> Front::Locate(const std::string& index, const Principal& principal) const {
   if (index.find_first_of(",*") != std::string::npos || index == "_all")
     return BadRequest("a search of several indices is not supported; name one");
-  bool allowed = principal.permissions == nullptr || principal.permissions->MayIndex(index);
+  bool allowed = principal.permissions == nullptr || principal.permissions->AllowsIndex(index);
   if (!allowed || !options_.indices.contains(index)) return NoSuchIndex(index);
   return std::nullopt;
 }
@@ -276,7 +280,8 @@
   if (answer.verdict != coordinator::Verdict::kAnswered && over) return OutOfTime();
   if (answer.verdict == coordinator::Verdict::kRejected) return Busy(answer.retry_after_us);
   if (answer.verdict == coordinator::Verdict::kFailed) return Unanswered("too few shards answered");
-  if (asked.whole && !answer.complete) return Unanswered("not all shards answered, and a part was not allowed");
+  if (asked.whole && !answer.complete)
+    return Unanswered("not all shards answered, and a part was not allowed");
   return std::move(answer);
 }
 
--- a/tests/identity/identity_fuzz.cpp
+++ b/tests/identity/identity_fuzz.cpp
@@ -1,4 +1,5 @@
-// The readers of tokens, key sets and tenants' rights under any bytes. With clang this is a libFuzzer target
+// The parsers of tokens, key sets and tenants' permissions on arbitrary bytes. With clang this is a libFuzzer
+// target
 // (-DLIFTRUDDER_FUZZ=ON); built as an ordinary program it plays the corpus and a fixed number of inputs made
 // from it, the same each time. No accepted token but those signed here, and no key set that reads differently
 // twice.
@@ -19,7 +20,7 @@
 namespace {
 
 constexpr Micros kNow = 1'800'000'000LL * 1'000'000;
-const Rules kRules{"issuer", "gatherer"};
+const TokenRequirements kRequirements{"issuer", "gatherer"};
 
 void Need(bool holds, const char* what) {
   if (holds) return;
@@ -27,13 +28,13 @@
   std::abort();
 }
 
-struct World {
-  World() {
+struct Fixture {
+  Fixture() {
     std::array<unsigned char, 32> secret{};
     for (unsigned char i = 0; i < 32; ++i) secret[i] = i;
     Signer signer(secret);
     Json set = {{"keys", Json::array({signer.Jwk("a")})}};
-    keys = std::get<std::shared_ptr<const KeySet>>(KeySet::Read(set.dump()));
+    keys = KeySet::Parse(set.dump()).value();
     Json claims = {{"iss", "issuer"},
                    {"aud", "gatherer"},
                    {"exp", kNow / 1'000'000 + 60},
@@ -49,32 +50,32 @@
   std::set<std::string, std::less<>> signed_here;
   std::string key_set;
 };
-const World& Here() {
-  static const World world;
-  return world;
+const Fixture& TestFixture() {
+  static const Fixture fixture;
+  return fixture;
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   std::string_view text(reinterpret_cast<const char*>(data), size);
-  bool accepted = std::holds_alternative<VerifiedToken>(Verify(text, *Here().keys, kRules, kNow));
-  Need(accepted == Here().signed_here.contains(text), "exactly the tokens signed here are accepted");
-  auto read = KeySet::Read(text), again = KeySet::Read(text);
-  Need(read.index() == again.index(), "a key set reads the same twice");
-  if (const auto* set = std::get_if<std::shared_ptr<const KeySet>>(&read)) {
-    Need((*set)->keys().size() <= kMostKeys, "keys are bounded");
+  bool accepted = VerifyToken(text, *TestFixture().keys, kRequirements, kNow).has_value();
+  Need(accepted == TestFixture().signed_here.contains(text), "exactly the tokens signed here are accepted");
+  auto set = KeySet::Parse(text);
+  auto again = KeySet::Parse(text);
+  Need(set.has_value() == again.has_value(), "a key set parses the same twice");
+  if (set) {
+    Need((*set)->keys().size() <= kMaxKeys, "keys are bounded");
     for (const auto& [kid, key] : (*set)->keys()) {
-      Need(kid == key.kid && !kid.empty() && kid.size() <= kMostKid, "a key has its kid");
-      Need(key.public_key != nullptr, "a key that is taken can verify");
+      Need(kid == key.kid && !kid.empty() && kid.size() <= kMaxKeyIdBytes, "a key has its kid");
+      Need(key.public_key != nullptr, "an accepted key can verify");
     }
-    Need(Differences(**set, *std::get<0>(again)).empty(), "a key set differs from itself in nothing");
+    Need(Differences(**set, **again).empty(), "a key set does not differ from itself");
   } else {
-    Need(!std::get<std::string>(read).empty(), "a refused key set says why");
+    Need(!set.error().Message().empty(), "a rejected key set says why");
   }
-  auto permission_table = PermissionTable::Read(text);
-  if (const auto* wrong = std::get_if<std::string>(&permission_table))
-    Need(!wrong->empty(), "a refused book says why");
+  auto table = PermissionTable::Parse(text);
+  if (!table) Need(!table.error().Message().empty(), "a rejected permission table says why");
   return 0;
 }
 
@@ -89,7 +90,7 @@
 
 constexpr int kInputs = 30'000;  // made from the corpus; some three seconds
 
-std::string Changed(std::string text, const std::vector<std::string>& corpus, std::mt19937_64& random) {
+std::string Mutate(std::string text, const std::vector<std::string>& corpus, std::mt19937_64& random) {
   for (int changes = 1 + static_cast<int>(random() % 3); changes > 0; --changes) {
     std::size_t at = text.empty() ? 0 : random() % text.size();
     const std::string& other = corpus[random() % corpus.size()];
@@ -117,11 +118,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::vector<std::string> corpus(Here().signed_here.begin(), Here().signed_here.end());
-  corpus.push_back(Here().key_set);
+  std::vector<std::string> corpus(TestFixture().signed_here.begin(), TestFixture().signed_here.end());
+  corpus.push_back(TestFixture().key_set);
   std::vector<std::filesystem::path> files;
-  for (const auto& entry : std::filesystem::directory_iterator(argc > 1 ? argv[1] : "."))
+  for (const auto& entry : std::filesystem::directory_iterator(argc > 1 ? argv[1] : ".")) {
     files.push_back(entry.path());
+  }
   std::sort(files.begin(), files.end());
   for (const auto& file : files) {
     std::ifstream in(file, std::ios::binary);
@@ -132,7 +134,7 @@
   };
   for (const std::string& text : corpus) play(text);
   std::mt19937_64 random(1);
-  for (int i = 0; i < kInputs; ++i) play(Changed(corpus[random() % corpus.size()], corpus, random));
+  for (int i = 0; i < kInputs; ++i) play(Mutate(corpus[random() % corpus.size()], corpus, random));
   std::printf("%zu kept inputs and %d made from them\n", corpus.size(), kInputs);
   return files.empty() ? 1 : 0;
 }
--- a/tests/opensearch/access_control_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -163,17 +163,15 @@
 }
 
 TEST_CASE("networks hold addresses of both kinds, and a book that is wrong says where") {
-  identity::Networks networks;
-  std::string wrong;
-  REQUIRE(identity::Networks::Read({"10.1.0.0/16", "fd00:12::/32", "192.0.2.7"}, networks, wrong));
+  auto networks = identity::Networks::Parse({"10.1.0.0/16", "fd00:12::/32", "192.0.2.7"});
+  REQUIRE(networks);
   for (const char* in : {"10.1.255.3", "fd00:12::9", "192.0.2.7", "::ffff:10.1.2.3"})
-    CHECK(networks.Contain(in));
+    CHECK(networks->Contains(in));
   for (const char* out : {"10.2.0.1", "fd00:13::1", "192.0.2.8", "", "x", "::ffff:10.2.0.1", "a01::"})
-    CHECK_FALSE(networks.Contain(out));
+    CHECK_FALSE(networks->Contains(out));
   Json permission_table = {
       {"keys", "k"}, {"issuer", "i"}, {"audience", "a"}, {"tenants", {{"north", {{"indices", {"x"}}}}}}};
-  CHECK(std::holds_alternative<identity::PermissionTable>(
-      identity::PermissionTable::Read(permission_table.dump())));
+  CHECK(identity::PermissionTable::Parse(permission_table.dump()));
   for (auto [place, value, says] :
        {std::tuple("/tenants/north/netwroks", Json::array({"10.0.0.0/8"}),
                    "tenant 'north': [netwroks] is not known"),
@@ -188,18 +186,19 @@
         {"/tenants", Json(), "[tenants]"}}) {
     Json bad = permission_table;
     bad[Json::json_pointer(place)] = value;
-    auto read = identity::PermissionTable::Read(bad.dump());
+    auto table = identity::PermissionTable::Parse(bad.dump());
     INFO(place);
-    REQUIRE(std::holds_alternative<std::string>(read));
-    CHECK_THAT(std::get<std::string>(read), Catch::Matchers::Contains(says));
+    REQUIRE_FALSE(table);
+    CHECK_THAT(table.error().Message(), Catch::Matchers::Contains(says));
   }
 }
 
 TEST_CASE("refusals are written a few a second, and those left out are counted") {
   identity::AuditLimiter audit;
-  std::int64_t unwritten = 0, written = 0;
-  for (int i = 0; i < 1000; ++i) written += audit.Take(1'000'000 + i, unwritten);
+  int written = 0;
+  for (int i = 0; i < 1000; ++i) written += audit.TryWrite(1'000'000 + i).has_value() ? 1 : 0;
   CHECK(written == 20);
-  CHECK(audit.Take(2'100'000, unwritten));
-  CHECK(unwritten == 980);
+  auto suppressed = audit.TryWrite(2'100'000);
+  CHECK(suppressed.has_value());
+  CHECK(suppressed == 980);
 }
