--- a/src/opensearch/endpoint_protocol.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -1,4 +1,5 @@
-// How holders that speak the search API are asked: one request at a time on a connection, one shard each.
+// How endpoints with the search API are called: one request at a time on a connection, one shard each. Any
+// thread; a reader belongs to one connection.
 #ifndef LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
 #define LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
 
@@ -13,12 +14,12 @@
 
 class SearchProtocol : public net::EndpointProtocol {
  public:
-  std::string Id(const coordinator::AttemptRequest& order) const override;
-  std::string Ask(std::span<const coordinator::AttemptRequest* const> orders, const std::string& endpoint,
-                  coordinator::Micros now_us) const override;
-  // A search is given up by closing its connection.
-  std::string GiveUp(const std::string&) const override { return {}; }
-  std::unique_ptr<net::ResponseReader> Reader() const override;
+  std::string AttemptId(const coordinator::AttemptRequest& order) const override;
+  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+                            const std::string& endpoint, coordinator::Micros now_us) const override;
+  // None: a search is cancelled by closing its connection.
+  std::string EncodeCancellation(const std::string&) const override { return {}; }
+  std::unique_ptr<net::ResponseReader> NewReader() const override;
 };
 
 }  // namespace liftrudder::opensearch
--- a/tests/app/key_rotation_test.cpp
+++ b/tests/app/key_rotation_test.cpp
@@ -94,6 +94,8 @@
 
 }  // namespace
 
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): one program and its load are played through
+// once.
 TEST_CASE(
     "keys rotate under load on sockets: nobody let in wrongly, nobody valid refused, both sides agree") {
   test_support::TemporaryDirectory directory;
@@ -104,6 +106,7 @@
   const std::string at = net::LocalAddress(listener);
   net::Server serving(std::move(listener), endpoint, clock, counters, {200, 200});
   std::vector<Signer> signers;
+  signers.reserve(kKeys);
   for (int i = 0; i < kKeys; ++i) signers.emplace_back(i % 2 == 0);
   Signer forger(false);
   // Step n: key n signs, n - 1 retires, n + 1 and later are announced, all older ones are withdrawn.
@@ -161,21 +164,24 @@
         fmt::format("{} of kind {}, key {}, steps {} to {}: {}", mark, kind, key, before, after, status));
   };
   std::vector<std::thread> authenticator;
+  authenticator.reserve(kCallers);
   for (int who = 0; who < kCallers; ++who) {
     authenticator.emplace_back([&, who] {
-      for (std::size_t turn = static_cast<std::size_t>(who); !done; ++turn) ask(who, turn);
+      for (auto turn = static_cast<std::size_t>(who); !done; ++turn) ask(who, turn);
     });
   }
   bool in_time = true;
   for (int n = 1; n < kKeys && in_time; ++n) {
     std::size_t until = asked + kAStep;
-    for (int i = 0; i < 2'000 && asked < until; ++i)
+    for (int i = 0; i < 2'000 && asked < until; ++i) {
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
+    }
     begun = n;
     put(n);
     const std::string said = fmt::format("'k{}' was announced, is active", n);
-    for (int i = 0; i < 2'000 && coordinator_process.Log().find(said) == std::string::npos; ++i)
+    for (int i = 0; i < 2'000 && coordinator_process.Log().find(said) == std::string::npos; ++i) {
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
+    }
     in_time = coordinator_process.Log().find(said) != std::string::npos;
     settled = n;
   }
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -1,5 +1,7 @@
-// Lists of holders as they may come: on one line or many, cut at any byte, long, or not to be understood.
+// Endpoint lists as they may come: on one line or many, cut at any byte, long, or malformed.
 #define CATCH_CONFIG_MAIN
+#include "config/endpoint_list.h"
+
 #include <fmt/format.h>
 #include <rapidcheck.h>
 
@@ -16,19 +18,18 @@
 
 // Texts with everything in them that could be taken for structure.
 Json Value(int depth) {
-  static const std::vector<std::string> kTexts = {"",   "}",    "{\"a\":[", "\\",
-                                                  "\"", "a\nb", "\\\"}",    "\u00e9]"};
+  static const std::vector<std::string> texts = {"", "}", "{\"a\":[", "\\", "\"", "a\nb", "\\\"}", "\u00e9]"};
   switch (*rc::gen::inRange(0, depth > 0 ? 5 : 3)) {
     case 0:
       return *rc::gen::inRange(-9, 9);
     case 1:
-      return *rc::gen::elementOf(kTexts);
+      return *rc::gen::elementOf(texts);
     case 2:
       return nullptr;
     case 3:
       return Json::array({Value(depth - 1), Value(depth - 1)});
     default:
-      return Json{{*rc::gen::elementOf(kTexts), Value(depth - 1)}, {"k", Value(depth - 1)}};
+      return Json{{*rc::gen::elementOf(texts), Value(depth - 1)}, {"k", Value(depth - 1)}};
   }
 }
 
@@ -39,12 +40,13 @@
 std::vector<std::string> Cut(net::ObjectStream& stream, std::string_view text, std::size_t size, bool& ok) {
   std::vector<std::string> out;
   ok = true;
-  for (std::size_t at = 0; ok && at < text.size(); at += size)
+  for (std::size_t at = 0; ok && at < text.size(); at += size) {
     ok = stream.Feed(text.substr(at, size), [&out](std::string_view one) { out.emplace_back(one); });
+  }
   return out;
 }
 
-config::Config Known() {
+config::Config ConfigWithNames() {
   config::Config config;
   config.zones = {"z"};
   config.kinds = {"k"};
@@ -105,7 +107,7 @@
   CHECK(wrong("{} {\"a\":  123456}") == "an object of more than 12 bytes (0x36) at byte 15");
 }
 
-TEST_CASE("a list of 1,024 holders with long names is read, on one line and indented") {
+TEST_CASE("a list of 1,024 endpoints with long names is read, on one line and indented") {
   Json servers = Json::array();
   for (int i = 0; i < 1024; ++i) {
     servers.push_back({{"id", fmt::format("s-{:0>200}", i)},
@@ -119,15 +121,15 @@
   }
   Json all = {{"version", 7}, {"full", true}, {"servers", servers}};
   for (int indent : {-1, 4}) {
-    coordinator::EndpointList list = config::ParseEndpointList(all.dump(indent), Known());
+    coordinator::EndpointList list = config::ParseEndpointList(all.dump(indent), ConfigWithNames());
     CHECK(list.version == 7);
     CHECK(list.kind == liftrudder::routing::EndpointListKind::kFull);
     REQUIRE(list.entries.size() == 1024);
     CHECK(list.entries[1023].id == fmt::format("s-{:0>200}", 1023));
-    CHECK(list.entries[1023].told.cell == 1023);
-    CHECK(list.entries[1023].told.started_us == 1'023'000);
-    CHECK(list.entries[1023].told.weight == 1.5);
-    CHECK(list.entries[1023].told.availability == liftrudder::routing::Availability::kDraining);
+    CHECK(list.entries[1023].endpoint.cell == 1023);
+    CHECK(list.entries[1023].endpoint.started_us == 1'023'000);
+    CHECK(list.entries[1023].endpoint.weight == 1.5);
+    CHECK(list.entries[1023].endpoint.availability == liftrudder::routing::Availability::kDraining);
   }
 }
 
@@ -136,17 +138,17 @@
     std::string good = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
     try {
       config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}",
-                                Known());
-    } catch (const std::runtime_error& error) {
+                                ConfigWithNames());
+    } catch (const config::EndpointListError& error) {
       return error.what();
     }
     return "";
   };
   CHECK(wrong(R"({"id":"b","state":"ready"})").empty());
-  CHECK(wrong(R"({"id":"b","state":"asleep"})") == R"(holder list 9: entry 2: unknown state "asleep")");
-  CHECK(wrong(R"({"id":"b"})") == "holder list 9: entry 2: no state");
-  CHECK(wrong(R"({"state":"gone"})") == "holder list 9: entry 2: no id");
+  CHECK(wrong(R"({"id":"b","state":"asleep"})") == R"(endpoint list 9: entry 2: unknown state "asleep")");
+  CHECK(wrong(R"({"id":"b"})") == "endpoint list 9: entry 2: no state");
+  CHECK(wrong(R"({"state":"gone"})") == "endpoint list 9: entry 2: no id");
   CHECK(wrong(R"({"id":"b","state":"ready","cell":"x"})") ==
-        "holder list 9: entry 2: cell is \"x\", not an integer");
-  CHECK(wrong("7") == "holder list 9: entry 2: not an object");
+        "endpoint list 9: entry 2: cell is \"x\", not an integer");
+  CHECK(wrong("7") == "endpoint list 9: entry 2: not an object");
 }
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -104,8 +104,9 @@
   if (!fd.Valid() || net::WriteAll(fd, request, kPatience).status != net::Io::kOk) return {};
   std::string in;
   auto state = net::HttpParser::State::kHead;
-  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk)
+  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk) {
     state = parser.Feed(in);
+  }
   if (state != net::HttpParser::State::kDone) return {};
   return parser.message();
 }
@@ -128,8 +129,9 @@
   ::close(ends[1]);
   std::string out;
   char buffer[4096];
-  for (ssize_t got = 0; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;)
+  for (ssize_t got = 0; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;) {
     out.append(buffer, static_cast<std::size_t>(got));
+  }
   ::close(ends[0]);
   int status = 0;
   ::waitpid(child, &status, 0);
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -87,8 +87,9 @@
     std::string in;
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad &&
-           net::ReadSome(fd, in, kWait) == net::Io::kOk)
+           net::ReadSome(fd, in, kWait) == net::Io::kOk) {
       state = parser.Feed(in);
+    }
     if (state != net::HttpParser::State::kDone) continue;
     std::string list = List();
     if (!parser.message().Parameter("watch")) {
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -69,8 +69,9 @@
     if (got == net::Io::kEnd || got == net::Io::kError) return;
     while (in.size() >= 4) {
       std::size_t size = 0;
-      for (int i = 3; i >= 0; --i)
+      for (int i = 3; i >= 0; --i) {
         size = size << 8 | static_cast<unsigned char>(in[static_cast<std::size_t>(i)]);
+      }
       if (in.size() < 4 + size) break;
       Take(connection, std::string_view(in).substr(4, size));
       in.erase(0, 4 + size);
@@ -85,8 +86,8 @@
   if (frame.empty()) return;
   if (frame[0] == 'c') {
     std::string shard_request(frame.substr(1));
-    auto last =
-        std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
+    auto last = std::find_if(log_.rbegin(), log_.rend(),
+                             [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
     if (last != log_.rend()) last->given_up = true;
     return;
   }
@@ -131,9 +132,10 @@
         net::WriteAll(reply.to->fd, Frame("z no such letter"), kWriteWait);
         break;
       default:
-        net::WriteAll(reply.to->fd,
-                      Frame("a" + reply.shard_request + " " + end + " 1 queue=0,inflight=1\nv-" + reply.shard_request),
-                      kWriteWait);
+        net::WriteAll(
+            reply.to->fd,
+            Frame("a" + reply.shard_request + " " + end + " 1 queue=0,inflight=1\nv-" + reply.shard_request),
+            kWriteWait);
     }
     lock.lock();
   }
