--- a/src/app/coordinator_server.cpp
+++ b/src/app/coordinator_server.cpp
@@ -24,7 +24,7 @@
   return listener;
 }
 
-// A tenant that is known by its certificate could never be let in by a server that asks for none.
+// Fails start-up when a tenant is identified by a client certificate but TLS does not request one.
 void CheckCertificatesCanBeAsked(IdentityFiles* identity, const TlsFiles* tls) {
   const bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
   if (identity == nullptr || asks_clients) return;
--- a/src/app/coordinator_server.h
+++ b/src/app/coordinator_server.h
@@ -28,7 +28,7 @@
 //   6. a bounded wait for the first endpoint list of discovery: clients that connect wait in the backlog;
 //   7. the server, from here on ready; the connection budget follows the endpoint list.
 // Shutdown:
-//   8. the budget and the admin address let go of the server;
+//   8. the budget and the admin address stop using the server;
 //   9. the server drains and closes (graceful_shutdown.h);
 //  10. the server, the handler, the endpoint source and the admin address are destroyed, in that order;
 //  11. the runtime stops: coordinator, its thread, the connection pool.
@@ -41,7 +41,7 @@
   void Run();
 
  private:
-  // Steps 3 to 7. The listener is passed on, since clients must be able to connect before step 6.
+  // Steps 3 to 7. The listener opens before step 6, so that clients can already connect.
   void Start();
   void OpenAdminAddress();
   void OpenEndpointSource();
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -11,8 +11,10 @@
 
 using coordinator::Micros;
 
+// How long clients are still accepted after the process reports that it is not ready: load balancers notice
+// late.
 constexpr Micros kStillListeningUs = 700'000;
-constexpr Micros kSignalPollUs = 50'000;  // how soon a signal is noticed meanwhile
+constexpr Micros kSignalPollUs = 50'000;  // longest wait between two looks at pending signals
 
 void ObeyPendingReload(const ShutdownContext& context) {
   if (context.signals.WaitFor(0) == ControlSignal::kReload) context.reloader.Reload();
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -41,7 +41,8 @@
 struct EndpointAddress {
   std::string id;    // the name in the endpoint list; empty: the endpoint is unknown
   std::string addr;  // "host:port"
-  // No attempt may be sent from this time on: when its draining or removal was notified. 0: neither.
+  // When its draining or removal was notified; no attempt may start from then on (no grace is added, it is
+  // not Settings::drain_grace_us). 0: neither.
   Micros drain_deadline_us = 0;
 };
 
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -1,6 +1,7 @@
 // The pool of connections to all endpoints: takes attempts from the coordinator, sends them and reports each
-// result exactly once. No call blocks on a socket. Requests are written on the caller's thread; one thread of
-// the pool reads responses, completes connects and enforces time limits, for any number of endpoints.
+// result exactly once. No call blocks on a socket. Requests are written on the caller's thread as far as
+// the socket takes them; the pool's one thread writes the rest, reads responses, completes connects and
+// enforces time limits, for any number of endpoints.
 //
 // The parts, all under the pool's one lock, each using only those before it:
 //   AttemptRegistry         the attempts that have not ended
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -19,21 +19,22 @@
 
 constexpr coordinator::Micros kConnectTimeoutUs = 500'000;
 // A watch has a heartbeat every 2 s, and an update counts as notified 6 s after it was made: a watch that is
-// silent for longer than this is replaced while there is still time.
+// silent for longer than kSilenceTimeoutUs is replaced before the 6 s are over.
 constexpr coordinator::Micros kSilenceTimeoutUs = 3'000'000;
 constexpr coordinator::Micros kReadSliceUs = 200'000;  // how soon a stop or a move is noticed
-// Discovery sends what it has right behind the response's head; after that long without a byte there is
-// nothing newer.
+// Discovery sends what it has directly after the response header; when nothing arrives for this long, what
+// has been received is current.
 constexpr coordinator::Micros kFirstListTimeoutUs = 20'000;
-// A list has an entry for each endpoint and as many again for those that replace others; few fleets have more
-// than a thousand. An entry is some 130 bytes on one line, twice that indented, and names may be long.
+// A list has an entry for each endpoint and, during a rolling replacement, one more for its successor; few
+// fleets have more than a thousand. An entry is some 130 bytes on one line, twice that indented, and names
+// may be long.
 constexpr std::size_t kMinListEntries = 1024;
 constexpr std::size_t kListEntriesPerCell = 4;
 constexpr std::size_t kMaxEntryBytes = 2048;
 
 constexpr int kHttpOk = 200;
 
-// Why the watch at one address was lost; stopped in Loop.
+// Why the watch at one address was lost; caught in Loop.
 class WatchError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -121,7 +122,7 @@
 
 void DiscoveryWatch::Watch(const std::string& address) {
   Stream stream(OpenWatch(address), MaxListBytes(config_.settings), clock_.Now());
-  // An address that was left may keep its heartbeat for a while and send no lists any more.
+  // After a reload has moved discovery, the old address may still send heartbeats but no more lists.
   while (!stopping_ && clock_.Now() - stream.last_activity_us < kSilenceTimeoutUs && Address() == address) {
     if (ReadStream(address, stream) == StreamState::kEnded) return;
   }
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -42,7 +42,7 @@
   StreamState TakeReceived(const std::string& address, Stream& stream);
   void NoteActivity(const std::string& address, Stream& stream);
   void ApplyList(std::string_view text);
-  // Ends early when the watch is to stop or to move, since the new address has refused nobody yet.
+  // Ends early when the watch is to stop or to move, since the backoff belongs to the old address.
   void Pause(coordinator::Micros span_us, const std::string& address);
   std::string Address() const;
 
--- a/src/routing/canary_policy.h
+++ b/src/routing/canary_policy.h
@@ -1,6 +1,6 @@
-// Canary requests: when one shard request of a query goes ahead of the others, which wait until it is
-// answered. A query that crashes what works on it then takes one endpoint, not all. Plain functions without
-// state.
+// Canary requests: when one shard request of a query goes ahead of the others. These wait until it is
+// answered while endpoints are being lost, or for a wide query a fraction of the median latency at most. A
+// query that crashes what works on it then takes one endpoint, not all. Plain functions without state.
 #ifndef LIFTRUDDER_ROUTING_CANARY_POLICY_H_
 #define LIFTRUDDER_ROUTING_CANARY_POLICY_H_
 
--- a/src/routing/endpoint_selector.h
+++ b/src/routing/endpoint_selector.h
@@ -43,13 +43,13 @@
         latency_(latency),
         random_(random) {}
 
-  // Of a replica that is not ejected, where there is one. In a calm fleet the last replica of one shard may
-  // be overloaded.
+  // Of a replica that is not ejected, where there is one. Considered for each shard: even
+  // when the load of the fleet is low, the only replica left of one shard may be overloaded.
   ExpectedLatency Expect(int shard) const;
 
   // Chooses, in this order of preference: an ejected endpoint that is due a probe request; untried healthy
-  // ones; those in slow start beyond their share; ejected ones; ones tried before. A hedged request goes to
-  // the first groups only.
+  // ones; those in slow start beyond their share; ejected ones; ones tried before. A hedged request
+  // goes only to untried healthy endpoints or those in slow start.
   Selection Select(const ShardRequest& shard_request, bool is_hedge, Micros now);
 
  private:
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -68,6 +68,7 @@
   std::vector<double> load;         // load report of the endpoint; empty: none
 };
 
+// On the simulator's wire; the router ignores it.
 struct HealthCheckFinished {
   EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
@@ -85,6 +86,7 @@
   std::uint64_t label = 0;
 };
 
+// On the simulator's wire; the router ignores it.
 struct GossipMessage {
   std::uint32_t from = 0;
   std::string text;
--- a/src/routing/load_estimator.h
+++ b/src/routing/load_estimator.h
@@ -29,15 +29,15 @@
   explicit LoadEstimator(double min_latency_objective_us)
       : min_latency_objective_us_(min_latency_objective_us) {}
 
-  // A query arrived; a longer gap than `max_gap_us` counts as that.
+  // A query arrived; a gap longer than `max_gap_us` is recorded as `max_gap_us`.
   void RecordQuery(Micros now, Micros max_gap_us);
 
   // An attempt ended. `endpoint_ejected`: at that time.
   void RecordOutcome(AttemptOutcome outcome, bool endpoint_ejected);
 
   // Computes the estimate anew, once a round. Little's law: time in flight of all shard requests over those
-  // answered is their latency. It shows a jam while it builds, and its end at once; past latency would make
-  // the cutoff swing between all and nothing.
+  // answered is their latency. It rises while queues build and falls as soon as they drain. Measured
+  // latency lags behind, which would make the cutoff oscillate between 0 and 1.
   void Update(const FleetLoad& fleet, double elapsed_us, double latency_per_request_us);
 
   double Load() const { return load_; }
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -9,17 +9,19 @@
 constexpr double kNormalSamples = 1.5;       // samples of normal latency that an endpoint starts with
 constexpr double kSampleRetention = 0.8;     // what a sample counts after each newer one
 constexpr double kSilenceHedgeDelays = 2.0;  // no reply for so many hedge delays: unresponsive
-// Page's test. A coordinator of a large fleet meets an endpoint seldom, so each outcome adds the log of how
-// much likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from any other.
+// Page's cumulative-sum (CUSUM) test: `failure_evidence` is a running log-likelihood ratio, kept at 0 or
+// above. A coordinator of a large fleet meets an endpoint seldom, so each outcome adds the log of how much
+// likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from any other.
 constexpr double kFaultyFailureRate = 0.5;
 constexpr double kEjectEvidence = 4;  // about two failures among five outcomes where few fail
 constexpr double kMaxEvidence = 4.5;
 constexpr double kReadmitEvidence = 4;         // a successful probe readmits only below this
 constexpr double kMinFleetFailureRate = 0.02;  // so that a few failures do not eject a good endpoint
 constexpr double kFleetFailureGain = 0.01;
-constexpr double kFirstProbeObjectives = 0.25;  // latency objectives before an ejected endpoint is probed
-constexpr double kSlowProbeRequests = 1.5;      // requests to a healthy endpoint between probes,
-constexpr double kFailingProbeRequests = 2;     // and where the ejected one fails
+constexpr double kFirstProbeObjectives = 0.25;  // first probe after this many of the least latency objective
+constexpr double kSlowProbeRequests =
+    1.5;  // requests that a healthy endpoint gets between two probes of a slow one
+constexpr double kFailingProbeRequests = 2;  // the same between two probes of a failing one
 constexpr double kProbeBackoffGrowth = 3;
 constexpr double kMaxProbeBackoff = 8;
 
@@ -46,6 +48,7 @@
 }
 
 void OutlierDetector::RecordFailureEvidence(OutlierState& state, bool failed) {
+  // Never as high as kFaultyFailureRate itself, or a failure would prove nothing.
   double usual =
       std::clamp(fleet_failure_rate_, kMinFleetFailureRate, kFaultyFailureRate * kFaultyFailureRate);
   double ratio = failed ? kFaultyFailureRate / usual : (1 - kFaultyFailureRate) / (1 - usual);
@@ -62,7 +65,8 @@
     state.ejected = state.unresponsive = false;
     state.log_latency_ratio_sum = state.latency_samples = 0;
   } else if (state.ejected) {
-    // In time, but one answer among many failures is no recovery: probed again soon.
+    // An answer in time while the evidence of failure still stands does not readmit it, but resets the
+    // backoff so that the next probe comes soon.
     ScheduleProbe(state, in_time ? 1 / kMaxProbeBackoff : kProbeBackoffGrowth, clock);
   }
   if (outcome.endpoint_warm) {
@@ -92,7 +96,7 @@
   state.unresponsive = state.unresponsive || unresponsive;
   if (state.ejected) return;
   state.ejected = true;
-  ScheduleProbe(state, 1 / state.probe_backoff, clock);
+  ScheduleProbe(state, 1 / state.probe_backoff, clock);  // resets the backoff to 1
 }
 
 void OutlierDetector::ScheduleProbe(OutlierState& state, double backoff_growth,
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -15,17 +15,18 @@
 struct OutlierState {
   double log_latency_ratio_sum = 0;  // log of latency over the fleet's median, decayed
   double latency_samples = 0;        // decayed count
-  double failure_evidence = 0;       // Page's test: log-likelihood that it fails more than the fleet does
-  Micros replied_us = 0;             // last sign of life
-  Micros answered_us = 0;            // send time of the newest request that it answered
+  double failure_evidence = 0;       // log-likelihood ratio that it is faulty, kept at 0 or above (CUSUM)
+  Micros replied_us = 0;   // when an attempt last ended there, but for timeouts; a failed connect counts too
+  Micros answered_us = 0;  // send time of the newest request that it answered
   bool ejected = false;
   bool unresponsive = false;  // ejected, and not for being slow: it answers nothing of use
-  Micros probe_at_us = 0;     // a probe request is due from then on,
-  double probe_at_warm_requests =
-      0;  // and once a healthy endpoint was sent so many (SlowStart::WarmRequests)
+  // A probe request is due once both have been reached: a time, and a value of SlowStart::WarmRequests.
+  Micros probe_at_us = 0;
+  double probe_at_warm_requests = 0;
   double probe_backoff = 1;
 
-  // The endpoint's process is a new one: what the old one did says nothing. The backoff of probes stays.
+  // The endpoint's process is a new one: the observations of the old one are void. `probe_backoff` is reset
+  // when it is next ejected.
   void Restart() {
     log_latency_ratio_sum = latency_samples = failure_evidence = 0;
     ejected = unresponsive = false;
@@ -55,8 +56,9 @@
   void RecordOutcome(OutlierState& state, const EndpointOutcome& outcome, double median_latency_us,
                      const ProbeClock& clock);
 
-  // Ejects an endpoint that has not replied for long since its oldest request in flight was sent. True while
-  // it is unresponsive in that sense, be it ejected before or not.
+  // Whether the endpoint is still responsive. When it has sent no reply since its oldest request in flight,
+  // and that request is older than kSilenceHedgeDelays hedge delays, it is not: it is ejected, unless it was
+  // before.
   bool CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
                        const ProbeClock& clock) const;
 
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -14,7 +14,7 @@
 
 // What a replica of a shard was when an endpoint was chosen for a request to it.
 enum class Eligibility : std::uint8_t {
-  kEligible,
+  kEligible,        // healthy, not tried, within its slow-start share
   kAlreadyTried,    // an earlier attempt of this shard request went there
   kSlowStartShare,  // in slow start, and its share of what warm endpoints get is used up
   kSlowStartLimit,  // in slow start, and more could make it collapse
@@ -29,7 +29,7 @@
   EndpointId endpoint;
   std::uint16_t in_flight = 0;  // this coordinator's requests there, capped at the type's maximum
   Eligibility eligibility = Eligibility::kEligible;
-  bool eligible = false;  // in the group that the choice was made from
+  bool eligible = false;  // in the group that the endpoint was chosen from, whatever its Eligibility
 };
 
 constexpr std::size_t kMaxCandidates = 8;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -32,8 +32,8 @@
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
               std::vector<PendingShardRequest>* pending = nullptr);
 
-  // How many listed endpoints got nothing new but probe requests in the last round: draining, ejected, or in
-  // an ejected zone.
+  // How many listed endpoints the last round avoided: draining, ejected, or in an ejected zone. An ejected
+  // one still gets probe requests, and others where no healthy replica is left.
   int Avoided() const;
 
  private:
--- a/src/routing/router_review.cpp
+++ b/src/routing/router_review.cpp
@@ -45,8 +45,8 @@
     SendShardRequest(query, shard_request, suspect ? HedgeCause::kEndpointSuspect : HedgeCause::kStraggler);
     return;
   }
-  // Never two attempts at once: cancelled, and sent again when that is confirmed. Not for its age alone,
-  // which would throw away work.
+  // Two attempts at once are not allowed, so the attempt is cancelled, and retried once the cancellation is
+  // confirmed. Only if its endpoint is suspect: cancelling a mere straggler would waste the work done.
   if (!suspect || attempt.cancellation_requested || !RetryWithinBudget(false)) return;
   if (selector.Select(shard_request, true, now).endpoint == nullptr) return;
   attempt.cancellation_requested = true;
--- a/src/routing/router_state.h
+++ b/src/routing/router_state.h
@@ -40,7 +40,8 @@
 // Why a shard request gets a hedge. Without meaning when no attempt of it is in flight.
 enum class HedgeCause : std::uint8_t { kStraggler, kEndpointSuspect };
 
-// The modules with their state, and the order in which a round calls them. It decides nothing of its own.
+// The modules with their state. Combines their answers; its own few decisions are listed under `router` in
+// docs/design/routing.md.
 struct Router::State {
   State(const Settings& router_settings, std::uint64_t seed);
   // The modules hold references to each other.
--- a/src/routing/settings.h
+++ b/src/routing/settings.h
@@ -32,7 +32,7 @@
 
 struct TenantSettings {
   double quota_per_s = 0;  // queries, of the whole fleet
-  double fraction = 0;
+  double fraction = 0;     // of the traffic; no decision reads it
 };
 
 struct Settings {
@@ -49,23 +49,25 @@
   int max_attempts = 1;           // for each shard request
   int max_in_flight = 0;          // queries and shard requests, see coordinator; 0: its own limit alone
   bool cancellation_allowed = false;
-  bool health_checks_allowed = false;
-  bool hedging_allowed = false;  // two attempts of a shard request at once
+  bool health_checks_allowed = false;  // no decision reads it
+  bool hedging_allowed = false;        // two attempts of a shard request at once
   bool retry_after_allowed = false;
   bool subscription_required = false;  // changes of the endpoint list come only after Subscribe
   Micros max_retry_after_us = 0;
   Micros decision_interval_us = 1000;  // shortest gap between rounds
-  Micros grace_to_answer_us = 0;
+  Micros grace_to_answer_us = 0;       // no decision reads it; see AnswerMarginUs
   Micros drain_grace_us = 0;
-  Micros poll_deadline_us = 0;         // within which a failed call to the list service must be repeated
-  double slow_start_capacity = 1;      // share of its capacity that a started endpoint has at least
-  Micros slow_start_us = 0;            // after which it is warm
-  double collapse_load_multiple = 0;   // an endpoint that gets more than this multiple of its capacity
-  Micros collapse_window_us = 0;       // for this long collapses; 0: none does
+  Micros poll_deadline_us = 0;     // within which a failed call to the list service must be repeated
+  double slow_start_capacity = 1;  // share of its capacity that a started endpoint has at least
+  Micros slow_start_us = 0;        // after which it is warm
+  // An endpoint that gets more than this multiple of its capacity throughout the window collapses; a window
+  // of 0: none does.
+  double collapse_load_multiple = 0;
+  Micros collapse_window_us = 0;
   double over_quota_value_factor = 1;  // of the value of queries beyond their tenant's quota
   bool has_retry_budget = false;
-  double retry_budget_floor = 0;  // retries that are always allowed in a window,
-  double retry_budget_ratio = 0;  // and those for each query and shard request received in it
+  double retry_budget_floor = 0;  // retries that are always allowed in a window
+  double retry_budget_ratio = 0;  // further retries for each query and shard request received in the window
   Micros retry_budget_window_us = 0;
 };
 
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -8,8 +8,8 @@
 
 namespace liftrudder::routing {
 
-// Slow-start state of one endpoint. An account that fills with time, not a count with a minimum of one: what
-// each coordinator of a large fleet does alone, all do at once.
+// Slow-start state of one endpoint. A token bucket, which may hold less than one request: were each
+// coordinator always allowed one, a large fleet together would overload the endpoint.
 struct SlowStartState {
   double share_allowance = 0;          // shard requests; its fair share of what warm endpoints get
   double collapse_allowance = 0;       // shard requests; what it can take at all without collapsing
--- a/src/routing/zone_health.h
+++ b/src/routing/zone_health.h
@@ -1,5 +1,6 @@
-// Zone outlier detection: the way to a whole zone may be slow or lossy while each endpoint there is well, and
-// to learn that endpoint by endpoint costs a request or two for each. Owned by one router; not thread-safe.
+// Zone outlier detection: the way to a whole zone may be slow or lossy while each endpoint there is healthy,
+// and to learn that endpoint by endpoint costs a request or two for each. Owned by one router; not
+// thread-safe.
 #ifndef LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
 #define LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
 
@@ -20,8 +21,8 @@
   void CoverZones(const EndpointTable& endpoints);
 
   // Ages the observations and ejects or readmits zones: a zone is ejected when most of its requests fail, or
-  // are late or overdue, while another zone is well. With two zones that doubles the other's load, so that
-  // one must be seen to be well, and probe requests go on.
+  // are late or overdue, while another zone is healthy. Ejecting one of two zones doubles the other's load,
+  // so the other must have been observed to be healthy, and probes of the ejected one continue.
   void Update(const EndpointTable& endpoints, double elapsed_us, double median_latency_us, Micros now);
 
   // An attempt at an endpoint of the zone ended; `in_time`: answered, and not slowly.
