--- a/src/coordinator/action_dispatch.cpp
+++ b/src/coordinator/action_dispatch.cpp
@@ -1,4 +1,4 @@
-// Action dispatch: what the router decided goes to the transport and to the timers.
+// Action dispatch: carries out the router's actions with the transport and the timers.
 #include "coordinator/coordinator.h"
 
 namespace liftrudder::coordinator {
@@ -31,8 +31,8 @@
   auto number = static_cast<std::size_t>(cancel.attempt);
   if (number >= shard_request->attempts.size() || !shard_request->attempts[number].in_flight) return;
   recording_.RecordCancelled(*shard_request, cancel);
-  // The router will send the shard request to another endpoint once this attempt has ended. Where hedging is
-  // not allowed, that must wait until the first endpoint is known to have given it up.
+  // The router retries the shard request on another endpoint once this attempt has ended. Where hedging is
+  // not allowed, it stays in flight until its endpoint confirms the cancellation or it ends otherwise.
   bool will_be_retried = cancel.reason == routing::CancelReason::kEndpointOutlier ||
                          cancel.reason == routing::CancelReason::kDeadConnection;
   AttemptKey key{cancel.shard_request, cancel.attempt};
--- a/src/coordinator/admission.cpp
+++ b/src/coordinator/admission.cpp
@@ -1,4 +1,4 @@
-// Admission, on the front's own thread: what is over the limit never reaches the coordinator thread.
+// Admission. Runs on the front's thread, so that queries over the limit never reach the coordinator thread.
 #include <algorithm>
 
 #include "coordinator/coordinator.h"
@@ -6,9 +6,9 @@
 namespace liftrudder::coordinator {
 namespace {
 
-// The most queries and shard requests that may be open; the settings may lower it.
+// The maximum number of open queries and shard requests together; Settings::max_in_flight may lower it.
 constexpr int kMaxOpenEntries = 8192;
-constexpr int kServiceUnavailable = 503;  // HTTP status, as the decision log keeps it
+constexpr int kServiceUnavailable = 503;  // HTTP status, for the decision log
 
 }  // namespace
 
@@ -19,7 +19,7 @@
   if (open_entries_.fetch_add(entries) + entries > limit) {
     open_entries_.fetch_sub(entries);
     counters_.rejected_at_intake.Add();
-    // Recorded under the name that the client knows the query by.
+    // The decision log identifies the query by the client's own name for it, if there is one.
     const std::string& name = request.label.empty() ? request.payload->call_id : request.label;
     NoteIntake(decision_log::IntakeResult::kTooManyOpen, request.front, request.class_index,
                kServiceUnavailable, name, open_entries_.load() + entries, limit);
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -15,14 +15,14 @@
       router_(settings, seed) {}
 
 void Coordinator::Run() {
-  auto notes_queued = [this] { return recording_.NotesQueued(); };
+  auto front_events_queued = [this] { return recording_.FrontEventsQueued(); };
   while (true) {
-    RoundScheduler::Batch batch = scheduler_.WaitForBatch(NextTimer(), notes_queued);
+    RoundScheduler::Batch batch = scheduler_.WaitForBatch(NextTimer(), front_events_queued);
     if (scheduler_.Stopping()) break;
     RunRound(batch.inputs);
     FinishRound(batch.refresh_number);
   }
-  FinishRound(0);  // takes in the last notes of the fronts
+  FinishRound(0);  // records the last events from the fronts
 }
 
 Micros Coordinator::NextTimer() const {
@@ -34,7 +34,7 @@
   now_us_ = clock_.Now();
   recording_.StartRound(now_us_);
   events_.clear();
-  for (Input& input : inputs) std::visit([this](auto& alternative) { TakeIn(alternative); }, input);
+  for (Input& input : inputs) std::visit([this](auto& alternative) { HandleInput(alternative); }, input);
   FireTimers();
   ExpireAttempts();
   if (events_.empty()) return;
@@ -57,7 +57,7 @@
   }
 }
 
-// Their results follow as inputs of a later round.
+// The results of expired attempts arrive as inputs of a later round.
 void Coordinator::ExpireAttempts() {
   for (const ExpiredAttempt& expired : in_flight_.TakeExpired(now_us_)) {
     transport_->CancelAttempt(expired.key, expired.endpoint, Cause::kExpired);
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -1,15 +1,15 @@
 // Coordinates queries between the fronts, the router and the endpoints. A query passes these stages, each in
 // a source file of its own:
 //
-//   admission.cpp         on the front's thread: bounds what is open, numbers the query, queues it
-//   event_intake.cpp      inputs become events for the router; the in-flight table follows them
-//   coordinator.cpp       the decision round: batches of inputs, timers, the call of the router
-//   action_dispatch.cpp   attempts, cancellations and timers that the router decided on
-//   query_completion.cpp  the router's final decision on a query becomes its client's answer
+//   admission.cpp         limits the open queries, assigns ids and queues the query, on the front's thread
+//   event_intake.cpp      turns inputs into events for the router and updates the in-flight table
+//   coordinator.cpp       runs decision rounds: batches of inputs, timers, the call to the router
+//   action_dispatch.cpp   starts and cancels attempts, closes connections and sets timers for the router
+//   query_completion.cpp  delivers the router's final decision on a query to its client
 //
-// All but admission run on one thread, the coordinator thread, which owns the router and the in-flight table;
-// other threads reach it through RoundScheduler's queue. No wire format, file or socket is known here, and
-// nothing is decided about endpoints, retries or shedding: that is the router's business.
+// All stages but admission run on one thread, the coordinator thread, which owns the router and the in-flight
+// table; other threads reach it through RoundScheduler's queue. This code is independent of wire formats,
+// files and sockets. Decisions about endpoints, retries and shedding are made by the router.
 #ifndef LIFTRUDDER_COORDINATOR_COORDINATOR_H_
 #define LIFTRUDDER_COORDINATOR_COORDINATOR_H_
 
@@ -34,43 +34,44 @@
 
 class Coordinator {
  public:
-  // The references must outlive the coordinator. `seed` is of the router's random choices.
+  // The references must outlive the coordinator. `seed` seeds the router's random choices.
   Coordinator(const routing::Settings& settings, std::uint64_t seed, const Clock& clock,
               const EndpointResolver& endpoint_resolver, metrics::Counters& counters);
 
   // ---- Before Run ----
 
   void Attach(EndpointTransport& transport) { transport_ = &transport; }
-  // Without a recorder nothing is recorded.
+  // Without a recorder, decisions are not recorded.
   void Attach(decision_log::Recorder& recorder) { recording_.Attach(recorder); }
-  // `on_endpoint_list_change` is called on the coordinator thread after each endpoint list.
+  // `on_endpoint_list_change` is called on the coordinator thread for each endpoint list update.
   void OnEndpointListChange(std::function<void()> on_endpoint_list_change) {
     on_endpoint_list_change_ = std::move(on_endpoint_list_change);
   }
 
   // ---- From any thread ----
 
-  // Admits a query and returns its id; nothing when too many queries and shard requests are open. `reply`
-  // gets the answer of an admitted query, unless its front posts a ClientDisconnect first.
+  // Admits a query and returns its id, or nullopt when too many queries and shard requests are open. `reply`
+  // receives the answer to an admitted query, unless its front posts a ClientDisconnect first.
   std::optional<Id> Admit(QueryRequest request, std::shared_ptr<ClientReply> reply);
-  // Queues an input for the next round. Never refuses.
+  // Queues an input for the next round; never fails.
   void Post(Input input) { scheduler_.Post(std::move(input)); }
 
-  // For the decision log; neither blocks. Records a request that a front rejected: `observed` passed
-  // `threshold` where there is a limit.
+  // Records in the decision log, without blocking, a request that was rejected at intake. If it was over a
+  // limit, `observed` is the value that exceeded the limit `threshold`.
   void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
                   int status, std::string_view call_id, double observed = 0, double threshold = 0);
-  // Records a response that was written to a client, `whole` or in part.
+  // Records in the decision log, without blocking, the response to a client, of which `bytes` were written.
+  // `whole`: the response was written completely.
   void NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
                     bool whole);
-  // Makes the decision log readable up to now. Blocks the caller for 200 ms at most.
+  // Makes what was recorded so far readable in the decision log. Blocks the thread for 200 ms at most.
   void RefreshDecisionLog() { scheduler_.RefreshAndWait(); }
 
-  // The coordinator thread: runs decision rounds until Stop.
+  // Runs decision rounds on the calling thread, which is the coordinator thread, until Stop is called.
   void Run();
   void Stop() { scheduler_.Stop(); }
 
-  // The number of queries that are admitted and not answered.
+  // The number of admitted queries that have neither been answered nor lost their client.
   int OpenQueries() const { return open_queries_.load(); }
   // The number of listed endpoints that the router avoided in the last round.
   int AvoidedEndpoints() const { return avoided_endpoints_.load(); }
@@ -84,10 +85,10 @@
   };
 
   // Event intake.
-  void TakeIn(QueryArrival& arrival);
-  void TakeIn(ClientDisconnect& disconnect);
-  void TakeIn(AttemptResult& result);
-  void TakeIn(routing::EndpointListUpdate& update);
+  void HandleInput(QueryArrival& arrival);
+  void HandleInput(ClientDisconnect& disconnect);
+  void HandleInput(AttemptResult& result);
+  void HandleInput(routing::EndpointListUpdate& update);
 
   // The decision round.
   Micros NextTimer() const;
@@ -109,7 +110,7 @@
   void Execute(const routing::Fail& fail);
   void Complete(Id query, FinalAnswer answer, const routing::CompletionReason& reason);
   void CountAnswer(const FinalAnswer& answer);
-  // Gives back what Admit reserved for a query with so many shard requests.
+  // Releases what Admit reserved for a query with this number of shard requests.
   void ReleaseAdmission(int shard_requests);
 
   const routing::Settings settings_;
@@ -124,18 +125,18 @@
   std::function<void()> on_endpoint_list_change_;
 
   // Shared by all threads.
-  std::atomic<int> open_entries_{0};  // queries and shard requests, as settings_.max_in_flight counts them
+  std::atomic<int> open_entries_{0};  // queries and shard requests, limited by settings_.max_in_flight
   std::atomic<int> open_queries_{0};
   std::atomic<int> avoided_endpoints_{0};
   std::atomic<Id> next_id_{1};
 
-  // The coordinator thread's alone.
+  // Used by the coordinator thread alone.
   routing::Router router_;
   InFlightTable in_flight_;
   std::set<Timer> timers_;
-  std::int64_t queries_numbered_ = 0;
-  Micros now_us_ = 0;  // of the round
-  // Kept between rounds to spare allocations.
+  std::int64_t last_query_number_ = 0;
+  Micros now_us_ = 0;  // when the current round began
+  // Reused by all rounds to avoid allocations.
   std::vector<routing::Event> events_;
   std::vector<routing::Action> actions_;
   std::vector<routing::PendingShardRequest> pending_;
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -17,37 +17,37 @@
 
 }  // namespace
 
-void DecisionRecording::Enqueue(const decision_log::FrontEvent& note) {
-  if (recorder_->Post(note)) scheduler_.Wake();
+void DecisionRecording::Enqueue(const decision_log::FrontEvent& event) {
+  if (recorder_->Post(event)) scheduler_.Wake();
 }
 
 void DecisionRecording::RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
                                      int class_index, int status, std::string_view call_id, double observed,
                                      double threshold) {
   if (recorder_ == nullptr) return;
-  decision_log::FrontEvent note;
-  note.intake = intake;
-  note.front = front;
-  note.class_index = static_cast<std::uint8_t>(class_index);
-  note.status = static_cast<std::uint16_t>(status);
-  note.at_us = clock_.Now();
-  note.observed = static_cast<float>(observed);
-  note.threshold = static_cast<float>(threshold);
-  note.SetId(call_id);
-  Enqueue(note);
+  decision_log::FrontEvent event;
+  event.intake = intake;
+  event.front = front;
+  event.class_index = static_cast<std::uint8_t>(class_index);
+  event.status = static_cast<std::uint16_t>(status);
+  event.at_us = clock_.Now();
+  event.observed = static_cast<float>(observed);
+  event.threshold = static_cast<float>(threshold);
+  event.SetId(call_id);
+  Enqueue(event);
 }
 
 void DecisionRecording::RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
                                        std::size_t bytes, bool whole) {
   if (recorder_ == nullptr) return;
-  decision_log::FrontEvent note;
-  note.bytes = static_cast<std::uint32_t>(bytes);
-  note.whole = whole;
-  note.at_us = clock_.Now();
+  decision_log::FrontEvent event;
+  event.bytes = static_cast<std::uint32_t>(bytes);
+  event.whole = whole;
+  event.at_us = clock_.Now();
   for (const AnsweredQuery& answered : answered_queries) {
-    note.query = answered.query;
-    note.status = static_cast<std::uint16_t>(answered.status > 0 ? answered.status : status);
-    Enqueue(note);
+    event.query = answered.query;
+    event.status = static_cast<std::uint16_t>(answered.status > 0 ? answered.status : status);
+    Enqueue(event);
   }
 }
 
@@ -80,9 +80,9 @@
 
 void DecisionRecording::RecordClientDisconnect(const ClientDisconnect& disconnect) {
   if (recorder_ == nullptr) return;
-  bool late = disconnect.intake == decision_log::IntakeResult::kAnswerTimeout;
+  bool answer_timed_out = disconnect.intake == decision_log::IntakeResult::kAnswerTimeout;
   decision_log::Verdict verdict =
-      late ? decision_log::Verdict::kExpired : decision_log::Verdict::kClientDisconnected;
+      answer_timed_out ? decision_log::Verdict::kExpired : decision_log::Verdict::kClientDisconnected;
   recorder_->Completed(disconnect.id, {verdict, {}, disconnect.intake, 0, 0});
 }
 
@@ -97,9 +97,9 @@
 
 void DecisionRecording::RecordPending(const std::vector<routing::PendingShardRequest>& pending,
                                       InFlightTable& in_flight) {
-  for (const routing::PendingShardRequest& one : pending) {
-    const InFlightShardRequest* shard_request = in_flight.FindShardRequest(one.shard_request);
-    if (shard_request != nullptr) recorder_->Pending(shard_request->query, shard_request->index, one);
+  for (const routing::PendingShardRequest& entry : pending) {
+    const InFlightShardRequest* shard_request = in_flight.FindShardRequest(entry.shard_request);
+    if (shard_request != nullptr) recorder_->Pending(shard_request->query, shard_request->index, entry);
   }
 }
 
--- a/src/coordinator/decision_recording.h
+++ b/src/coordinator/decision_recording.h
@@ -1,5 +1,5 @@
-// Passes what the coordinator's stages do on to the decision log. Nothing here is read by a decision, and
-// nothing is recorded as long as no recorder is attached.
+// Writes to the decision log what the coordinator's stages do. Decisions never depend on what is recorded.
+// Nothing is recorded unless a recorder is attached.
 //
 // RecordIntake and RecordResponse are thread-safe and never block; the rest is called on the coordinator
 // thread alone.
@@ -18,47 +18,47 @@
 
 class DecisionRecording {
  public:
-  // `scheduler` is woken when the recorder's queue of notes fills up.
+  // Wakes `scheduler` when the recorder's queue of events from fronts fills up.
   DecisionRecording(const Clock& clock, RoundScheduler& scheduler) : clock_(clock), scheduler_(scheduler) {}
 
-  // Before any other call. The recorder must outlive this object.
+  // To be called before any other method. The recorder must outlive this object.
   void Attach(decision_log::Recorder& recorder) { recorder_ = &recorder; }
   bool Enabled() const { return recorder_ != nullptr; }
 
-  // ---- Notes of the fronts, from any thread; see Coordinator::NoteIntake and NoteResponse ----
+  // ---- Events from fronts, on any thread; see Coordinator::NoteIntake and NoteResponse ----
 
   void RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
                     int status, std::string_view call_id, double observed, double threshold);
   void RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
                       bool whole);
-  bool NotesQueued() const { return recorder_ != nullptr && recorder_->HasPostedEvents(); }
+  bool FrontEventsQueued() const { return recorder_ != nullptr && recorder_->HasPostedEvents(); }
 
   // ---- The coordinator thread ----
 
   void StartRound(Micros now_us);
-  // Takes in the notes of the fronts and makes the round readable.
+  // Records the queued events from fronts and makes the records of the round readable.
   void FinishRound();
   void RecordArrival(const QueryArrival& arrival, Micros now_us);
   void RecordClientDisconnect(const ClientDisconnect& disconnect);
   void RecordEndpoints(const routing::EndpointListUpdate& update, const EndpointResolver& resolver);
-  // Must be called before the actions of the round, which may drop shard requests.
+  // Must be called before the actions of the round are executed, which may drop shard requests.
   void RecordPending(const std::vector<routing::PendingShardRequest>& pending, InFlightTable& in_flight);
   void RecordSent(const InFlightShardRequest& shard_request, int attempt, const routing::Send& send);
   void RecordCancelled(const InFlightShardRequest& shard_request, const routing::Cancel& cancel);
   void RecordConnectionsClosed(const routing::Close& close);
-  // `shard_request_index`: within the query.
+  // `shard_request_index`: the shard request's index within its query, from 0.
   void RecordAttemptFinished(Id query, int shard_request_index, const routing::AttemptFinished& finished,
                              Progress progress, Cause cause);
   void RecordAnswer(Id query, const FinalAnswer& answer, const routing::CompletionReason& reason,
                     int shard_responses);
 
  private:
-  void Enqueue(const decision_log::FrontEvent& note);
+  void Enqueue(const decision_log::FrontEvent& event);
 
   const Clock& clock_;
   RoundScheduler& scheduler_;
   decision_log::Recorder* recorder_ = nullptr;  // set before the threads start; null: nothing is recorded
-  // Kept to spare allocations; the coordinator thread's.
+  // Reused to avoid allocations; used by the coordinator thread alone.
   std::vector<decision_log::RecordedShardRequest> shard_requests_;
 };
 
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -6,12 +6,12 @@
 namespace liftrudder::coordinator {
 namespace {
 
-// Longer than any query may take, so that no attempt is in flight to an endpoint that is forgotten.
+// Longer than any query may take, so that no attempt is still in flight to a forgotten endpoint.
 constexpr Micros kForgetRemovedAfterUs = 30'000'000;
 
-// Nothing new may be sent from the notification on, although the settings allow a grace period: that period
-// runs from when the source knew of the change, and how much later it was received here is unknown. The first
-// notification counts.
+// No attempt may start after draining or removal has been notified, although the settings allow a grace
+// period: that period runs from when the source learned of the change, and how long the notification took
+// from there is unknown. The first notification counts.
 void StopSending(EndpointAddress& address, Micros notified_us) {
   if (address.drain_deadline_us == 0) address.drain_deadline_us = notified_us;
 }
@@ -44,14 +44,14 @@
   return update;
 }
 
-// A list that was delayed on another path must not bring a draining endpoint back. A full list of the same
-// version is applied again: it may name endpoints that a delta did not.
+// An old list that was delayed on another path must not make a draining endpoint ready again. A list other
+// than a delta is applied even if its version is already known: it may name endpoints that a delta did not.
 bool EndpointRegistry::IsOutdated(const EndpointList& list) const {
   if (!has_list_) return false;
   return IsDelta(list) ? list.version <= version_ : list.version < version_;
 }
 
-EndpointId EndpointRegistry::IdOf(const std::string& name) {
+EndpointId EndpointRegistry::FindOrAssignId(const std::string& name) {
   auto [position, inserted] = ids_.try_emplace(name);
   if (inserted) position->second = EndpointId{++ids_assigned_, 1};
   return position->second;
@@ -59,7 +59,7 @@
 
 routing::Endpoint EndpointRegistry::ApplyEntry(const EndpointEntry& entry, Micros notified_us) {
   routing::Endpoint endpoint = entry.endpoint;
-  endpoint.id = IdOf(entry.id);
+  endpoint.id = FindOrAssignId(entry.id);
   EndpointAddress& address = endpoints_[endpoint.id];
   address.id = entry.id;
   address.addr = entry.addr;
@@ -84,8 +84,8 @@
   }
 }
 
-// Keeps the registry from growing with every endpoint that is ever replaced. Outdated lists are ignored, so
-// only a newer one can name a forgotten endpoint again, which then counts as a new endpoint.
+// Keeps the registry from growing with every replaced endpoint. Outdated lists are ignored, so only a newer
+// list can name a forgotten endpoint again, which then counts as a new endpoint.
 void EndpointRegistry::ForgetRemoved(Micros now_us) {
   for (auto removed = removed_us_.begin(); removed != removed_us_.end();) {
     const auto& [id, since_us] = *removed;
--- a/src/coordinator/endpoint_registry.h
+++ b/src/coordinator/endpoint_registry.h
@@ -1,5 +1,5 @@
-// The endpoint list as last notified: the id and address of each endpoint, and since when it must get nothing
-// new. Keeps versions in order; does not fetch lists and decides nothing about healthy endpoints.
+// The endpoint list as last notified: the id and address of each endpoint, and when its draining or removal
+// was notified. Ignores outdated versions. Does not fetch lists or judge the health of endpoints.
 // Thread-safe.
 #ifndef LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
 #define LIFTRUDDER_COORDINATOR_ENDPOINT_REGISTRY_H_
@@ -18,12 +18,12 @@
 namespace liftrudder::coordinator {
 
 struct EndpointEntry {
-  std::string id;              // its name, unique in the list
+  std::string id;              // the name, unique in the list
   std::string addr;            // "host:port"
-  routing::Endpoint endpoint;  // as the source describes it; its numeric id is assigned by the registry
+  routing::Endpoint endpoint;  // as the source describes it; the registry assigns its numeric id
 };
 
-// A list, or a change of one, as a source of endpoints notifies it.
+// A list of endpoints, or a change to one, as notified by a source.
 struct EndpointList {
   std::uint64_t version = 0;
   routing::EndpointListKind kind = routing::EndpointListKind::kFull;
@@ -32,25 +32,25 @@
 
 class EndpointRegistry : public EndpointResolver {
  public:
-  // Applies a list that was notified at `notified_us` and returns the event for the router; nothing when the
-  // list is older than what is known. A full list removes the endpoints that it does not name.
+  // Applies a list that was notified at `notified_us` and returns the event for the router, or nullopt when
+  // the list is outdated. Any list but a delta removes the endpoints that it does not name.
   std::optional<routing::EndpointListUpdate> Apply(const EndpointList& list, Micros notified_us);
   EndpointAddress Find(const EndpointId& endpoint) const override;
   std::uint64_t Version() const;
-  // The number of endpoints that are not removed, draining ones included.
+  // The number of endpoints that are not removed, including draining ones.
   int ListedEndpoints() const;
 
-  // The source has been polled and has no newer list.
+  // Records that the source was asked and has no newer list.
   void MarkUpToDate();
-  // Waits until a list other than a cached one has come, or MarkUpToDate was called, but at most
-  // `timeout_us`. Returns whether that happened.
+  // Waits up to `timeout_us` for a list other than a cached one, or for MarkUpToDate. Returns whether either
+  // has happened.
   bool WaitUntilUpToDate(Micros timeout_us) const;
 
  private:
   // The methods below require the lock.
   bool IsOutdated(const EndpointList& list) const;
-  EndpointId IdOf(const std::string& name);
-  // Returns the endpoint as the router is to know it.
+  EndpointId FindOrAssignId(const std::string& name);
+  // Updates the address of an endpoint. Returns the endpoint with the id that the router knows it by.
   routing::Endpoint ApplyEntry(const EndpointEntry& entry, Micros notified_us);
   void RemoveUnlisted(const std::set<EndpointId>& listed, Micros notified_us);
   void ForgetRemoved(Micros now_us);
@@ -64,8 +64,8 @@
   std::uint64_t version_ = 0;
   std::map<std::string, EndpointId> ids_;
   std::map<EndpointId, EndpointAddress> endpoints_;
-  std::map<EndpointId, Micros> removed_us_;  // when removed; in endpoints_ until they are forgotten
-  std::uint32_t ids_assigned_ = 0;           // no id is assigned twice
+  std::map<EndpointId, Micros> removed_us_;  // when removed; kept in endpoints_ until forgotten
+  std::uint32_t ids_assigned_ = 0;           // ids are never reused
 };
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -1,15 +1,15 @@
-// Event intake: inputs become events for the router, and the in-flight table follows them.
+// Event intake: turns inputs into events for the router and updates the in-flight table.
 #include <algorithm>
 
 #include "coordinator/coordinator.h"
 
 namespace liftrudder::coordinator {
 
-void Coordinator::TakeIn(QueryArrival& arrival) {
+void Coordinator::HandleInput(QueryArrival& arrival) {
   const QueryRequest& request = arrival.request;
   routing::QueryReceived query;
   query.id = arrival.id;
-  query.number = ++queries_numbered_;
+  query.number = ++last_query_number_;
   query.shard_requests = static_cast<int>(request.shard_requests.size());
   query.class_index = request.class_index;
   query.is_retry = request.is_retry;
@@ -27,7 +27,7 @@
   in_flight_.AddQuery(arrival.id, request, std::move(arrival.reply));
 }
 
-void Coordinator::TakeIn(ClientDisconnect& disconnect) {
+void Coordinator::HandleInput(ClientDisconnect& disconnect) {
   const InFlightQuery* query = in_flight_.FindQuery(disconnect.id);
   if (query == nullptr) return;
   counters_.clients_disconnected.Add();
@@ -38,10 +38,10 @@
   events_.emplace_back(routing::ClientDisconnected{disconnect.id});
 }
 
-void Coordinator::TakeIn(AttemptResult& result) {
+void Coordinator::HandleInput(AttemptResult& result) {
   const InFlightShardRequest* shard_request = in_flight_.FindShardRequest(result.key.shard_request);
   if (shard_request == nullptr) return;
-  // The end of its last attempt may drop the shard request.
+  // Copied because FinishAttempt may drop the shard request together with its last attempt.
   Id query = shard_request->query;
   int index = shard_request->index;
   Progress progress = result.progress;
@@ -53,7 +53,7 @@
   events_.emplace_back(std::move(*finished));
 }
 
-void Coordinator::TakeIn(routing::EndpointListUpdate& update) {
+void Coordinator::HandleInput(routing::EndpointListUpdate& update) {
   counters_.endpoint_lists.Add();
   recording_.RecordEndpoints(update, endpoint_resolver_);
   events_.emplace_back(std::move(update));
--- a/src/coordinator/in_flight_table.h
+++ b/src/coordinator/in_flight_table.h
@@ -1,8 +1,8 @@
-// The queries, shard requests and attempts that are in flight, and the clients that wait for them. Decides
-// nothing, and knows no clock. Used by the coordinator thread alone.
+// The queries, shard requests and attempts that are in flight, and the clients that wait for them. Keeps
+// state only; the time is an argument. Used by the coordinator thread alone.
 //
-// A query is removed when it is answered; its shard requests stay until their last attempt has ended, so that
-// a late result still reaches the router.
+// A query is removed when it is answered or its client disconnects; its shard requests stay until their last
+// attempt has ended, so that a late result still reaches the router.
 #ifndef LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
 #define LIFTRUDDER_COORDINATOR_IN_FLIGHT_TABLE_H_
 
@@ -33,7 +33,7 @@
   ShardRequest request;
   std::shared_ptr<const Payload> payload;
   std::vector<InFlightAttempt> attempts;  // by attempt number
-  std::optional<std::string> response;    // the first one that an attempt brought
+  std::optional<std::string> response;    // of the first successful attempt
   bool query_removed = false;
 };
 
@@ -51,20 +51,20 @@
 
 class InFlightTable {
  public:
-  // Enters a query and its shard requests, which get the ids that follow `id`.
+  // Adds a query and its shard requests, which get the ids that follow `id`.
   void AddQuery(Id id, const QueryRequest& request, std::shared_ptr<ClientReply> reply);
   // Null when there is no such query; valid until the query is removed.
   const InFlightQuery* FindQuery(Id id) const;
   // Null when there is no such shard request; valid until it is dropped.
   InFlightShardRequest* FindShardRequest(Id id);
 
-  // Enters a new attempt and its deadline; returns the attempt's number.
+  // Adds an attempt and its deadline; returns the attempt's number.
   int AddAttempt(InFlightShardRequest& shard_request, const InFlightAttempt& attempt);
-  // Ends an attempt and keeps its response if it is the first. Returns the event for the router, or nothing
-  // when the attempt is unknown or had ended before.
+  // Ends an attempt and keeps its response if it is the shard request's first. Returns the event for the
+  // router, or nullopt when the attempt is unknown or has ended before.
   std::optional<routing::AttemptFinished> FinishAttempt(AttemptResult result, Micros now_us);
 
-  // The attempts whose deadline has passed by `now_us`; each is returned once.
+  // Returns the attempts whose deadline has passed by `now_us`, each of them once.
   std::vector<ExpiredAttempt> TakeExpired(Micros now_us);
   // The earliest deadline of an attempt in flight; the largest Micros when there is none.
   Micros NextExpiry() const;
--- a/src/coordinator/input.h
+++ b/src/coordinator/input.h
@@ -1,4 +1,4 @@
-// What reaches the coordinator thread through its queue. Plain data.
+// The inputs that reach the coordinator thread through its queue. Plain data.
 #ifndef LIFTRUDDER_COORDINATOR_INPUT_H_
 #define LIFTRUDDER_COORDINATOR_INPUT_H_
 
@@ -11,7 +11,7 @@
 
 // A query that has been admitted.
 struct QueryArrival {
-  Id id = 0;  // its shard requests have the ids after it
+  Id id = 0;  // its shard requests have the ids that follow
   QueryRequest request;
   std::shared_ptr<ClientReply> reply;
 };
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -1,5 +1,5 @@
-// The interfaces between the coordinator and the outside world: endpoints, endpoint addresses, clients, time.
-// Pure interfaces; sockets, wire formats and files are the business of their implementations.
+// The interfaces through which the coordinator reaches clients, endpoints, endpoint addresses and the time.
+// Sockets, wire formats and files are left to the implementations.
 #ifndef LIFTRUDDER_COORDINATOR_INTERFACES_H_
 #define LIFTRUDDER_COORDINATOR_INTERFACES_H_
 
@@ -22,27 +22,27 @@
 class EndpointTransport {
  public:
   virtual ~EndpointTransport() = default;
-  // Accepts an attempt. It may be sent as late as EndRound, so that shard requests of one round to one
+  // Accepts an attempt. Sending may be deferred until EndRound, so that shard requests of one round to one
   // endpoint can share a call.
   virtual void Start(AttemptRequest attempt) = 0;
-  // Sends what has been started since the last call.
+  // Sends the attempts that were started since the last call.
   virtual void EndRound() = 0;
-  // Ends the attempt now with `cause`, unless it has ended already. `endpoint` is the one it was started for.
+  // Ends the attempt now with `cause`, unless it has ended already. It was started for `endpoint`.
   virtual void CancelAttempt(const AttemptKey& key, const EndpointId& endpoint, Cause cause) = 0;
-  // Asks the endpoint to give the attempt up. The attempt ends once the endpoint has confirmed that, or
-  // otherwise as if it had not been asked.
+  // Asks the endpoint to cancel the attempt. The attempt ends when the endpoint confirms this, or else as it
+  // would have ended without the request.
   virtual void RequestCancellation(const AttemptKey& key) = 0;
   // Closes the endpoint's connections that carry no attempt.
   virtual void CloseIdle(const EndpointId& endpoint) = 0;
-  // Frees what is held for endpoints that are draining or removed and have no attempt in flight.
+  // Releases the resources held for endpoints that are draining or removed and have no attempt in flight.
   virtual void ReleaseRemovedEndpoints() = 0;
 };
 
 struct EndpointAddress {
   std::string id;    // the name in the endpoint list; empty: the endpoint is unknown
   std::string addr;  // "host:port"
-  // When its draining or removal was notified; no attempt may start from then on (no grace is added, it is
-  // not Settings::drain_grace_us). 0: neither.
+  // When its draining or removal was notified; no attempt may start from then on. Settings::drain_grace_us is
+  // not added. 0: neither was notified.
   Micros drain_deadline_us = 0;
 };
 
@@ -50,11 +50,11 @@
 class EndpointResolver {
  public:
   virtual ~EndpointResolver() = default;
-  // An address with an empty id for an endpoint that is unknown or forgotten.
+  // Returns an address with an empty id for an endpoint that is unknown or forgotten.
   virtual EndpointAddress Find(const EndpointId& endpoint) const = 0;
 };
 
-// Monotonic time in microseconds, of no particular origin. Thread-safe.
+// Monotonic time in microseconds from an unspecified origin. Thread-safe.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/src/coordinator/messages.cpp
+++ b/src/coordinator/messages.cpp
@@ -13,12 +13,12 @@
     case Cause::kEndpointRejected:
       return AttemptOutcome::kOverloaded;
     case Cause::kInvalidResponse:
-      // The endpoint is alive and has answered, though not usably: an error, not the loss of its process.
+      // The endpoint is alive but its response is unusable: an error rather than the loss of its process.
       return may_have_run ? AttemptOutcome::kError : AttemptOutcome::kConnectFailed;
     case Cause::kConnectionLost:
       return may_have_run ? AttemptOutcome::kReset : AttemptOutcome::kConnectFailed;
     case Cause::kCancelled:
-      // A frame that has been started is still written to its end, so the endpoint may yet run it.
+      // A partly written frame is still written completely, so the endpoint may run the attempt.
       return partly_written ? AttemptOutcome::kCancelled : AttemptOutcome::kNotSent;
     case Cause::kExpired:
       return partly_written ? AttemptOutcome::kTimeout : AttemptOutcome::kNotSent;
--- a/src/coordinator/messages.h
+++ b/src/coordinator/messages.h
@@ -1,6 +1,6 @@
 // The plain data that fronts, coordinator and transport exchange: queries, attempts and their results, final
-// answers. Contains no wire format and no I/O; objects of these types belong to one thread at a time, except
-// ClientPresence.
+// answers. Independent of wire formats and I/O. An object belongs to one thread at a time, except for
+// ClientPresence and the immutable Payload.
 #ifndef LIFTRUDDER_COORDINATOR_MESSAGES_H_
 #define LIFTRUDDER_COORDINATOR_MESSAGES_H_
 
@@ -23,10 +23,10 @@
 using routing::Id;
 using routing::Micros;
 
-// One shard's share of a query, as its client asked for it.
+// The part of a query that goes to one shard, as the client requested it.
 struct ShardRequest {
   int shard = 0;
-  double weight = 0;      // of the query's coverage
+  double weight = 0;      // share of the query's coverage
   Micros work_us = 0;     // expected work; 0: the client did not state it
   std::uint64_t key = 0;  // for key affinity
 };
@@ -42,17 +42,17 @@
   std::atomic<bool> disconnected_{false};
 };
 
-// What each shard request of a query carries to its endpoint, byte for byte as the client sent it. Shared and
-// immutable once the query has been admitted.
+// The part of a query that all of its shard requests send to their endpoints. Shared and immutable once the
+// query has been admitted.
 struct Payload {
   std::string call_id;
-  std::string idempotency_key;  // empty unless the class is idempotent with a key
+  std::string idempotency_key;  // empty unless the class requires one
   std::string statement;
-  std::string target;                            // index name, for fronts that have one
+  std::string target;  // path and parameters of the HTTP request to the endpoint; search fronts only
   std::shared_ptr<const ClientPresence> client;  // null: the client's presence is not tracked
 };
 
-// A query as a front hands it over for admission.
+// A query as a front submits it for admission.
 struct QueryRequest {
   int class_index = 0;
   bool is_retry = false;
@@ -73,11 +73,11 @@
   std::string value;
 };
 
-// The one answer that a query gets.
+// The single answer to a query.
 struct FinalAnswer {
   Verdict verdict = Verdict::kFailed;
   bool complete = false;
-  Micros retry_after_us = 0;  // of a rejected query; 0: no advice
+  Micros retry_after_us = 0;  // for a rejected query; 0: not given
   std::vector<ShardResponse> shard_responses;
   int shard_requests = 0;    // of the query, answered or not
   bool cut_by_time = false;  // partial because the latency objective was reached, not for lack of endpoints
@@ -101,7 +101,7 @@
   std::shared_ptr<const Payload> payload;
 };
 
-// How an attempt ended, as the transport saw it.
+// How an attempt ended, as the transport observed it.
 struct AttemptResult {
   AttemptKey key;
   Progress progress = Progress::kNotConnected;
@@ -110,11 +110,11 @@
   std::string value;         // the response, if the endpoint gave one
 };
 
-// Classifies the end of an attempt for the router: in particular whether the endpoint may have run it.
+// Returns the outcome of an ended attempt for the router, which shows whether the endpoint may have run it.
 AttemptOutcome OutcomeOf(Progress progress, Cause cause);
 
-// A query answered by a response to a client. `status`: the query's own status where it has one, as in a
-// multi-search; otherwise 0.
+// A query that a response to a client answers. `status`: the query's own HTTP status where it has one, as in
+// a multi-search; otherwise 0.
 struct AnsweredQuery {
   Id query = 0;
   int status = 0;
--- a/src/coordinator/query_completion.cpp
+++ b/src/coordinator/query_completion.cpp
@@ -1,4 +1,4 @@
-// Query completion: the router's final decision on a query goes to its client, at once and only once.
+// Query completion: delivers the router's final decision on a query to its client, immediately and only once.
 #include "coordinator/coordinator.h"
 
 namespace liftrudder::coordinator {
--- a/src/coordinator/round_pacer.h
+++ b/src/coordinator/round_pacer.h
@@ -1,9 +1,9 @@
-// Decides when the next decision round may begin, from how long the last one took. It has no clock, no thread
-// and no lock of its own.
+// Decides when the next decision round may begin, based on how long the last one took. Times are
+// arguments. Not thread-safe.
 //
-// A round costs the more, the more endpoints and shard requests there are, and a wide query's responses
-// arrive all the time. On a small share of a core a round for every decision interval would use most of it,
-// so rounds for responses and timers are spread out, up to a bound.
+// The cost of a round grows with the number of endpoints and shard requests, and the responses to a wide
+// query arrive continuously. Where only a fraction of a core is available, a round in every decision interval
+// would use most of it, so rounds for responses and timers are spaced out, up to a maximum gap.
 #ifndef LIFTRUDDER_COORDINATOR_ROUND_PACER_H_
 #define LIFTRUDDER_COORDINATOR_ROUND_PACER_H_
 
@@ -17,20 +17,20 @@
  public:
   using Micros = routing::Micros;
 
-  // Regular rounds may take this fraction of the time.
+  // The fraction of the time that regular rounds may take.
   static constexpr double kRoundTimeFraction = 0.1;
-  // The gap between regular rounds is at most this fraction of the shortest latency objective: the most by
-  // which a response may be delayed.
+  // The maximum gap between regular rounds, as a fraction of the shortest latency objective. It bounds the
+  // delay of a response; a longer decision interval takes precedence.
   static constexpr double kMaxGapFraction = 0.01;
 
   explicit RoundPacer(const routing::Settings& settings)
       : decision_interval_us_(settings.decision_interval_us), gap_us_(settings.decision_interval_us) {
-    Micros shortest_us = settings.classes.empty() ? 0 : settings.classes[0].latency_objective_us;
+    Micros shortest_objective_us = settings.classes.empty() ? 0 : settings.classes[0].latency_objective_us;
     for (const routing::QueryClassSettings& query_class : settings.classes) {
-      shortest_us = std::min(shortest_us, query_class.latency_objective_us);
+      shortest_objective_us = std::min(shortest_objective_us, query_class.latency_objective_us);
     }
-    auto most_us = static_cast<Micros>(kMaxGapFraction * static_cast<double>(shortest_us));
-    max_gap_us_ = std::max(decision_interval_us_, most_us);
+    auto gap_bound_us = static_cast<Micros>(kMaxGapFraction * static_cast<double>(shortest_objective_us));
+    max_gap_us_ = std::max(decision_interval_us_, gap_bound_us);
   }
 
   void OnRoundStarted(Micros now_us) { started_us_ = now_us; }
@@ -39,9 +39,10 @@
     gap_us_ = std::clamp(gap_us, decision_interval_us_, max_gap_us_);
   }
 
-  // When a round may begin for an arrival or a change of endpoints, for which a client or a drain waits.
+  // When a round may begin for urgent input. A client or a drain waits for it, as for a new query or an
+  // endpoint list update.
   Micros NextUrgentRound() const { return started_us_ + decision_interval_us_; }
-  // When a round may begin for responses and timers, of which one round handles many.
+  // When a round may begin for responses and timers, many of which one round can handle.
   Micros NextRegularRound() const { return started_us_ + gap_us_; }
   // When the last round began; 0 before the first.
   Micros LastRoundStarted() const { return started_us_; }
--- a/src/coordinator/round_scheduler.cpp
+++ b/src/coordinator/round_scheduler.cpp
@@ -8,14 +8,14 @@
 namespace liftrudder::coordinator {
 namespace {
 
-// Bounds each sleep, whatever the clock does.
+// The upper limit of each sleep, independent of the clock.
 constexpr Micros kMaxSleepUs = 1'000'000;
-// How long notes of fronts wait for the decision log when no round takes them in before.
-constexpr Micros kNotesWaitUs = 100'000;
+// How long events from fronts wait to be recorded in the decision log when no round records them earlier.
+constexpr Micros kFrontEventWaitUs = 100'000;
 constexpr auto kMaxRefreshWait = std::chrono::milliseconds(200);
 
-// A client or an endpoint waits for these, or they spare endpoints work. Results of attempts can be handled
-// together.
+// A client or an endpoint waits for an urgent input, or handling it saves endpoints work. Attempt results are
+// not urgent: one round can handle many of them.
 bool IsUrgent(const Input& input) { return !std::holds_alternative<AttemptResult>(input); }
 
 }  // namespace
@@ -57,12 +57,12 @@
 }
 
 RoundScheduler::Batch RoundScheduler::WaitForBatch(Micros next_timer_us,
-                                                   const std::function<bool()>& notes_queued) {
+                                                   const std::function<bool()>& front_events_queued) {
   std::unique_lock lock(mutex_);
   while (true) {
     Micros now_us = clock_.Now();
     Micros due_us = next_timer_us;
-    if (notes_queued()) due_us = std::min(due_us, pacer_.LastRoundStarted() + kNotesWaitUs);
+    if (front_events_queued()) due_us = std::min(due_us, pacer_.LastRoundStarted() + kFrontEventWaitUs);
     Micros next_round_us = NextRound(due_us);
     if (now_us >= next_round_us || stopping_) break;
     sleeping_until_us_ = std::min(next_round_us, now_us + kMaxSleepUs);
--- a/src/coordinator/round_scheduler.h
+++ b/src/coordinator/round_scheduler.h
@@ -1,6 +1,6 @@
-// The queue in front of the coordinator thread, and the sleep between two decision rounds. Decides when a
-// round begins (with RoundPacer) and wakes the thread only for what begins a round sooner than planned: many
-// responses are handled by one round and need not wake it one by one.
+// The input queue of the coordinator thread, and its sleep between two decision rounds. Decides when a round
+// begins (with RoundPacer) and wakes the thread only for inputs that make a round begin earlier than planned:
+// one round handles many responses, so each of them need not wake the thread.
 //
 // WaitForBatch and FinishRound are called on the coordinator thread alone; the rest is thread-safe.
 #ifndef LIFTRUDDER_COORDINATOR_ROUND_SCHEDULER_H_
@@ -23,26 +23,26 @@
   // The input of one round.
   struct Batch {
     std::vector<Input> inputs;
-    std::uint64_t refresh_number = 0;  // of the newest refresh that the end of this round completes
+    std::uint64_t refresh_number = 0;  // the newest refresh request that this round completes
   };
 
   RoundScheduler(const routing::Settings& settings, const Clock& clock);
 
-  // Never refuses: the number of inputs is bounded by what was admitted and by the endpoint lists.
+  // Queues an input. Never fails: admission and the endpoint lists bound the number of queued inputs.
   void Post(Input input);
-  // Ends every wait; no round begins after it that has not begun yet.
+  // Ends every wait; the coordinator thread begins no further round.
   void Stop();
   bool Stopping() const;
-  // Makes the coordinator thread look at what is due, if it is asleep.
+  // Wakes the coordinator thread to check again whether a round is due.
   void Wake() { wake_.notify_one(); }
-  // Has a round begin soon and waits for its end, 200 ms at most.
+  // Requests an urgent round and waits for its end, for at most 200 ms.
   void RefreshAndWait();
 
-  // Sleeps until the next round may begin, then takes everything that is queued. `next_timer_us`: when the
-  // next timer is due. `notes_queued`: whether the decision log has notes from fronts to take in; it is asked
-  // again after each wake-up, with the lock held.
-  Batch WaitForBatch(Micros next_timer_us, const std::function<bool()>& notes_queued);
-  // Ends the round of the batch with this refresh number.
+  // Sleeps until the next round may begin, then returns all queued inputs. `next_timer_us`: when the next
+  // timer is due. `front_events_queued`: whether events from fronts wait to be recorded in the decision log;
+  // called again after each wake-up, with the lock held.
+  Batch WaitForBatch(Micros next_timer_us, const std::function<bool()>& front_events_queued);
+  // Ends the round whose batch has this refresh number.
   void FinishRound(std::uint64_t refresh_number);
 
  private:
@@ -59,8 +59,8 @@
   RoundPacer pacer_;
   std::deque<Input> queue_;
   bool stopping_ = false;
-  bool urgent_ = false;           // the queue holds something that must not wait for a regular round
-  Micros sleeping_until_us_ = 0;  // 0: the coordinator thread is awake and will see the queue
+  bool urgent_ = false;           // the queue holds an input that must not wait for a regular round
+  Micros sleeping_until_us_ = 0;  // 0: the coordinator thread is awake and will check the queue
   std::uint64_t refreshes_requested_ = 0;
   std::uint64_t refreshes_done_ = 0;
 };
--- a/tests/coordinator/endpoint_registry_test.cpp
+++ b/tests/coordinator/endpoint_registry_test.cpp
@@ -17,7 +17,7 @@
   a.endpoint.availability = Availability::kDraining;
   CHECK_FALSE(registry.Apply({4, EndpointListKind::kDelta, {a}}, 20));
   REQUIRE(registry.Apply({5, EndpointListKind::kDelta, {a}}, 30));
-  // At once: how long before its notification the draining began is unknown.
+  // Without a grace period, as how long before its notification the draining began is unknown.
   auto drain_deadline_us = registry.Find(id).drain_deadline_us;
   CHECK(drain_deadline_us == 30);
   a.endpoint.availability = Availability::kRemoved;
@@ -27,11 +27,11 @@
   a.endpoint.availability = Availability::kReady;
   CHECK(registry.Apply({7, EndpointListKind::kFull, {a}}, 600'000)->endpoints[0].id == id);
   CHECK(registry.Find(id).addr == "127.0.0.1:9");
-  // b is not in a full list: it is removed.
+  // b is missing from the full list, so it is removed.
   CHECK(registry.Find(cached->endpoints[1].id).drain_deadline_us > 0);
 }
 
-TEST_CASE("only a list that came since the start ends the wait for one") {
+TEST_CASE("a cached list does not end the wait for the first list; any other list or MarkUpToDate does") {
   EndpointRegistry registry;
   EndpointEntry a{"a", "127.0.0.1:1", {}};
   registry.Apply({4, EndpointListKind::kCached, {a}}, 10);
@@ -43,7 +43,7 @@
   CHECK(polled.WaitUntilUpToDate(20'000'000));
 }
 
-TEST_CASE("an endpoint removed long ago is forgotten, and is a new one when it comes back") {
+TEST_CASE("an endpoint removed long ago is forgotten and gets a new id when it is listed again") {
   EndpointRegistry registry;
   EndpointEntry a{"a", "127.0.0.1:1", {}};
   EndpointEntry removed = a;
