--- a/src/limits/jitter.h
+++ b/src/limits/jitter.h
@@ -1,5 +1,5 @@
-// Random delays that keep a fleet's coordinators, or the clients of one, from acting at the same moment. The
-// same seed gives the same sequence. Not thread-safe.
+// Random delays that keep the coordinators of a fleet, or the clients of one coordinator, from acting at the
+// same time. The same seed gives the same sequence. Not thread-safe.
 #ifndef LIFTRUDDER_LIMITS_JITTER_H_
 #define LIFTRUDDER_LIMITS_JITTER_H_
 
@@ -13,7 +13,7 @@
 
   explicit Jitter(std::uint64_t seed) : state_(seed) {}
 
-  // A duration in [0, span_us), each one equally likely; 0 when the span is not positive.
+  // Returns a uniformly random duration in [0, span_us); 0 when the span is not positive.
   Micros Within(Micros span_us);
 
  private:
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -8,16 +8,16 @@
 namespace liftrudder::limits {
 namespace {
 
-constexpr double kBucketSeconds = 1;   // a bucket holds what its rate yields in this time
-constexpr double kPoolSeconds = 0.25;  // and the lending pool what the total rate yields in this
+constexpr double kBucketSeconds = 1;   // capacity of a bucket, in seconds of its rate
+constexpr double kPoolSeconds = 0.25;  // capacity of the lending pool, in seconds of the total rate
 constexpr double kMicrosPerSecond = 1e6;
-// A tenant above its share of the queries in flight is admitted only below this fraction of all of them, so
-// that a tenant below its share always finds capacity.
+// A tenant that has used up its share of max_in_flight is admitted only while the queries in flight are below
+// this fraction of it. The rest of the capacity is kept for tenants below their share.
 constexpr double kLendableInFlightFraction = 0.7;
 // Retry-After is lengthened at random by up to this fraction.
 constexpr double kRetryJitterFraction = 0.25;
 
-// Tenants' names contain no NUL: the reader of the permission table checks that.
+// The NUL separates the names unambiguously: the permission table rejects tenants' names that contain one.
 std::string CallerKey(std::string_view tenant, std::string_view caller) {
   std::string key(tenant);
   key += '\0';
@@ -34,7 +34,7 @@
 void TenantQuotas::SetWeights(const TenantWeights& weights) {
   double sum = 0;
   for (const auto& [name, weight] : weights) sum += weight;
-  // A removed tenant stays, without a rate, as long as a query of it is in flight.
+  // A removed tenant stays, with a rate of 0, as long as it has queries in flight.
   for (auto& [name, tenant] : tenants_) tenant.share = 0;
   std::erase_if(tenants_, [&](const auto& entry) {
     return entry.second.bucket.in_flight == 0 && !weights.contains(entry.first);
@@ -85,13 +85,13 @@
   return found->second;
 }
 
-// Rejected queries are asked to come back one after the other, as the bucket can take them, and a little
-// apart.
-TenantQuotas::Decision TenantQuotas::Reject(Tenant& tenant, double missing, double rate, Micros now_us) {
+// Staggers the retries of rejected queries: each is to come when the bucket has refilled enough for it and
+// for those rejected before, plus jitter.
+TenantQuotas::Decision TenantQuotas::Reject(Tenant& tenant, double shortfall, double rate, Micros now_us) {
   if (rate <= 0) return {false, settings_.max_retry_after_us};
-  Micros from_us = std::max(tenant.promised_us, now_us);
-  Micros until_us = from_us + static_cast<Micros>(std::ceil(missing / rate * kMicrosPerSecond));
-  tenant.promised_us = std::min(until_us, now_us + settings_.max_retry_after_us);
+  Micros from_us = std::max(tenant.last_retry_us, now_us);
+  Micros until_us = from_us + static_cast<Micros>(std::ceil(shortfall / rate * kMicrosPerSecond));
+  tenant.last_retry_us = std::min(until_us, now_us + settings_.max_retry_after_us);
   Micros wait_us = until_us - now_us;
   wait_us += jitter_.Within(static_cast<Micros>(kRetryJitterFraction * static_cast<double>(wait_us)));
   return {false, std::clamp<Micros>(wait_us, 1, settings_.max_retry_after_us)};
@@ -114,19 +114,19 @@
   Caller& caller = FindOrAddCaller(CallerKey(tenant_name, caller_name), caller_rate, now_us);
   Refill(caller.bucket, caller_rate, now_us);
 
-  // A query larger than a bucket is admitted by a full one, which then owes the rest.
-  double tenant_missing = std::min(cost, rate * kBucketSeconds) - tenant.bucket.tokens;
-  double caller_missing = std::min(cost, caller_rate * kBucketSeconds) - caller.bucket.tokens;
-  bool tenant_exhausted = tenant_missing > 0;
-  bool from_pool = tenant_exhausted || caller_missing > 0;
+  // A query larger than a bucket is admitted when the bucket is full, and leaves its tokens below 0.
+  double tenant_shortfall = std::min(cost, rate * kBucketSeconds) - tenant.bucket.tokens;
+  double caller_shortfall = std::min(cost, caller_rate * kBucketSeconds) - caller.bucket.tokens;
+  bool tenant_exhausted = tenant_shortfall > 0;
+  bool from_pool = tenant_exhausted || caller_shortfall > 0;
   if (from_pool && lending_pool_ < cost) {
-    return tenant_exhausted ? Reject(tenant, tenant_missing, rate, now_us)
-                            : Reject(tenant, caller_missing, caller_rate, now_us);
+    return tenant_exhausted ? Reject(tenant, tenant_shortfall, rate, now_us)
+                            : Reject(tenant, caller_shortfall, caller_rate, now_us);
   }
-  // When a query in flight will end is unknown; the tenant's own rate is taken as the measure.
+  // When a query in flight will end is unknown, so the wait is estimated from the tenant's own rate.
   if (!HasCapacityFor(tenant)) return Reject(tenant, std::max(cost, 1.0), rate, now_us);
 
-  // What comes from the pool is not charged to the caller: nobody waits for it.
+  // Work from the pool is charged to neither the tenant nor the caller, as no one else waits for it.
   if (from_pool) {
     lending_pool_ -= cost;
   } else {
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -1,4 +1,5 @@
-// What is harmless from one coordinator and hurts from a hundred: whole fleets of backoffs in virtual time.
+// Simulates the backoffs of whole fleets in virtual time: guards against waits that are harmless for one
+// coordinator but overload a service when a hundred coordinators use them.
 #define CATCH_CONFIG_MAIN
 #include <rapidcheck.h>
 
@@ -18,7 +19,7 @@
 using liftrudder::routing::Settings;
 using Micros = Backoff::Micros;
 
-TEST_CASE("a wait stays under a bound that doubles up to the cap, and a success resets it") {
+TEST_CASE("a wait stays below a bound that doubles up to a maximum, and a success resets the bound") {
   rc::check([] {
     Micros first_us = *rc::gen::inRange<Micros>(1, 1'000'000);
     Micros max_us = first_us * *rc::gen::inRange<Micros>(1, 100);
@@ -38,8 +39,8 @@
 
 namespace {
 
-// A list service of fixed capacity that a fleet calls. Calls wait in turn and are rejected when they have
-// waited too long; a rejection takes a part of the time that an answer takes.
+// An endpoint list service of fixed capacity that a fleet calls. Calls are queued, and rejected when they
+// have waited too long; a rejection takes less of the service's time than an answer.
 struct ListService {
   static constexpr int kFleetSize = 100;
   static constexpr Micros kAnswerUs = 25'000;
@@ -54,28 +55,28 @@
     auto operator<=>(const Call&) const = default;
   };
 
-  // When the last coordinator of the fleet was answered, all started at 0; -1: not within a minute.
-  // `initial_delay` and `backoff` say how long a coordinator waits before its first call and after a failure.
+  // Returns when the last coordinator of a fleet started at time 0 was answered; -1: not within a minute.
+  // `initial_delay` and `backoff`: how long a coordinator waits before its first call and after a failure.
   static Micros AllAnsweredAt(const std::function<Micros(int)>& initial_delay,
                               const std::function<Micros(int)>& backoff) {
     std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
     for (int i = 0; i < kFleetSize; ++i) calls.push({initial_delay(i), i});
-    Micros free_us = 0;
+    Micros free_at_us = 0;
     int answered = 0;
     while (!calls.empty() && calls.top().at_us < kEndUs) {
       Call call = calls.top();
       calls.pop();
-      Micros turn_us = std::max(free_us, call.at_us);
-      bool rejected = turn_us - call.at_us > kMaxQueueingUs;
+      Micros service_start_us = std::max(free_at_us, call.at_us);
+      bool rejected = service_start_us - call.at_us > kMaxQueueingUs;
       if (rejected) {
-        // The caller learns of a rejection at once; what it costs is taken from the time of the others.
-        free_us += kRejectionUs;
+        // The caller learns of the rejection immediately; its cost delays the calls that follow.
+        free_at_us += kRejectionUs;
         calls.push({call.at_us + backoff(call.coordinator), call.coordinator});
         continue;
       }
-      free_us = turn_us + kAnswerUs;
+      free_at_us = service_start_us + kAnswerUs;
       ++answered;
-      if (answered == kFleetSize) return free_us;
+      if (answered == kFleetSize) return free_at_us;
     }
     return -1;
   }
@@ -114,9 +115,9 @@
 
 }  // namespace
 
-// Restarted during a release: what the agent has counts as notified from the start, and what changes while
-// the agent is not called counts from when it changes. A request sent 1 s after that is void.
-TEST_CASE("a local agent is called within a fourth of the grace period, whatever the fleet's size") {
+// Guards against long waits after a restart during a release: a change counts as notified as soon as the
+// agent has it, even while the coordinator does not call it, and no request may be sent 1 s after that.
+TEST_CASE("a local agent is called within a quarter of the grace period, whatever the size of the fleet") {
   for (int size : {1, 100, 300, 3000}) {
     Settings settings = FleetSettings(size, false);
     WatchTimeouts timeouts = WatchTimeoutsOf(settings);
@@ -132,7 +133,7 @@
   }
 }
 
-TEST_CASE("a shared list service is called by a fleet of 300 as by one of 100, spread wider") {
+TEST_CASE("a fleet of 300 spreads its calls to a shared list service at least as widely as one of 100") {
   WatchTimeouts hundred = WatchTimeoutsOf(FleetSettings(100, true));
   WatchTimeouts three_hundred = WatchTimeoutsOf(FleetSettings(300, true));
   CHECK(hundred.initial_delay_us == 3'000'000);
--- a/tests/limits/tenant_quotas_test.cpp
+++ b/tests/limits/tenant_quotas_test.cpp
@@ -28,7 +28,7 @@
   return settings;
 }
 
-// Tenants that send queries at their own rates; each admitted one stays in flight for `duration_us`.
+// Tenants that send queries, each at its own rate; an admitted query stays in flight for `duration_us`.
 struct Load {
   struct InFlight {
     Micros ends_us = 0;
@@ -40,8 +40,8 @@
 
   explicit Load(const TenantQuotaSettings& settings) : quotas(settings, 1) {}
 
-  // `per_s` queries of one work each, until `end_us`: those of tenant "a" from `callers_of_a` callers in
-  // turn, the others' from four.
+  // Sends queries of one unit of work at the rates in `per_s` until `end_us`. The queries of tenant "a" come
+  // from `callers_of_a` callers in turn, those of any other tenant from four.
   void Run(const std::map<std::string, double>& per_s, Micros end_us, int callers_of_a = 4) {
     std::map<std::string, Micros> next_us;
     for (const auto& [tenant, rate] : per_s) next_us[tenant] = now_us;
@@ -80,12 +80,12 @@
   Load load(FourTenants());
   load.Run({{"a", 2000}, {"b", 95}, {"c", 95}, {"d", 95}}, 11 * kSecond);
   for (const char* other : {"b", "c", "d"}) CHECK(load.rejected[other] == 0);
-  // It gets its own quota, and what the others leave.
+  // It gets its own quota and what the others leave unused.
   CHECK(load.admitted["a"] > 0.95 * (400 - 3 * 95) * 10);
   CHECK(load.admitted["a"] < 1.15 * (400 - 3 * 95) * 10 + 200);
 }
 
-TEST_CASE("unused quota is lent, and available again within a second to its owner") {
+TEST_CASE("unused quota is lent, and its owner has it back within a second") {
   Load load(FourTenants());
   load.Run({{"a", 2000}}, 6 * kSecond);
   CHECK(load.admitted["a"] > 0.95 * 400 * 5);
@@ -98,11 +98,11 @@
   CHECK(load.admitted["a"] < 1.1 * 103 * 10);
 }
 
-TEST_CASE("no caller starves another of its tenant, and a lone caller may use what is lent") {
+TEST_CASE("no caller starves another one of its tenant, and a single caller may use the lending pool") {
   Load load(FourTenants());
   for (Micros end = 2 * kSecond; end <= 6 * kSecond; end += kSecond) {
     load.Run({{"a", 1000}, {"b", 100}, {"c", 100}, {"d", 100}}, end - 100 * kMs, 1);
-    // The greedy caller may use all that the others of its tenant leave; one of them is admitted at once.
+    // The greedy caller may use all that its tenant's other callers leave; one of those is admitted now.
     for (int i = 0; i < 5; ++i) {
       CHECK(load.quotas.Admit("a", "quiet", 1, load.now_us).admitted);
       load.quotas.Release("a", "quiet");
@@ -127,7 +127,7 @@
   CHECK(quotas.InFlight() == 100);
 }
 
-TEST_CASE("rejected queries are asked back one after the other, not together") {
+TEST_CASE("the retries of rejected queries are staggered") {
   TenantQuotas quotas(FourTenants(), 7);
   std::multiset<Micros> retry_after_us;
   for (int i = 0; i < 1000; ++i) {
@@ -136,7 +136,7 @@
     if (!decision.admitted) retry_after_us.insert(decision.retry_after_us);
   }
   REQUIRE(retry_after_us.size() > 700);
-  // The bucket gains 100 a second: no tenth of a second has many more than ten of them.
+  // The bucket gains 100 tokens per second, so no 100 ms hold many more than ten retries.
   for (Micros from = 0; from < 5 * kSecond; from += 100 * kMs) {
     CHECK(std::distance(retry_after_us.lower_bound(from), retry_after_us.lower_bound(from + 100 * kMs)) < 25);
   }
@@ -179,7 +179,7 @@
       max_cost = std::max(max_cost, cost);
       in_flight.push_back({tenant, caller});
       RC_ASSERT(static_cast<int>(in_flight.size()) <= settings.max_in_flight);
-      // The full buckets and the pool at the start, what came in since, and one debt of each tenant.
+      // The full buckets and the pool at the start, the refill since, and one query of debt per tenant.
       double limit =
           settings.work_per_s * (1.25 + static_cast<double>(now - kSecond) / 1e6) + tenants * max_cost;
       RC_ASSERT(admitted_cost <= limit + 1e-6);
@@ -189,7 +189,7 @@
   });
 }
 
-TEST_CASE("a removed tenant may finish its queries and gets no more, and idle callers' buckets are evicted") {
+TEST_CASE("a removed tenant may finish its queries but gets no more, and idle callers' buckets are evicted") {
   TenantQuotas quotas(FourTenants(), 1);
   REQUIRE(quotas.Admit("a", "x", 1, kSecond).admitted);
   quotas.SetWeights({{"b", 1}});
