--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// The process's log: one line a call to standard error, with the time in seconds and a level. No files, no
-// rotation, no filtering. Thread-safe.
+// The process log: each call writes one line to standard error, with the Unix time in seconds and a level. No
+// files, rotation or filtering. Thread-safe.
 #ifndef LIFTRUDDER_LOG_LOG_H_
 #define LIFTRUDDER_LOG_LOG_H_
 
@@ -10,7 +10,7 @@
 
 namespace liftrudder::log {
 
-// Writes one line. A log that cannot be written is ignored.
+// Writes one line; write errors are ignored.
 void Write(std::string_view level, std::string_view text);
 
 template <typename... Args>
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,4 @@
-// Counters of the whole process: what was admitted, sent and answered. Printed on request and at the end; no
+// Process-wide counters of requests, queries, attempts and connections. Printed on request and at exit; no
 // decision reads them. Thread-safe.
 #ifndef LIFTRUDDER_METRICS_METRICS_H_
 #define LIFTRUDDER_METRICS_METRICS_H_
@@ -10,7 +10,7 @@
 
 namespace liftrudder::metrics {
 
-// A number that threads count up, or set. Orders no other memory access.
+// A number that any thread may add to or set, with relaxed memory order.
 class Counter {
  public:
   void Set(std::int64_t value) { value_.store(value, std::memory_order_relaxed); }
@@ -24,20 +24,20 @@
 struct Counters {
   // Requests and queries of clients.
   Counter queries_admitted;
-  Counter rejected_at_intake;  // over a limit, before they became queries
-  Counter malformed;           // requests
-  Counter denied;              // requests without the permission
+  Counter rejected_at_intake;  // over a limit: requests, queries and connections
+  Counter malformed;           // invalid requests, incomplete and pipelined ones included
+  Counter denied;              // requests without the required permission
   Counter evicted;             // client connections closed to make room for others
   Counter clients_disconnected;
 
-  // Queries, by the answer that their clients got.
+  // Queries, by the answer given to their clients.
   Counter complete_answers;
   Counter partial_answers;
   Counter rejected_answers;
   Counter failed_answers;
   Counter late;  // answered by the front, as the coordinator's answer did not come in time
 
-  // Attempts; retried ones are among those sent.
+  // Attempts. Those after the first of a shard request, hedged ones included, count in both.
   Counter attempts_sent;
   Counter attempts_retried;
   std::array<Counter, 8> outcomes;  // by routing::AttemptOutcome
@@ -45,10 +45,10 @@
   // Connections to endpoints.
   Counter connects;
   Counter connects_failed;
-  Counter malformed_responses;  // connections closed because what came on them could not be read
+  Counter malformed_responses;  // connections closed because of an unreadable response
 
   Counter rounds;          // decision rounds
-  Counter endpoint_lists;  // received, full ones and changes
+  Counter endpoint_lists;  // endpoint lists received, full ones and deltas
 
   // One line for each counter: its name, a space, its value.
   std::string Text() const;
--- a/src/metrics/operator_figures.h
+++ b/src/metrics/operator_figures.h
@@ -1,6 +1,6 @@
 // The figures that operators' tools fetch from the admin server: requests and attempts by class, and the
-// state of the cluster. Each request and each attempt is counted once, where it ends; no decision reads the
-// figures. Thread-safe.
+// state of the cluster. A request is counted once, when it ends, and an attempt once, when it has been
+// written completely. No decision reads the figures. Thread-safe.
 #ifndef LIFTRUDDER_METRICS_OPERATOR_FIGURES_H_
 #define LIFTRUDDER_METRICS_OPERATOR_FIGURES_H_
 
@@ -17,23 +17,23 @@
     Counter answered;
     Counter rejected;
     Counter failed;
-    Counter sends;  // attempts sent
+    Counter sends;  // attempts written completely
   };
 
   // `classes`: the names of the query classes, by class index.
   explicit OperatorFigures(std::vector<std::string> classes);
 
-  // The figures of a class, by its index or name; null when there is no such class. Valid as long as this.
+  // The figures of a class, by its index or name; null when there is no such class. Owned by this object.
   ClassFigures* Of(int class_index);
   ClassFigures* Of(const std::string& class_name);
-  // Counts a request by the HTTP status that its client was given; nothing when `figures` is null.
+  // Counts a request by the HTTP status of its response; does nothing when `figures` is null.
   static void CountAnswer(ClassFigures* figures, int status);
 
   Counter current;            // requests in progress
   Counter cluster_size;       // endpoints listed
-  Counter cluster_unhealthy;  // of these, endpoints that are avoided
+  Counter cluster_unhealthy;  // of these, endpoints that the router avoids
 
-  // The figures in the text format of Prometheus.
+  // Returns the figures in the Prometheus text format.
   std::string Text() const;
 
  private:
--- a/src/metrics/wire_names.h
+++ b/src/metrics/wire_names.h
@@ -1,4 +1,4 @@
-// The names under which figures are printed. Scrapers and operators' tools match them: they never change.
+// The names under which counters and figures are printed. They never change, as operators' tools match them.
 #ifndef LIFTRUDDER_METRICS_WIRE_NAMES_H_
 #define LIFTRUDDER_METRICS_WIRE_NAMES_H_
 
