--- a/src/coordinator/round_scheduler.cpp
+++ b/src/coordinator/round_scheduler.cpp
@@ -10,7 +10,8 @@
 
 // The upper limit of each sleep, independent of the clock.
 constexpr Micros kMaxSleepUs = 1'000'000;
-// How long events from fronts wait to be recorded in the decision log when no round records them earlier.
+// While events from fronts are queued, a round begins at most this long after the last one. The queue is
+// checked when a sleep begins or ends, so a sleep that has already begun may add up to kMaxSleepUs.
 constexpr Micros kFrontEventWaitUs = 100'000;
 constexpr auto kMaxRefreshWait = std::chrono::milliseconds(200);
 
