--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -11,11 +11,11 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr int kMaxPerTurn = 16;                   // connections accepted, and events handled, in one turn
-constexpr int kPollMs = 100;                      // at least this often it looks for expired connections
-constexpr Micros kRequestTimeout = 1'500'000;     // from accepting to the end of the request
-constexpr Micros kLingerTime = 1'000'000;         // from the response to the client's close
-constexpr std::size_t kMaxAdminBodyBytes = 4096;  // no request has a body that is used
+constexpr int kMaxPerTurn = 16;                   // events and accepted connections per loop iteration
+constexpr int kPollMs = 100;                      // longest time between checks for expired connections
+constexpr Micros kRequestTimeoutUs = 1'500'000;   // from accept to the end of the request
+constexpr Micros kLingerTimeUs = 1'000'000;       // from the response to the client's close
+constexpr std::size_t kMaxAdminBodyBytes = 4096;  // request bodies are ignored
 constexpr std::size_t kMaxRequestBytes = kMaxHeadBytes + kMaxAdminBodyBytes;
 
 HttpResponse MalformedRequest() {
@@ -29,8 +29,8 @@
 
 AdminServer::Connection::Connection() : parser(HttpParser::Kind::kRequest, kMaxAdminBodyBytes) {}
 
-AdminServer::AdminServer(Fd listener, Answer answer)
-    : answer_(std::move(answer)), listener_(std::move(listener)), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
+AdminServer::AdminServer(Fd listener, RequestHandler handler)
+    : handler_(std::move(handler)), listener_(std::move(listener)), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{EPOLLIN, {nullptr}};
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, listener_.Get(), &event);
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, waker_.fd().Get(), &event);
@@ -46,7 +46,7 @@
 void AdminServer::Run() {
   while (!stopping_) {
     epoll_event events[kMaxPerTurn];
-    // Without connections nothing can expire: it sleeps until one arrives and uses no processor time.
+    // Without connections nothing can expire: the thread blocks until one arrives and uses no CPU time.
     int count = ::epoll_wait(epoll_.Get(), events, kMaxPerTurn, connections_.empty() ? -1 : kPollMs);
     bool connection_pending = false;
     for (int i = 0; i < count; ++i) {
@@ -57,7 +57,7 @@
         HandleEvent(*connection);
       }
     }
-    // Accepting may close another connection, so all events that name one are handled before.
+    // Accepting may close another connection, so the events that point to connections are handled first.
     if (connection_pending) AcceptSome();
     CloseExpired(clock_.Now());
   }
@@ -65,18 +65,19 @@
 
 void AdminServer::HandleEvent(Connection& connection) {
   try {
-    if (connection.answered) {
+    if (connection.response_sent) {
       DiscardInput(connection);
     } else {
       Receive(connection);
     }
   } catch (const std::exception& error) {
-    log::Error("admin request: {}", error.what());
+    log::Error("error in an admin request, closing its connection: {}", error.what());
     Close(connection);
   }
 }
 
-// At the limit the oldest connection is closed: it has had the most time to send its request.
+// Accepts pending connections. At the connection limit, closes the oldest connection, which has had the most
+// time to send its request.
 void AdminServer::AcceptSome() {
   for (int i = 0; i < kMaxPerTurn; ++i) {
     Fd accepted = Accept(listener_, 0);
@@ -85,7 +86,7 @@
     auto connection = connections_.emplace(connections_.end());
     connection->self = connection;
     connection->fd = std::move(accepted);
-    connection->deadline_us = clock_.Now() + kRequestTimeout;
+    connection->deadline_us = clock_.Now() + kRequestTimeoutUs;
     epoll_event event{EPOLLIN | EPOLLRDHUP, {&*connection}};
     ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, connection->fd.Get(), &event);
   }
@@ -107,19 +108,19 @@
   if (state == HttpParser::State::kBad || connection.unparsed.size() > kMaxRequestBytes) {
     Reply(connection, MalformedRequest());
   } else if (state == HttpParser::State::kDone) {
-    Reply(connection, answer_(connection.parser.message()));
+    Reply(connection, handler_(connection.parser.message()));
   }
 }
 
-// A response fits into any socket's buffer, so a partial write means a client that does not read.
+// A response fits into the socket's send buffer, so a partial write means that the client does not read.
 void AdminServer::Reply(Connection& connection, const HttpResponse& response) {
   if (WriteAll(connection.fd, Format(response, true), 0).status != Io::kOk) {
     Close(connection);
     return;
   }
   ShutDownWriting(connection.fd);
-  connection.answered = true;
-  connection.deadline_us = clock_.Now() + kLingerTime;
+  connection.response_sent = true;
+  connection.deadline_us = clock_.Now() + kLingerTimeUs;
 }
 
 void AdminServer::Close(Connection& connection) { connections_.erase(connection.self); }
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,7 +1,7 @@
-// Serves short administrative requests at an address of its own: one request a connection, answered at once
-// by a function that does not block. One thread of its own does all of it, so that load on the other
-// listeners does not delay it. Clients that send nothing or stop half way are bounded in number, time and
-// bytes.
+// Serves administrative requests on a separate address: one request per connection, answered by a callback
+// that must not block. A dedicated thread does all work, so load on the other listeners does not delay it.
+// Connections are limited in number, time and bytes, so clients that send nothing or stop halfway hold few
+// resources.
 #ifndef LIFTRUDDER_NET_ADMIN_SERVER_H_
 #define LIFTRUDDER_NET_ADMIN_SERVER_H_
 
@@ -19,12 +19,13 @@
 class AdminServer {
  public:
   static constexpr int kMaxConnections = 12;
-  // Descriptors that it may hold: also the listener, a connection being accepted, the poll and the waker.
+  // The most descriptors that it holds: besides the connections, the listener, a connection being accepted,
+  // the epoll instance and the waker.
   static constexpr int kDescriptors = kMaxConnections + 4;
 
-  // Called on the server's thread, and on no other.
-  using Answer = std::function<HttpResponse(const HttpMessage& request)>;
-  AdminServer(Fd listener, Answer answer);
+  // Called on the server's thread only.
+  using RequestHandler = std::function<HttpResponse(const HttpMessage& request)>;
+  AdminServer(Fd listener, RequestHandler handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
@@ -35,7 +36,7 @@
     std::list<Connection>::iterator self;
     Fd fd;
     Micros deadline_us = 0;
-    bool answered = false;  // it is only read to its end, so that no reset loses the response
+    bool response_sent = false;  // input is now discarded, so that a reset does not lose the response
     HttpParser parser;
     std::string unparsed;
   };
@@ -49,14 +50,14 @@
   void Close(Connection& connection);
   void CloseExpired(Micros now_us);
 
-  const Answer answer_;
+  const RequestHandler handler_;
   const SteadyClock clock_;
   const Fd listener_;
   const Fd epoll_;
   const Waker waker_;
-  std::list<Connection> connections_;  // the server's thread's; the oldest first
+  std::list<Connection> connections_;  // server thread only; oldest first
   std::atomic<bool> stopping_{false};
-  Thread thread_;  // last: it uses everything above
+  Thread thread_;  // declared last: the thread uses all members above
 };
 
 }  // namespace liftrudder::net
--- a/src/net/attempt_registry.h
+++ b/src/net/attempt_registry.h
@@ -1,6 +1,5 @@
-// The attempts that a connection pool has accepted and not ended yet. It knows no connection and no socket;
-// it guarantees that each attempt ends in exactly one result. It has no lock of its own: the pool's lock
-// guards it.
+// Holds the attempts that a connection pool has accepted and that have not ended, and guarantees exactly one
+// result for each. Independent of connections and sockets. Guarded by the pool's lock.
 #ifndef LIFTRUDDER_NET_ATTEMPT_REGISTRY_H_
 #define LIFTRUDDER_NET_ATTEMPT_REGISTRY_H_
 
@@ -18,7 +17,7 @@
 using ConnectionId = std::uint64_t;
 constexpr ConnectionId kNoConnection = 0;
 
-// Receives the result of every attempt, under the pool's lock: it must not block and must not call the pool.
+// Receives the result of every attempt. Called under the pool's lock: must not block or call the pool.
 using ResultSink = std::function<void(coordinator::AttemptResult)>;
 
 struct Attempt {
@@ -26,7 +25,7 @@
   coordinator::Progress progress = coordinator::Progress::kNotConnected;
   ConnectionId connection = kNoConnection;  // set while its request is being written or is in flight
   coordinator::Micros queued_us = 0;
-  int broken_connections = 0;           // how many broke before the first byte of its request
+  int broken_connections = 0;           // connections that broke before its request's first byte was written
   bool cancellation_requested = false;  // by the coordinator, which still waits for the result
 };
 
@@ -35,10 +34,10 @@
   explicit AttemptRegistry(ResultSink sink) : sink_(std::move(sink)) {}
 
   void Add(coordinator::AttemptRequest request, coordinator::Micros now_us);
-  // Null when the attempt has ended. Valid until the attempt ends.
+  // Null if the attempt has ended. The pointer is valid until the attempt ends.
   Attempt* Find(const coordinator::AttemptKey& key);
   bool Contains(const coordinator::AttemptKey& key) const { return attempts_.contains(key); }
-  // Ends the attempt and passes its result on. Does nothing when it has ended already.
+  // Removes the attempt and passes its result to the sink. Does nothing if it has already ended.
   void Finish(const coordinator::AttemptKey& key, coordinator::Cause cause, EndpointResponse response = {});
   void FinishAll(coordinator::Cause cause);
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -5,8 +5,8 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr int kMaxReads = 16;                       // of the socket in one Read, kReadBytes each at most
-constexpr std::size_t kMaxSealedBytes = 16 * 1024;  // sealed at once: one TLS record
+constexpr int kMaxReads = 16;                                     // per Read, of at most kReadBytes each
+constexpr std::size_t kMaxRecordPlaintextBytes = 16 * 1024;       // encrypted at once: one TLS record
 constexpr char kInternalErrorAlert[] = "\x15\x03\x03\0\2\2\x50";  // RFC 8446 section 6: fatal, internal_error
 
 }  // namespace
@@ -25,12 +25,12 @@
     std::string arrived;
     std::string wire;
     Io status = ReadNow(fd_, arrived);
-    if (status == Io::kEnd) return Io::kError;  // TCP ended without TLS's close_notify
+    if (status == Io::kEnd) return Io::kError;  // TCP ended without a TLS close_notify
     if (status != Io::kOk) return status;
     if (channel_ == nullptr) channel_ = std::make_unique<TlsChannel>(context_);
     channel_->Feed(arrived, plain, wire);
-    // A handshake's flight fits into any socket's buffer, so a partial write means a client that does not
-    // read.
+    // A handshake flight fits into the socket's send buffer, so a partial write means that the client does
+    // not read.
     if (!wire.empty() && WriteAll(fd_, wire, 0).status != Io::kOk) return Io::kError;
   }
   return plain.size() > size_before ? Io::kOk : Io::kTimeout;
@@ -43,7 +43,7 @@
   Written written;
   std::string wire;
   while (written.bytes < plain.size()) {
-    std::string_view next = plain.substr(written.bytes, kMaxSealedBytes);
+    std::string_view next = plain.substr(written.bytes, kMaxRecordPlaintextBytes);
     wire.clear();
     if (channel_ == nullptr || !channel_->Seal(next, wire)) return {Io::kError, written.bytes};
     Io status = WriteAll(fd_, wire, std::max<Micros>(0, until_us - clock.Now())).status;
@@ -72,7 +72,7 @@
   if (peer == nullptr) return {};
   std::shared_ptr<const TlsContext> current = source_->Get();
   if (current->material().client_ca.empty()) return {};
-  if (current != verified_against_ || now_us - verified_us_ >= kReverifyInterval) {
+  if (current != verified_against_ || now_us - verified_us_ >= kReverifyIntervalUs) {
     peer_fault_ = current->Verify(*peer);
     verified_against_ = std::move(current);
     verified_us_ = now_us;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,5 +1,6 @@
-// The server's side of one client connection: the socket, with TLS over it where the listener has that. Reads
-// and writes plain text either way. It bounds what one call does, not how long the connection lives.
+// The server side of one client connection: the socket, with TLS if the listener uses it. Reads and writes
+// plaintext in both cases. Each call does a bounded amount of work; the connection's lifetime is bounded by
+// the caller.
 #ifndef LIFTRUDDER_NET_CLIENT_CONNECTION_H_
 #define LIFTRUDDER_NET_CLIENT_CONNECTION_H_
 
@@ -13,29 +14,29 @@
 
 namespace liftrudder::net {
 
-// The certificate that a client showed, and whether it is still valid.
+// A client's certificate and whether it is still valid.
 struct VerifiedPeer {
-  const TlsPeer* peer = nullptr;  // null: none was shown, or none is asked for now
-  std::string fault;              // why it is not valid any more; empty: it is
+  const TlsPeer* peer = nullptr;  // null: none was presented, or none is requested any more
+  std::string fault;              // why it is no longer valid; empty: it is valid
 };
 
 // Used by one thread at a time; owns the socket.
 class ClientConnection {
  public:
   ClientConnection() = default;
-  // `tls` null: plain TCP. The connection keeps the context that is current now.
+  // `tls` null: plain TCP. The connection keeps the TLS context that is current at construction.
   ClientConnection(Fd fd, const TlsSource* tls)
       : fd_(std::move(fd)), source_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
 
-  // Appends what has arrived, a bounded amount, without waiting. kTimeout: no plain text, though a handshake
-  // may have advanced. kEnd: the client closed its side properly. kError: the connection was cut or violated
-  // the protocol.
+  // Appends a bounded amount of received plaintext without waiting. kTimeout: no plaintext yet, although a
+  // handshake may have advanced. kEnd: the client closed its side, under TLS with a close_notify. kError: the
+  // connection was reset or truncated, or violated the protocol.
   Io Read(std::string& plain);
   Written Write(std::string_view plain, Micros wait_us);
-  // What the next Read would find; what this has to read for it is kept for that.
+  // What the next Read would return. Plaintext that this has to decrypt is kept for that Read.
   SocketState Probe();
-  // Sends the TLS closure or alert without waiting, so that the client can tell this end from a cut, and
-  // releases the socket, which the caller should read to its end.
+  // Sends the TLS close_notify or alert without waiting, so that the client can tell this end from a
+  // truncation. Releases the socket; the caller should read it to its end before closing it.
   Fd Finish();
   Fd Release() { return std::move(fd_); }
 
@@ -43,20 +44,20 @@
   bool InHandshake() const {
     return channel_ != nullptr && channel_->state() == TlsChannel::State::kHandshake;
   }
-  // Null before the first byte, and without TLS.
+  // Null before the first byte has arrived, and without TLS.
   const TlsChannel* channel() const { return channel_.get(); }
-  // The certificate is verified again when the server's files have changed, and every kReverifyInterval for
-  // what expires.
+  // Verifies the certificate again when the TLS context has changed, and at most every kReverifyIntervalUs to
+  // detect expiry.
   VerifiedPeer Peer(Micros now_us);
 
  private:
-  static constexpr Micros kReverifyInterval = 1'000'000;
+  static constexpr Micros kReverifyIntervalUs = 1'000'000;
 
   Fd fd_;
   const TlsSource* source_ = nullptr;
   std::shared_ptr<const TlsContext> context_;  // null: plain TCP
-  std::unique_ptr<TlsChannel> channel_;        // made at the first byte: a silent client costs none
-  std::string probed_;                         // plain text that Probe has read
+  std::unique_ptr<TlsChannel> channel_;        // created at the first byte, so that silent clients need none
+  std::string probed_;                         // plaintext that Probe has read
 
   // The last verification of the peer's certificate.
   std::shared_ptr<const TlsContext> verified_against_;
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -17,26 +17,26 @@
 using SessionId = std::uint64_t;
 
 enum class SessionPhase {
-  kNew,   // no request has been answered on it
-  kBusy,  // a worker has its request, or it waits for one
+  kNew,   // no request has been answered yet
+  kBusy,  // its request is with a worker or queued for one
   kIdle,  // at least one request has been answered
 };
 
-// Belongs to the server's reader thread, and while busy to the worker that answers its request. `phase` and
-// `reply_waiter` change under the server's lock only.
+// Owned by the server's reader thread; while busy, by the worker that answers its request. `phase` and
+// `reply_waiter` are written only under the server's lock.
 struct ClientSession {
   SessionId id = 0;
   ClientConnection connection;
   SessionPhase phase = SessionPhase::kNew;
   Micros phase_since_us = 0;
-  Micros request_deadline_us = 0;  // when a complete request must have arrived
-  Micros received_us = 0;          // when the request's first byte arrived; 0: none has
+  Micros request_deadline_us = 0;  // when the complete request must have arrived
+  Micros received_us = 0;          // when the request's first byte arrived; 0: none has arrived
   HttpParser parser{HttpParser::Kind::kRequest};
   std::string unparsed;
   std::shared_ptr<ReplyWaiter> reply_waiter;  // set while busy
 };
 
-// In the order in which the connections were accepted.
+// Ordered by the time of accept.
 using SessionList = std::list<ClientSession>;
 using SessionRef = SessionList::iterator;
 
--- a/src/net/endpoint_connection.h
+++ b/src/net/endpoint_connection.h
@@ -1,5 +1,5 @@
-// The state of one pooled connection to an endpoint and of the queue of attempts for one endpoint. Plain
-// data and queries on it: no I/O, no decisions. The pool's lock guards both.
+// The state of one pooled connection to an endpoint and of the queue of attempts for one endpoint. Plain data
+// with queries on it; no I/O and no policy. Guarded by the pool's lock.
 #ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_H_
 #define LIFTRUDDER_NET_ENDPOINT_CONNECTION_H_
 
@@ -14,14 +14,14 @@
 
 namespace liftrudder::net {
 
-// The attempts for one endpoint that are on no connection yet, and the endpoint's connections.
+// The attempts for one endpoint that have no connection yet, and the endpoint's connections.
 struct EndpointQueue {
   coordinator::EndpointId endpoint;
   std::deque<coordinator::AttemptKey> staged;   // started in the current round
   std::deque<coordinator::AttemptKey> pending;  // of earlier rounds; the front is sent first
   std::vector<ConnectionId> connections;
   int connecting = 0;                 // how many of the connections are not established yet
-  bool waiting_for_capacity = false;  // listed with the RequestDispatcher's waiting endpoints
+  bool waiting_for_capacity = false;  // listed in RequestDispatcher's waiting_endpoints_
   bool slow_connect = false;          // the newest connection was slow to establish, or failed
 };
 
@@ -39,31 +39,31 @@
   Micros last_used_us = 0;      // a request was added or a response completed
   Micros last_received_us = 0;  // any byte arrived
 
-  std::deque<InFlightRequest> in_flight;  // also those in the frame being written; the oldest first
+  std::deque<InFlightRequest> in_flight;  // including those in the frame being written; oldest first
   std::deque<std::string> abandoned_ids;  // of attempts that ended while their response could still arrive
-  bool retired = false;                   // too many abandoned ids: it gets no new request
+  bool retired = false;                   // too many abandoned ids: it takes no new requests
 
   std::unique_ptr<ResponseReader> reader;
   std::string received;  // bytes of a response that is not complete
 
-  // The frame that is being written. A frame of requests lists its attempts in `frame_attempts`; until its
-  // first byte is written it is encoded anew from them before each try. Cancellations follow it.
+  // The frame being written. `frame_attempts` lists the attempts of a request frame, which is encoded again
+  // from them before each write until its first byte is written. Cancellations are written after it.
   std::string frame;
   std::size_t written_bytes = 0;
   std::vector<coordinator::AttemptKey> frame_attempts;
   Micros write_deadline_us = 0;
   std::deque<std::string> cancellations;
-  bool write_interest = false;  // the poll reports when it can be written
+  bool write_interest = false;  // the poller reports when it becomes writable
 
   bool IsWriting() const { return !frame.empty() || !frame_attempts.empty(); }
   // Whether the first byte of this attempt's request has been written.
   bool RequestStarted(const coordinator::AttemptKey& key) const;
-  // Whether a response with this id could belong to another request than the next one: an id is not used
-  // again on a connection on which an earlier request with it is unanswered.
+  // Whether an earlier request with this id is unanswered on this connection. The id must not be used again
+  // here meanwhile: the response could belong to either request.
   bool HasUnanswered(const std::string& id) const;
   void RemoveInFlight(const coordinator::AttemptKey& key);
-  // The response to `id` is not wanted any more. It may arrive late or never, so a connection that has
-  // collected many of these is retired.
+  // Records that the response to `id` is no longer wanted. It may arrive late or never, so a connection with
+  // many abandoned responses is retired.
   void AbandonResponse(std::string id);
 };
 
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -10,10 +10,10 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr Micros kWriteTimeout = 1'000'000;
+constexpr Micros kWriteTimeoutUs = 1'000'000;
 constexpr std::size_t kMaxIncompleteResponseBytes = 256 * 1024;
 constexpr int kMaxBrokenConnections = 2;  // before an attempt's first byte; then the attempt fails
-constexpr int kMaxReadsPerTurn = 32;      // of one connection, kReadBytes each at most
+constexpr int kMaxReadsPerTurn = 32;      // from one connection, of at most kReadBytes each
 
 }  // namespace
 
@@ -49,7 +49,7 @@
   Micros now_us = clock_.Now();
   connection.written_bytes = 0;
   connection.frame_attempts.push_back(key);
-  connection.write_deadline_us = now_us + kWriteTimeout;
+  connection.write_deadline_us = now_us + kWriteTimeoutUs;
   connection.last_used_us = now_us;
   connection.in_flight.push_back({protocol_.AttemptId(attempt.request), key});
   attempt.progress = coordinator::Progress::kPartlyWritten;
@@ -100,12 +100,12 @@
   connection.frame = std::move(connection.cancellations.front());
   connection.cancellations.pop_front();
   connection.written_bytes = 0;
-  connection.write_deadline_us = clock_.Now() + kWriteTimeout;
+  connection.write_deadline_us = clock_.Now() + kWriteTimeoutUs;
 }
 
-// Called before each try to write a frame's first byte: while the frame waited for the socket, a client may
-// have disconnected, a deadline passed or the endpoint begun to drain. Encodes the attempts that may still be
-// sent; false when there are none.
+// Encodes the attempts that may still be sent; returns false if there are none. Called before each write
+// until the frame's first byte is written: while the frame waited for the socket, a client may have
+// disconnected, a deadline passed or the endpoint drained.
 bool EndpointConnectionIo::EncodeFrame(EndpointConnection& connection) {
   std::vector<const coordinator::AttemptRequest*> requests;
   for (const coordinator::AttemptKey& key : std::vector<coordinator::AttemptKey>(connection.frame_attempts)) {
@@ -134,12 +134,13 @@
   }
 }
 
-// When a connection breaks before the first byte of a frame, its endpoint has received nothing: the frame's
-// attempts go back to the front of the queue. Responses that arrived before the error still count.
+// If a connection breaks before the first byte of a frame is written, the endpoint has received nothing of
+// it, and the frame's attempts return to the front of the queue. Responses that arrived before the error are
+// still processed.
 void EndpointConnectionIo::HandleWriteError(ConnectionId id, EndpointConnection& connection) {
   std::vector<coordinator::AttemptKey> keys = std::exchange(connection.frame_attempts, {});
   if (connection.written_bytes == 0) {
-    std::ranges::reverse(keys);  // pushed to the front one by one, they keep their order
+    std::ranges::reverse(keys);  // push_front below restores their order
     for (const coordinator::AttemptKey& key : keys) {
       Attempt* attempt = attempts_.Find(key);
       if (attempt == nullptr) continue;
@@ -157,13 +158,13 @@
 // ---- Reading ----
 
 bool EndpointConnectionIo::Receive(ConnectionId id, EndpointConnection& connection) {
-  // Bounded, so that an endpoint that never stops sending does not starve the others; the poll reports the
-  // rest again.
+  // Bounded, so that an endpoint that sends without pause does not starve the others; the poller reports the
+  // remaining bytes again.
   for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
     std::size_t size_before = connection.received.size();
     Io status = ReadNow(connection.fd, connection.received);
     if (status == Io::kTimeout) return true;
-    // A short read has emptied the socket's buffer: another one would only return kTimeout.
+    // A short read has emptied the socket's buffer: another read would only return kTimeout.
     bool drained = status == Io::kOk && connection.received.size() - size_before < kReadBytes;
     // After a protocol violation nothing on this connection can be trusted, and every request in flight on it
     // may have run.
@@ -181,7 +182,7 @@
   return true;
 }
 
-// Decodes what was read and ends the attempts that it answers. False on a protocol violation.
+// Decodes the received bytes and ends the attempts that they answer. Returns false on a protocol violation.
 bool EndpointConnectionIo::Decode(EndpointConnection& connection, Io read_status) {
   std::string oldest = connection.in_flight.empty() ? std::string() : connection.in_flight.front().id;
   std::vector<EndpointResponse> responses;
@@ -193,7 +194,8 @@
     }
     if (read_status == Io::kEnd) connection.reader->End(oldest, responses);
   } catch (const std::exception& error) {
-    log::Error("endpoint connection to {}: {}", connection.addr, error.what());
+    log::Error("error while decoding a response from endpoint {}, closing its connection: {}",
+               connection.addr, error.what());
     valid = false;
   }
   if (read_status == Io::kOk) connection.last_received_us = clock_.Now();
@@ -204,7 +206,8 @@
   return valid;
 }
 
-// Ends the attempt that the response answers. False when no request on this connection has its id.
+// Ends the attempt that the response answers. Returns false if its id belongs to no request in flight or
+// abandoned on this connection.
 bool EndpointConnectionIo::Complete(EndpointConnection& connection, EndpointResponse response) {
   connection.last_used_us = clock_.Now();
   auto found = std::ranges::find(connection.in_flight, response.id, &InFlightRequest::id);
--- a/src/net/endpoint_connection_io.h
+++ b/src/net/endpoint_connection_io.h
@@ -1,6 +1,6 @@
-// Writes requests and cancellations to pooled connections and reads responses from them. It neither chooses
-// the connection nor waits for a socket. Runs on the pool's thread and on its callers', under the pool's
-// lock.
+// Writes requests and cancellations to pooled connections and reads responses from them. The caller chooses
+// the connection; no call waits for a socket. Runs on the pool's thread and on its callers' threads, under
+// the pool's lock.
 #ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_IO_H_
 #define LIFTRUDDER_NET_ENDPOINT_CONNECTION_IO_H_
 
@@ -16,26 +16,28 @@
 
 class EndpointConnectionIo {
  public:
-  // All references outlive this object.
+  // All references must outlive this object.
   EndpointConnectionIo(const EndpointProtocol& protocol, const coordinator::EndpointResolver& resolver,
                        const coordinator::Clock& clock, metrics::Counters& counters,
                        metrics::OperatorFigures& figures, AttemptRegistry& attempts,
                        EndpointConnectionTable& connections);
 
-  // Why a request of which nothing has been written must not be sent any more: its client has disconnected,
-  // its endpoint drains or was removed, or its deadline has passed. Nothing when it may be sent.
+  // Why a request that has not begun to be written must not be sent: its client has disconnected, its
+  // endpoint was removed or is past its drain deadline, or the attempt's deadline has passed. Nullopt if it
+  // may be sent.
   std::optional<coordinator::Cause> ReasonNotToSend(const coordinator::AttemptRequest& request) const;
 
   // Adds the attempt to the connection's next frame; Flush writes it.
   void AddToFrame(ConnectionId id, EndpointConnection& connection, const coordinator::AttemptKey& key,
                   Attempt& attempt);
-  // Undoes AddToFrame while nothing of the frame is written.
+  // Undoes AddToFrame, as long as no byte of the frame has been written.
   void RemoveFromFrame(EndpointConnection& connection, const coordinator::AttemptKey& key);
-  // Queues a cancellation behind the frame that is being written. May close the connection.
+  // Queues a cancellation behind the frame being written. May close the connection.
   void SendCancellation(ConnectionId id, EndpointConnection& connection, const std::string& attempt_id);
-  // Writes as much as the socket takes. False when the connection was closed.
+  // Writes as much as the socket accepts. Returns false if the connection was closed.
   bool Flush(ConnectionId id, EndpointConnection& connection);
-  // Reads what there is and ends the attempts that it answers. False when the connection was closed.
+  // Reads a bounded number of available bytes and ends the attempts that they answer. Returns false if the
+  // connection was closed.
   bool Receive(ConnectionId id, EndpointConnection& connection);
 
  private:
--- a/src/net/endpoint_connection_pool.cpp
+++ b/src/net/endpoint_connection_pool.cpp
@@ -7,8 +7,8 @@
 namespace liftrudder::net {
 namespace {
 
-// A response that has begun and has received nothing for this long is a protocol violation.
-constexpr Micros kResponseStallTimeout = 500'000;
+// An incomplete response that receives no bytes for this long is a protocol violation.
+constexpr Micros kResponseStallTimeoutUs = 500'000;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   attempts_.FinishAll(coordinator::Cause::kConnectionLost);
 }
 
-// ---- Calls of the coordinator ----
+// ---- Called by the coordinator ----
 
 void EndpointConnectionPool::Start(coordinator::AttemptRequest request) {
   std::lock_guard lock(mutex_);
@@ -72,7 +72,7 @@
   dispatcher_.DispatchWaiting();
 }
 
-// The request has been written, at least in part, and its response is not wanted any more.
+// Abandons the response to a request that has been written at least in part.
 void EndpointConnectionPool::AbandonResponse(const coordinator::AttemptKey& key, const Attempt& attempt,
                                              EndpointConnection& connection, coordinator::Cause cause) {
   ConnectionId id = attempt.connection;
@@ -161,12 +161,13 @@
 
 void EndpointConnectionPool::SweepIfDue(Micros now_us) {
   if (!poller_.SweepIsDue(now_us)) return;
-  poller_.SetNextSweep(now_us + EndpointPoller::kSweepInterval);
+  poller_.SetNextSweep(now_us + EndpointPoller::kSweepIntervalUs);
   Micros next_us = Sweep(now_us);
   poller_.SweepNoLaterThan(next_us);  // the sweep may itself have brought the next one forward
 }
 
-// Enforces the time limits of all connections. Returns when the next one expires, or the next regular sweep.
+// Enforces the time limits of all connections. Returns when the next limit expires, or the time of the next
+// regular sweep.
 Micros EndpointConnectionPool::Sweep(Micros now_us) {
   // Enforcing one connection's limit may close others, so the ids are collected first.
   std::vector<ConnectionId> candidates;
@@ -175,7 +176,7 @@
     bool busy = !connection.established || !connection.received.empty() || connection.IsWriting();
     if (idle || busy) candidates.push_back(id);
   }
-  Micros next_us = now_us + EndpointPoller::kSweepInterval;
+  Micros next_us = now_us + EndpointPoller::kSweepIntervalUs;
   for (ConnectionId id : candidates) {
     EndpointConnection* connection = connections_.Find(id);
     if (connection == nullptr) continue;
@@ -186,11 +187,11 @@
   return next_us;
 }
 
-// Closes the connection if one of its time limits has expired; returns when to look again. A frame or
-// response that was cut short cannot be followed by another, so the whole connection is closed.
+// Closes the connection if one of its time limits has expired; returns when to check it again. No other frame
+// can follow a truncated frame or response, so the whole connection is closed.
 Micros EndpointConnectionPool::EnforceTimeLimits(ConnectionId id, EndpointConnection& connection,
                                                  Micros now_us) {
-  const Micros default_us = now_us + EndpointPoller::kSweepInterval;
+  const Micros default_us = now_us + EndpointPoller::kSweepIntervalUs;
   if (!connection.established) {
     Micros started_us = connection.connect_started_us;
     Micros age_us = now_us - started_us;
@@ -198,13 +199,13 @@
       dispatcher_.HandleConnectFailure(id, connection);
       return default_us;
     }
-    if (age_us < EndpointConnectionTable::kSlowConnect) {
-      return started_us + EndpointConnectionTable::kSlowConnect;
+    if (age_us < EndpointConnectionTable::kSlowConnectUs) {
+      return started_us + EndpointConnectionTable::kSlowConnectUs;
     }
     connection.queue->slow_connect = true;
     return started_us + limits_.connect_timeout_us;
   }
-  if (!connection.received.empty() && now_us - connection.last_received_us >= kResponseStallTimeout) {
+  if (!connection.received.empty() && now_us - connection.last_received_us >= kResponseStallTimeoutUs) {
     counters_.malformed_responses.Add();
     connections_.Close(id, connection, coordinator::Cause::kInvalidResponse);
     return default_us;
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -1,15 +1,15 @@
 // The pool of connections to all endpoints: takes attempts from the coordinator, sends them and reports each
 // result exactly once. No call blocks on a socket. Requests are written on the caller's thread as far as
-// the socket takes them; the pool's one thread writes the rest, reads responses, completes connects and
+// the socket accepts them; the pool's single thread writes the rest, reads responses, completes connects and
 // enforces time limits, for any number of endpoints.
 //
-// The parts, all under the pool's one lock, each using only those before it:
-//   AttemptRegistry         the attempts that have not ended
-//   EndpointPoller          readiness of sockets, the thread's sleep
-//   EndpointConnectionTable opening and closing connections, their number
-//   EndpointConnectionIo    frames out, responses in
-//   RequestDispatcher       queues; which attempt takes which connection
-// What is spoken on a connection is an EndpointProtocol's.
+// Its parts, all guarded by the pool's lock; each uses only those before it:
+//   AttemptRegistry         holds the attempts that have not ended
+//   EndpointPoller          waits for socket readiness and the next sweep
+//   EndpointConnectionTable opens, closes and counts connections
+//   EndpointConnectionIo    writes frames and reads responses
+//   RequestDispatcher       queues attempts and assigns them to connections
+// An EndpointProtocol defines the frames and responses.
 #ifndef LIFTRUDDER_NET_ENDPOINT_CONNECTION_POOL_H_
 #define LIFTRUDDER_NET_ENDPOINT_CONNECTION_POOL_H_
 
@@ -30,32 +30,33 @@
 
 class EndpointConnectionPool : public coordinator::EndpointTransport {
  public:
-  // All references outlive the pool. `sink` is called under the pool's lock, from the pool's thread or from
-  // within a call of the pool.
+  // All references must outlive the pool. `sink` is called under the pool's lock, on the pool's thread or
+  // within a call to the pool.
   EndpointConnectionPool(const EndpointProtocol& protocol, const coordinator::EndpointResolver& resolver,
                          const coordinator::Clock& clock, const ConnectionLimits& limits,
                          metrics::Counters& counters, metrics::OperatorFigures& figures, ResultSink sink);
-  // Ends the attempts that are still open as lost with their connections.
+  // Ends the remaining attempts with kConnectionLost.
   ~EndpointConnectionPool() override;
   EndpointConnectionPool(const EndpointConnectionPool&) = delete;
   EndpointConnectionPool& operator=(const EndpointConnectionPool&) = delete;
 
   void Start(coordinator::AttemptRequest request) override;
   void EndRound() override;
-  // The attempt ends at once, whatever its endpoint is doing.
+  // Ends the attempt immediately, without waiting for its endpoint.
   void CancelAttempt(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint,
                      coordinator::Cause cause) override;
-  // An attempt of which a byte was written goes on until it is answered, its connection ends or its time is
-  // over: an endpoint that does not read may never see the cancellation. Before that it ends at once.
+  // An attempt whose request has begun to be written continues until it is answered, its connection closes or
+  // it times out: an endpoint that does not read may never see the cancellation. Any other attempt ends
+  // immediately.
   void RequestCancellation(const coordinator::AttemptKey& key) override;
   void CloseIdle(const coordinator::EndpointId& endpoint) override;
   void ReleaseRemovedEndpoints() override;
-  // The endpoint list has changed, and with it the connections that the pool may hold.
+  // Sets the number of connections that the pool may hold after the endpoint list has changed.
   void Resize(int max_connections, int endpoints);
 
  private:
   void Run();
-  // These hold the lock.
+  // The functions below are called with the lock held.
   void HandleEvent(const EndpointPoller::Event& event);
   void SweepIfDue(Micros now_us);
   Micros Sweep(Micros now_us);
@@ -67,7 +68,7 @@
   const EndpointProtocol& protocol_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
-  std::mutex mutex_;  // guards everything below but `thread_`; never held while waiting
+  std::mutex mutex_;  // guards everything below except `thread_`; never held while waiting
   ConnectionLimits limits_;
   bool stopping_ = false;
   AttemptRegistry attempts_;
@@ -75,7 +76,7 @@
   EndpointConnectionTable connections_;
   EndpointConnectionIo io_;
   RequestDispatcher dispatcher_;
-  Thread thread_;  // last: it uses everything above
+  Thread thread_;  // declared last: the thread uses all members above
 };
 
 }  // namespace liftrudder::net
--- a/src/net/endpoint_connection_table.cpp
+++ b/src/net/endpoint_connection_table.cpp
@@ -6,8 +6,8 @@
 namespace liftrudder::net {
 namespace {
 
-// A connection is not used any more after this fraction of the endpoint's idle limit, so that a request does
-// not cross the endpoint's close.
+// A connection is not reused after it has been idle for this fraction of the endpoint's idle timeout, so that
+// a request does not race with the endpoint's close.
 constexpr double kUsableIdleFraction = 0.8;
 
 Micros UsableIdleTime(const ConnectionLimits& limits) {
@@ -69,14 +69,14 @@
   queue.connections.push_back(id);
   ++queue.connecting;
   poller_.Watch(id, connection.fd);
-  poller_.SweepNoLaterThan(connection.connect_started_us + kSlowConnect);
+  poller_.SweepNoLaterThan(connection.connect_started_us + kSlowConnectUs);
   return OpenResult::kConnecting;
 }
 
-// Normally the least recently used connection is closed, since its endpoint is needed least. Where there are
-// more endpoints than connections, a wide query goes over all endpoints in turn and needs exactly that one
-// next: least-recently-used would reopen every connection for each query. There the most recently used one is
-// closed, and most of the others stay.
+// Normally closes the least recently used connection, since its endpoint is needed least. With more endpoints
+// than connections, however, a wide query visits all endpoints in turn and needs exactly that connection
+// next: LRU would reopen every connection for each query. In that case the most recently used one is closed,
+// and most of the others stay open.
 bool EndpointConnectionTable::ReclaimIdle() {
   bool newest_first = limits_.endpoints > limits_.max_connections;
   auto victim = connections_.end();
@@ -99,7 +99,7 @@
   connection.last_used_us = now_us;
   connection.last_received_us = now_us;
   --connection.queue->connecting;
-  connection.queue->slow_connect = now_us - connection.connect_started_us > kSlowConnect;
+  connection.queue->slow_connect = now_us - connection.connect_started_us > kSlowConnectUs;
   counters_.connects.Add();
   SetWriteInterest(id, connection, false);
 }
@@ -116,7 +116,7 @@
   queue.connecting -= connection.established ? 0 : 1;
   std::erase(queue.connections, id);
   std::deque<InFlightRequest> in_flight = std::move(connection.in_flight);
-  connections_.erase(id);  // closes its descriptor, which removes it from the poll
+  connections_.erase(id);  // closes its descriptor, which removes it from epoll
   for (const InFlightRequest& request : in_flight) attempts_.Finish(request.key, cause);
 }
 
--- a/src/net/endpoint_poller.cpp
+++ b/src/net/endpoint_poller.cpp
@@ -58,7 +58,7 @@
 }
 
 void EndpointPoller::EndTurn(Micros now_us) {
-  wait_us_ = std::clamp<Micros>(next_sweep_us_ - now_us, 1, kSweepInterval);
+  wait_us_ = std::clamp<Micros>(next_sweep_us_ - now_us, 1, kSweepIntervalUs);
   asleep_until_us_ = now_us + wait_us_;
 }
 
--- a/src/net/endpoint_poller.h
+++ b/src/net/endpoint_poller.h
@@ -1,6 +1,6 @@
-// Waits for readiness of the pool's connections and for the next time at which something may be overdue.
-// It knows connections by id only. Wait is called by the pool's thread without the pool's lock; everything
-// else under it.
+// Waits for readiness of the pool's sockets and for the next sweep of their time limits. Identifies
+// connections by id only. Wait is called on the pool's thread without the pool's lock, everything else under
+// it.
 #ifndef LIFTRUDDER_NET_ENDPOINT_POLLER_H_
 #define LIFTRUDDER_NET_ENDPOINT_POLLER_H_
 
@@ -18,13 +18,13 @@
     ConnectionId connection = kNoConnection;
     bool writable = false;  // or in an error state, which a write reports
   };
-  // How often the thread looks for what is overdue at least.
-  static constexpr Micros kSweepInterval = 100'000;
+  // The longest time between two sweeps of the connections' time limits.
+  static constexpr Micros kSweepIntervalUs = 100'000;
 
   EndpointPoller();
 
-  // Reports both readability and writability; a connection attempt ends with the latter. Closing the
-  // descriptor ends it.
+  // Starts reporting readability and writability; the latter completes a connect. Closing the descriptor
+  // stops the reports.
   void Watch(ConnectionId id, const Fd& fd);
   void SetWriteInterest(ConnectionId id, const Fd& fd, bool write_interest);
   // Blocks until an event, Wake or the timeout. The events stay valid until the next call.
@@ -32,13 +32,13 @@
   // Ends a Wait early.
   void Wake() { waker_.Wake(); }
 
-  // The thread is awake and handles events: no Wake is needed until EndTurn, and earlier ones are consumed.
+  // Marks the thread as awake: no Wake is needed until EndTurn. Consumes earlier wakes.
   void BeginTurn();
   bool SweepIsDue(Micros now_us) const { return now_us >= next_sweep_us_; }
   void SetNextSweep(Micros at_us) { next_sweep_us_ = at_us; }
   // Brings the next sweep forward, and wakes the thread if it would sleep past it.
   void SweepNoLaterThan(Micros at_us);
-  // Computes the next Wait's timeout; `now_us` is when this turn looked for what is overdue.
+  // Computes the next Wait's timeout; `now_us` is when this turn checked whether a sweep was due.
   void EndTurn(Micros now_us);
 
  private:
@@ -46,9 +46,9 @@
 
   Fd epoll_;
   Waker waker_;
-  std::vector<Event> events_;  // the pool's thread only, as are the next two
+  std::vector<Event> events_;  // the pool's thread only, like the next two members
   bool woken_ = false;         // the last Wait ended by Wake
-  Micros wait_us_ = kSweepInterval;
+  Micros wait_us_ = kSweepIntervalUs;
   Micros asleep_until_us_ = 0;  // 0 while the thread is awake; under the pool's lock
   Micros next_sweep_us_ = 0;    // under the pool's lock
 };
--- a/src/net/endpoint_protocol.h
+++ b/src/net/endpoint_protocol.h
@@ -1,6 +1,6 @@
-// The protocol that is spoken with endpoints: how attempts are encoded as requests and how responses are
-// decoded. It does no I/O and owns no connection. The connection pool calls it from several threads, always
-// under the pool's lock; a ResponseReader belongs to one connection.
+// The protocol between coordinator and endpoints: encodes attempts as requests and decodes responses. No I/O.
+// The connection pool calls it from several threads, always under the pool's lock; each connection has its
+// own ResponseReader.
 #ifndef LIFTRUDDER_NET_ENDPOINT_PROTOCOL_H_
 #define LIFTRUDDER_NET_ENDPOINT_PROTOCOL_H_
 
@@ -17,7 +17,7 @@
 struct EndpointResponse {
   std::string id;  // EndpointProtocol::AttemptId of the attempt that it answers
   coordinator::Cause cause = coordinator::Cause::kServed;
-  std::vector<double> load;  // the load report, in the order that the protocol was configured with
+  std::vector<double> load;  // the load report, in the order that was configured for the protocol
   std::string value;
 };
 
@@ -29,7 +29,7 @@
   // violate the protocol. `oldest` is the id of the attempt longest in flight on this connection, for
   // protocols whose responses carry no id; empty when none is in flight.
   virtual bool Take(std::string& in, const std::string& oldest, std::vector<EndpointResponse>& out) = 0;
-  // The endpoint closed the connection: appends the response that this completes, if there is one.
+  // Called when the endpoint has closed the connection: appends the response that this completes, if any.
   virtual void End(const std::string& /*oldest*/, std::vector<EndpointResponse>& /*out*/) {}
 };
 
@@ -38,11 +38,11 @@
   virtual ~EndpointProtocol() = default;
   // The id that requests, cancellations and responses of this attempt carry on a connection.
   virtual std::string AttemptId(const coordinator::AttemptRequest& request) const = 0;
-  // One frame that requests all of these attempts; there are more than one only where
+  // Encodes all of these attempts as one frame; there is more than one only where
   // ConnectionLimits::max_requests_per_call allows it. `endpoint` is the endpoint's HOST:PORT.
   virtual std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> requests,
                                     const std::string& endpoint, coordinator::Micros now_us) const = 0;
-  // The frame that cancels an attempt. Empty where the protocol has none and an attempt is cancelled by
+  // The frame that cancels an attempt. Empty if the protocol has no such frame and cancels an attempt by
   // closing its connection.
   virtual std::string EncodeCancellation(const std::string& id) const = 0;
   virtual std::unique_ptr<ResponseReader> NewReader() const = 0;
--- a/src/net/handler.h
+++ b/src/net/handler.h
@@ -1,4 +1,4 @@
-// What a front implements to answer the requests that a Server reads.
+// The interface that a front implements to answer the requests that a Server reads.
 #ifndef LIFTRUDDER_NET_HANDLER_H_
 #define LIFTRUDDER_NET_HANDLER_H_
 
@@ -16,9 +16,9 @@
 
 using coordinator::AnsweredQuery;
 
-// The circumstances of one request. Valid during Handler::Handle.
+// The context of one request. Valid during Handler::Handle.
 struct Exchange {
-  ClientConnection* connection = nullptr;  // the handler may look at it, not write to it
+  ClientConnection* connection = nullptr;  // the handler may inspect it but must not write to it
   Micros received_us = 0;                  // when the request's first byte arrived
   bool draining = false;
   std::vector<AnsweredQuery>* answered_queries = nullptr;  // the handler adds the queries it answers
@@ -28,17 +28,18 @@
 class Handler {
  public:
   virtual ~Handler() = default;
-  // Answers one request, on a worker's thread; it may block. Nothing: the client has disconnected, and the
-  // connection is closed without a response. The handler may move parts out of `request`, so that its bytes
-  // are not held twice while an answer is awaited.
+  // Answers one request on a worker's thread; may block. Returns nullopt if the client has disconnected; the
+  // connection is then closed without a response. May move parts out of `request`, so that its bytes are not
+  // held twice while it waits for an answer.
   virtual std::optional<HttpResponse> Handle(HttpMessage& request, const Exchange& exchange) = 0;
-  // The response to a request that cannot be parsed (400) or did not arrive in time (408). On the reader
-  // thread; must not block.
+  // The response to a request that cannot be parsed (400) or did not arrive in time (408). Called on the
+  // reader thread; must not block.
   virtual HttpResponse Malformed(int status) = 0;
-  // The response to a rejected request. `request` is null when nothing has been read. On the reader thread;
-  // must not block.
+  // The response to a rejected request. `request` is null if nothing has been read. Called on the reader
+  // thread; must not block.
   virtual HttpResponse Overloaded(const HttpMessage* request) = 0;
-  // `bytes` of a response were written; `complete` says whether that is all of it. On the worker's thread.
+  // Called on the worker's thread after `bytes` of a response were written; `complete` says whether that is
+  // all of it.
   virtual void Wrote(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
                      bool complete) = 0;
 };
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Compares header names and values case-insensitively (ASCII).
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
   return std::ranges::equal(a, b, {}, lower, lower);
 }
@@ -35,9 +35,9 @@
 constexpr std::string_view kForbiddenInHeader("\r\n\0", 3);
 constexpr std::size_t kMaxChunkLineBytes = 256;
 
-// Parses the whole text as a number: no sign, no blanks, nothing left over.
+// Parses the whole text as a number without sign or white space.
 template <typename T>
-bool ParseWhole(std::string_view text, T& out, int base = 10) {
+bool ParseNumber(std::string_view text, T& out, int base = 10) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
   return !text.empty() && text.front() != '-' && error == std::errc() && end == text.data() + text.size();
 }
@@ -92,14 +92,14 @@
 
 const std::string* HttpMessage::Header(std::string_view name) const {
   for (const auto& [key, value] : headers) {
-    if (SameName(key, name)) return &value;
+    if (EqualsIgnoreCase(key, name)) return &value;
   }
   return nullptr;
 }
 
 std::size_t HttpMessage::Count(std::string_view name) const {
-  return static_cast<std::size_t>(
-      std::ranges::count_if(headers, [name](const auto& header) { return SameName(header.first, name); }));
+  return static_cast<std::size_t>(std::ranges::count_if(
+      headers, [name](const auto& header) { return EqualsIgnoreCase(header.first, name); }));
 }
 
 std::string_view HttpMessage::Path() const {
@@ -171,7 +171,7 @@
 
 HttpParser::State HttpParser::End() {
   if (state_ == State::kDone) return state_;
-  bool ends_body = state_ == State::kBody && framing_ == Framing::kUntilEnd;
+  bool ends_body = state_ == State::kBody && framing_ == Framing::kUntilClose;
   if (!ends_body) return Fail(HttpParseError::kUnexpectedEnd);
   state_ = State::kDone;
   return state_;
@@ -183,13 +183,13 @@
 
 // HTTP/1.x SP 3DIGIT [SP reason]
 bool HttpParser::ParseStatusLine(std::string_view line) {
-  constexpr std::size_t kStatusAt = 9;
+  constexpr std::size_t kStatusBegin = 9;
   constexpr std::size_t kStatusEnd = 12;
-  if (!line.starts_with("HTTP/1.") || line.size() < kStatusEnd || line.find(' ') != kStatusAt - 1) {
+  if (!line.starts_with("HTTP/1.") || line.size() < kStatusEnd || line.find(' ') != kStatusBegin - 1) {
     return false;
   }
   message_.close = line[7] == '0';
-  return ParseWhole(line.substr(kStatusAt, 3), message_.status) &&
+  return ParseNumber(line.substr(kStatusBegin, 3), message_.status) &&
          (line.size() == kStatusEnd || line[kStatusEnd] == ' ');
 }
 
@@ -224,20 +224,20 @@
   return ParseFraming();
 }
 
-// RFC 9112 section 6.3. A message with two lengths, or with a length beside chunks, is rejected: choosing one
-// of them would allow request smuggling.
+// RFC 9112 section 6.3. A message with two Content-Length headers, or with both Content-Length and
+// Transfer-Encoding, is rejected: choosing one of them would allow request smuggling.
 HttpParseError HttpParser::ParseFraming() {
   int lengths = 0;
   bool chunked = false;
   remaining_bytes_ = 0;
   for (const auto& [name, value] : message_.headers) {
-    if (SameName(name, "content-length")) {
+    if (EqualsIgnoreCase(name, "content-length")) {
       ++lengths;
-      if (lengths > 1 || !ParseWhole(value, remaining_bytes_)) return HttpParseError::kFraming;
-    } else if (SameName(name, "transfer-encoding")) {
-      if (chunked || !SameName(value, "chunked")) return HttpParseError::kFraming;
+      if (lengths > 1 || !ParseNumber(value, remaining_bytes_)) return HttpParseError::kFraming;
+    } else if (EqualsIgnoreCase(name, "transfer-encoding")) {
+      if (chunked || !EqualsIgnoreCase(value, "chunked")) return HttpParseError::kFraming;
       chunked = true;
-    } else if (SameName(name, "connection")) {
+    } else if (EqualsIgnoreCase(name, "connection")) {
       ApplyConnectionHeader(value);
     }
   }
@@ -245,14 +245,14 @@
   framing_ = chunked ? Framing::kChunkSize : Framing::kLength;
   bool has_no_body = message_.status == 204 || message_.status == 304;
   bool has_no_length = lengths == 0 && !chunked;
-  if (kind_ == Kind::kResponse && has_no_length && !has_no_body) framing_ = Framing::kUntilEnd;
+  if (kind_ == Kind::kResponse && has_no_length && !has_no_body) framing_ = Framing::kUntilClose;
   if (!chunked && remaining_bytes_ > body_limit_) return HttpParseError::kBodyTooLarge;
   return HttpParseError::kNone;
 }
 
 void HttpParser::ApplyConnectionHeader(std::string_view value) {
-  if (SameName(value, "close")) message_.close = true;
-  if (SameName(value, "keep-alive")) message_.close = false;
+  if (EqualsIgnoreCase(value, "close")) message_.close = true;
+  if (EqualsIgnoreCase(value, "keep-alive")) message_.close = false;
 }
 
 void HttpParser::ConsumeBody(std::string& in) {
@@ -260,14 +260,14 @@
   bool more = true;
   while (more && state_ == State::kBody) {
     bool in_data =
-        framing_ == Framing::kLength || framing_ == Framing::kChunkData || framing_ == Framing::kUntilEnd;
+        framing_ == Framing::kLength || framing_ == Framing::kChunkData || framing_ == Framing::kUntilClose;
     more = in_data ? ConsumeData(in, position) : ConsumeChunkLine(in, position);
   }
   in.erase(0, position);
 }
 
 bool HttpParser::ConsumeData(const std::string& in, std::size_t& position) {
-  bool bounded = framing_ != Framing::kUntilEnd;
+  bool bounded = framing_ != Framing::kUntilClose;
   std::size_t size = in.size() - position;
   if (bounded) size = static_cast<std::size_t>(std::min<std::uint64_t>(size, remaining_bytes_));
   if (message_.body.size() + size > body_limit_) {
@@ -307,7 +307,7 @@
   constexpr int kHexadecimal = 16;
   switch (framing_) {
     case Framing::kChunkSize:
-      if (!ParseWhole(Trim(line.substr(0, line.find(';'))), remaining_bytes_, kHexadecimal)) return false;
+      if (!ParseNumber(Trim(line.substr(0, line.find(';'))), remaining_bytes_, kHexadecimal)) return false;
       framing_ = remaining_bytes_ > 0 ? Framing::kChunkData : Framing::kTrailer;
       return true;
     case Framing::kChunkEnd:
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -18,21 +18,22 @@
 
 struct HttpMessage {
   std::string method;                                        // of a request
-  std::string target;                                        // of a request, as it was sent
+  std::string target;                                        // of a request, as sent
   int status = 0;                                            // of a response
-  std::vector<std::pair<std::string, std::string>> headers;  // names as they were sent, values trimmed
+  std::vector<std::pair<std::string, std::string>> headers;  // names as sent, values trimmed
   std::string body;
   bool close = false;  // the connection ends after this message
 
-  // The first header of this name, in any case; null when there is none.
+  // The first header with this name, compared case-insensitively; null if there is none.
   const std::string* Header(std::string_view name) const;
-  // How many headers have this name.
+  // The number of headers with this name.
   std::size_t Count(std::string_view name) const;
-  // The target up to its query.
+  // The target without its query.
   std::string_view Path() const;
   // All query parameters in order, names and values unescaped.
   std::vector<std::pair<std::string, std::string>> Parameters() const;
-  // The value of the first query parameter of this name, still escaped; empty when it has none.
+  // The value of the first query parameter with this name, still escaped; empty if it has no value, nullopt
+  // if there is no such parameter.
   std::optional<std::string_view> Parameter(std::string_view name) const;
 };
 
@@ -40,7 +41,7 @@
 enum class HttpParseError {
   kNone,
   kHeadTooLarge,   // over kMaxHeadBytes
-  kStartLine,      // malformed request or status line, or another version than HTTP/1.x
+  kStartLine,      // malformed request or status line, or a version other than HTTP/1.x
   kHeader,         // malformed header line
   kFraming,        // invalid, repeated or contradictory Content-Length and Transfer-Encoding
   kBodyTooLarge,   // over the body limit
@@ -53,13 +54,14 @@
   enum class Kind { kRequest, kResponse };
   enum class State { kHead, kBody, kDone, kBad };
 
-  // `body_limit` bounds message().body in bytes; a reader that empties it between calls may stream for ever.
+  // `body_limit` bounds message().body in bytes; a caller that empties the body between calls can stream
+  // without limit.
   explicit HttpParser(Kind kind, std::size_t body_limit = kMaxBodyBytes)
       : kind_(kind), body_limit_(body_limit) {}
 
-  // Consumes what belongs to this message from the front of `in`; the rest is the next message's.
+  // Consumes this message's bytes from the front of `in`; the rest belongs to the next message.
   State Feed(std::string& in);
-  // The connection ended, which completes a response without a length.
+  // Called when the connection has ended, which completes a response without a length.
   State End();
   HttpMessage& message() { return message_; }
   bool started() const { return started_; }
@@ -67,7 +69,7 @@
   HttpParseError error() const { return error_; }
 
  private:
-  enum class Framing { kLength, kChunkSize, kChunkData, kChunkEnd, kTrailer, kUntilEnd };
+  enum class Framing { kLength, kChunkSize, kChunkData, kChunkEnd, kTrailer, kUntilClose };
 
   State Fail(HttpParseError error);
   HttpParseError ParseHead(std::string_view head);
@@ -77,7 +79,7 @@
   HttpParseError ParseFraming();
   void ApplyConnectionHeader(std::string_view value);
   void ConsumeBody(std::string& in);
-  // These consume from `in` at `position`; false to wait for more input or after an error.
+  // These consume `in` from `position` on; they return false to wait for more input or after an error.
   bool ConsumeData(const std::string& in, std::size_t& position);
   bool ConsumeChunkLine(const std::string& in, std::size_t& position);
   bool ParseChunkLine(std::string_view line);
@@ -87,7 +89,7 @@
   State state_ = State::kHead;
   HttpParseError error_ = HttpParseError::kNone;
   Framing framing_ = Framing::kLength;
-  std::uint64_t remaining_bytes_ = 0;  // of the body, or of the chunk
+  std::uint64_t remaining_bytes_ = 0;  // of the body or of the current chunk
   bool started_ = false;
   HttpMessage message_;
 };
@@ -97,13 +99,13 @@
   std::string type = "application/json";
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  bool close = false;  // the connection is to end after it
+  bool close = false;  // close the connection after this response
 };
 
-// The response as it is sent; `close` adds the header that announces the connection's end.
+// Serializes the response; `close` adds the header that announces the end of the connection.
 std::string Format(const HttpResponse& response, bool close);
 
-// Decodes a part of a target: %XX and plus signs.
+// Decodes percent-encoding and plus signs in a part of a target.
 std::string Unescape(std::string_view text);
 
 }  // namespace liftrudder::net
--- a/src/net/json.cpp
+++ b/src/net/json.cpp
@@ -10,7 +10,7 @@
 namespace liftrudder::net::json {
 namespace {
 
-constexpr int kMaxDepth = 64;  // of nested values: threads have small stacks
+constexpr int kMaxDepth = 64;  // of nested values; bounded because threads have small stacks
 
 void SkipWhiteSpace(std::string_view& in) {
   auto first = in.find_first_not_of(" \t\r\n");
@@ -33,7 +33,7 @@
   return valid ? kUnicodeLength : 0;
 }
 
-// Skips a string, of which the opening quote is at the front.
+// Skips the string at the front, starting at its opening quote.
 bool SkipString(std::string_view& in) {
   constexpr unsigned char kFirstPrintable = 0x20;
   std::size_t i = 1;
@@ -76,9 +76,10 @@
 
 bool SkipValue(std::string_view& in, int depth);
 
-// Walks an object or array from its opening to its closing bracket; `each` consumes one member or element.
-template <typename Each>
-bool Walk(std::string_view& in, char close, const Each& each) {
+// Skips an object or array from its opening to its closing bracket; `consume_item` consumes one member or
+// element.
+template <typename ConsumeItem>
+bool ForEachItem(std::string_view& in, char close, const ConsumeItem& consume_item) {
   in.remove_prefix(1);
   SkipWhiteSpace(in);
   if (in.starts_with(close)) {
@@ -86,7 +87,7 @@
     return true;
   }
   while (true) {
-    if (!each()) return false;
+    if (!consume_item()) return false;
     SkipWhiteSpace(in);
     if (in.empty()) return false;
     char c = in.front();
@@ -97,7 +98,7 @@
   }
 }
 
-// Removes a key and its colon. The key keeps its escapes; nothing when it is malformed.
+// Removes a key and its colon from the front. Returns the key with its escapes; nullopt if it is malformed.
 std::optional<std::string_view> TakeKey(std::string_view& in) {
   std::string_view before = in;
   if (!in.starts_with('"') || !SkipString(in)) return std::nullopt;
@@ -115,9 +116,9 @@
     case '"':
       return SkipString(in);
     case '{':
-      return Walk(in, '}', [&] { return TakeKey(in).has_value() && SkipValue(in, depth + 1); });
+      return ForEachItem(in, '}', [&] { return TakeKey(in).has_value() && SkipValue(in, depth + 1); });
     case '[':
-      return Walk(in, ']', [&] { return SkipValue(in, depth + 1); });
+      return ForEachItem(in, ']', [&] { return SkipValue(in, depth + 1); });
     default:
       for (std::string_view word : {"true", "false", "null"}) {
         if (!in.starts_with(word)) continue;
@@ -147,7 +148,7 @@
   }
 }
 
-// The number in up to four hexadecimal digits at the front.
+// Parses up to four hexadecimal digits at the front.
 std::uint32_t Hex4(std::string_view text) {
   std::uint32_t code = 0;
   std::from_chars(text.data(), text.data() + std::min<std::size_t>(4, text.size()), code, 16);
@@ -158,7 +159,8 @@
   text.remove_prefix(std::min(count, text.size()));
 }
 
-// Removes the four digits of a \u escape, and the second half of a surrogate pair behind it, from the front.
+// Removes the four digits of a \u escape, and the low surrogate of a pair, from the front; returns the code
+// point.
 std::uint32_t TakeCodePoint(std::string_view& text) {
   constexpr std::uint32_t kHighSurrogates = 0xd800;
   constexpr std::uint32_t kLowSurrogates = 0xdc00;
@@ -172,10 +174,11 @@
   return 0x10000 + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
 }
 
-// Removes an escape sequence, of which the backslash has been removed, from the front.
+// Removes an escape sequence, whose backslash has already been removed, from the front and appends its
+// character.
 void DecodeEscape(std::string_view& text, std::string& out) {
   constexpr std::string_view kEscapes = "bfnrt";
-  constexpr std::string_view kMeanings = "\b\f\n\r\t";
+  constexpr std::string_view kUnescaped = "\b\f\n\r\t";
   if (text.empty()) return;
   char c = text.front();
   text.remove_prefix(1);
@@ -184,11 +187,11 @@
     return;
   }
   auto position = kEscapes.find(c);
-  out.push_back(position == std::string_view::npos ? c : kMeanings[position]);
+  out.push_back(position == std::string_view::npos ? c : kUnescaped[position]);
 }
 
 template <typename T>
-std::optional<T> ParseWhole(std::string_view text) {
+std::optional<T> ParseNumber(std::string_view text) {
   T number = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   bool whole = !text.empty() && error == std::errc() && end == text.data() + text.size();
@@ -211,7 +214,7 @@
 bool JsonMembers(std::string_view object, const OnMember& each) {
   SkipWhiteSpace(object);
   if (!object.starts_with('{')) return false;
-  bool ok = Walk(object, '}', [&] {
+  bool ok = ForEachItem(object, '}', [&] {
     std::optional<std::string_view> key = TakeKey(object);
     if (!key) return false;
     std::optional<std::string_view> value = Take(object);
@@ -224,7 +227,7 @@
 bool Elements(std::string_view array, const OnElement& each) {
   SkipWhiteSpace(array);
   if (!array.starts_with('[')) return false;
-  bool ok = Walk(array, ']', [&] {
+  bool ok = ForEachItem(array, ']', [&] {
     auto value = Take(array);
     return value && each(*value);
   });
@@ -264,11 +267,11 @@
 }
 
 std::optional<double> Number(std::string_view value) {
-  std::optional<double> number = ParseWhole<double>(value);
+  std::optional<double> number = ParseNumber<double>(value);
   return number && std::isfinite(*number) ? number : std::nullopt;
 }
 
-std::optional<std::int64_t> Integer(std::string_view value) { return ParseWhole<std::int64_t>(value); }
+std::optional<std::int64_t> Integer(std::string_view value) { return ParseNumber<std::int64_t>(value); }
 
 std::optional<bool> Bool(std::string_view value) {
   if (value == "true") return true;
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -1,5 +1,5 @@
-// Scans JSON text (RFC 8259) and returns slices of it, without building a tree: what nobody asks for is
-// passed on as the bytes that arrived. No I/O, no threads; slices live as long as the text.
+// Scans JSON text (RFC 8259) and returns slices of it without building a tree, so that values that are only
+// passed on keep their original bytes. No I/O, no threads; slices are valid as long as the text.
 #ifndef LIFTRUDDER_NET_JSON_H_
 #define LIFTRUDDER_NET_JSON_H_
 
@@ -11,30 +11,31 @@
 
 namespace liftrudder::net::json {
 
-// Removes one value, and the white space around it, from the front of `in`. Returns its text, or nothing when
+// Removes one value, and the white space around it, from the front of `in`. Returns its text, or nullopt if
 // it is malformed or nested too deeply.
 std::optional<std::string_view> Take(std::string_view& in);
 // Whether the text is one value and nothing else.
 bool Valid(std::string_view text);
 
-// Called for each member of an object or element of an array; false stops the walk. Keys keep their escapes.
+// Called for each member of an object or element of an array; returning false stops the iteration. Keys keep
+// their escapes.
 using OnMember = std::function<bool(std::string_view key, std::string_view value)>;
 using OnElement = std::function<bool(std::string_view value)>;
-// False when the text is malformed or of another type, or the callback stopped.
+// Return false if the text is malformed or of another type, or if the callback returned false.
 bool JsonMembers(std::string_view object, const OnMember& each);
 bool Elements(std::string_view array, const OnElement& each);
 
-// The text of an object's member, the last of that name; empty when there is none.
+// The text of the object's last member with this key; empty if there is none.
 std::string_view Get(std::string_view object, std::string_view key);
 
-// These read the text of one value, as Take returns it; nothing when it is of another type.
+// These parse the text of one value as returned by Take; nullopt if it is of another type.
 std::optional<std::string_view> RawString(std::string_view value);  // without the quotes, escapes kept
 std::optional<std::string> String(std::string_view value);
 std::optional<double> Number(std::string_view value);  // finite
 std::optional<std::int64_t> Integer(std::string_view value);
 std::optional<bool> Bool(std::string_view value);
 
-// A JSON string with this text.
+// Encodes the text as a JSON string.
 std::string Quote(std::string_view text);
 
 }  // namespace liftrudder::net::json
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -10,9 +10,9 @@
 namespace liftrudder::net {
 namespace {
 
-// Lets a client that sends a body of some 60 MB before it reads get to the response that rejected its head.
+// Enough for a client that sends a body of about 60 MB before it reads the response that rejected its head.
 constexpr std::size_t kMaxDiscardedBytes = 80U << 20;
-constexpr Micros kMaxLingerTime = 2'000'000;
+constexpr Micros kMaxLingerUs = 2'000'000;
 constexpr int kPollMs = 50;
 
 }  // namespace
@@ -30,7 +30,7 @@
   ShutDownWriting(fd);
   std::lock_guard lock(mutex_);
   if (connections_.size() >= max_connections_) connections_.pop_front();
-  connections_.push_back({std::move(fd), clock_.Now() + kMaxLingerTime, kMaxDiscardedBytes});
+  connections_.push_back({std::move(fd), clock_.Now() + kMaxLingerUs, kMaxDiscardedBytes});
   waker_.Wake();
 }
 
--- a/src/net/lingering_closer.h
+++ b/src/net/lingering_closer.h
@@ -1,6 +1,5 @@
-// Closes connections whose client may still be sending: a close with unread bytes would reset the connection,
-// and the client could lose the response that was written last. Reads and discards instead, for a bounded
-// time.
+// Closes connections whose client may still be sending. A close with unread bytes would reset the connection,
+// and the client could lose the last response, so the bytes are first read and discarded for a bounded time.
 #ifndef LIFTRUDDER_NET_LINGERING_CLOSER_H_
 #define LIFTRUDDER_NET_LINGERING_CLOSER_H_
 
@@ -15,27 +14,28 @@
 
 namespace liftrudder::net {
 
-// Any thread; one thread of its own does the reading.
+// Any thread; a dedicated thread does the reading.
 class LingeringCloser {
  public:
-  // Holds at most `max_connections`; beyond that the oldest is closed as it is.
+  // Holds at most `max_connections`; beyond that the oldest is closed immediately.
   explicit LingeringCloser(std::size_t max_connections);
-  // Closes what it still holds as it is.
+  // Closes the connections that it still holds immediately.
   ~LingeringCloser();
   LingeringCloser(const LingeringCloser&) = delete;
   LingeringCloser& operator=(const LingeringCloser&) = delete;
 
-  // Ends our side of the connection, discards what still arrives, and closes it. Never blocks.
+  // Takes over the connection: shuts down its write side, then discards what still arrives and closes it in
+  // the background. Never blocks.
   void Take(Fd fd);
   void Resize(std::size_t max_connections);
-  // Whether all connections have been closed within that time.
+  // Waits until all connections have been closed; returns false if that takes longer than `wait_us`.
   bool WaitEmpty(Micros wait_us);
 
  private:
   struct Connection {
     Fd fd;
     Micros deadline_us = 0;
-    std::size_t remaining_bytes = 0;  // that are still discarded
+    std::size_t remaining_bytes = 0;  // that may still be discarded
   };
   void Run();
   void DiscardAll();
@@ -43,11 +43,11 @@
   const SteadyClock clock_;
   const Waker waker_;
   std::atomic<bool> stopping_{false};
-  std::mutex mutex_;  // guards everything below but `thread_`
+  std::mutex mutex_;  // guards everything below except `thread_`
   std::size_t max_connections_;
   std::condition_variable emptied_;
-  std::list<Connection> connections_;  // the oldest first
-  Thread thread_;                      // last: it uses everything above
+  std::list<Connection> connections_;  // oldest first
+  Thread thread_;                      // declared last: the thread uses all members above
 };
 
 }  // namespace liftrudder::net
--- a/src/net/object_stream.cpp
+++ b/src/net/object_stream.cpp
@@ -5,29 +5,30 @@
 namespace liftrudder::net {
 
 bool ObjectStream::Fail(std::string_view what, char byte) {
-  error_ = fmt::format("{} (0x{:02x}) at byte {}", what, static_cast<unsigned char>(byte), stream_bytes_);
+  error_ =
+      fmt::format("{}: byte 0x{:02x} at offset {}", what, static_cast<unsigned char>(byte), stream_bytes_);
   return false;
 }
 
-// Takes one byte inside a string.
-bool ObjectStream::TakeQuoted(char c) {
+// Consumes one byte inside a string.
+bool ObjectStream::ConsumeStringByte(char c) {
   constexpr unsigned char kFirstPrintable = 0x20;
-  // A control byte is not allowed here, so a line end shows that a closing quote was lost.
-  if (static_cast<unsigned char>(c) < kFirstPrintable) return Fail("a control byte inside a text", c);
-  bool closes = c == '"' && !escaped_;
-  escaped_ = c == '\\' && !escaped_;
-  quoted_ = !closes;
+  // Control characters are not allowed here, so a line break reveals a missing closing quote.
+  if (static_cast<unsigned char>(c) < kFirstPrintable) return Fail("control character inside a string", c);
+  bool closes = c == '"' && !after_backslash_;
+  after_backslash_ = c == '\\' && !after_backslash_;
+  in_string_ = !closes;
   return true;
 }
 
-// Takes one byte; false when it cannot belong to a JSON object.
-bool ObjectStream::Take(char c) {
-  if (quoted_) return TakeQuoted(c);
+// Consumes one byte; returns false if it cannot belong to a JSON object.
+bool ObjectStream::ConsumeByte(char c) {
+  if (in_string_) return ConsumeStringByte(c);
   bool white_space = c == ' ' || c == '\n' || c == '\r' || c == '\t';
   if (depth_ == 0 && c != '{') {
-    return white_space || Fail("neither a blank nor the beginning of an object", c);
+    return white_space || Fail("expected white space or the start of an object", c);
   }
-  quoted_ = c == '"';
+  in_string_ = c == '"';
   if (c == '{' || c == '[') ++depth_;
   if (c == '}' || c == ']') --depth_;
   return true;
@@ -35,10 +36,10 @@
 
 bool ObjectStream::Feed(std::string_view bytes, const OnObject& each) {
   if (!error_.empty()) return false;
-  std::size_t begin = 0;  // where the open object continues in `bytes`
+  std::size_t begin = 0;  // where the open object begins or continues in `bytes`
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     bool was_open = open();
-    if (!Take(bytes[i])) return false;
+    if (!ConsumeByte(bytes[i])) return false;
     if (was_open || open()) {
       if (!was_open) {
         begin = i;
@@ -46,7 +47,7 @@
       }
       ++object_bytes_;
       if (object_bytes_ > max_object_bytes_) {
-        return Fail(fmt::format("an object of more than {} bytes", max_object_bytes_), bytes[i]);
+        return Fail(fmt::format("object is longer than {} bytes", max_object_bytes_), bytes[i]);
       }
       if (!open()) {
         std::string_view object = bytes.substr(begin, i + 1 - begin);
--- a/src/net/reply_waiter.h
+++ b/src/net/reply_waiter.h
@@ -1,5 +1,5 @@
-// How the worker of a request waits for the final answers to its queries while the server's reader thread
-// watches the client's connection for it.
+// Lets the worker of a request wait for the final answers to its queries while the server's reader thread
+// watches the client's connection.
 #ifndef LIFTRUDDER_NET_REPLY_WAITER_H_
 #define LIFTRUDDER_NET_REPLY_WAITER_H_
 
@@ -14,14 +14,15 @@
 
 namespace liftrudder::net {
 
-// One for each request in progress, shared by its worker, the reader thread and the replies. A client that
-// disconnects is marked at once by the reader thread, before any worker runs. Any thread.
+// One per request in progress, shared by its worker, the reader thread and the replies. The reader thread
+// marks a disconnected client immediately, without waiting for the worker to run. Any thread.
 class ReplyWaiter {
  public:
-  // `rearm` makes the reader thread watch the connection again, after an event that turned out to be nothing.
+  // `rearm` makes the reader thread watch the connection again after an event that brought neither bytes nor
+  // the end.
   explicit ReplyWaiter(std::function<void()> rearm) : rearm_(std::move(rearm)) {}
   const std::shared_ptr<coordinator::ClientPresence>& client() const { return client_; }
-  // The reader thread saw an event on the connection; the worker wakes and looks for itself.
+  // Called by the reader thread on an event on the connection; wakes the worker, which checks the connection.
   void NotifyEvent(bool disconnected);
 
  private:
@@ -41,14 +42,14 @@
     kAnswered,
     kDisconnected,  // the client has closed its connection
     kDeadline,      // no answer by the deadline
-    kPipelined,     // the client sent more bytes while its answer was outstanding
+    kPipelined,     // the client sent more bytes before it was answered
   };
 
   explicit WaitingReply(std::shared_ptr<ReplyWaiter> reply_waiter) : reply_waiter_(std::move(reply_waiter)) {}
   void Deliver(coordinator::FinalAnswer answer) override;
-  // Blocks the worker. `connection` is the one whose reader thread notifies the waiter.
+  // Blocks the worker. `connection` is the connection of the request.
   WaitResult Wait(ClientConnection& connection, const coordinator::Clock& clock, Micros deadline_us);
-  // Only after Wait has returned kAnswered.
+  // Valid only after Wait has returned kAnswered.
   coordinator::FinalAnswer& answer() { return *answer_; }
 
  private:
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -9,12 +9,13 @@
 namespace liftrudder::net {
 namespace {
 
-// Statements in one frame together: as much as the body of one query may hold.
+// Total size of the statements in one frame: as much as the body of one query may hold.
 constexpr std::size_t kMaxFrameStatementBytes = 64 * 1024;
-// Connections reserved for each endpoint: one, and a quarter for those that replace closing ones.
+// Connections reserved for each endpoint: one, plus a quarter for replacements of connections that are
+// closing.
 constexpr double kReservedPerEndpoint = 1.25;
-// Of the connections beyond the reserved ones, the fraction that is spent on giving requests in flight a
-// connection of their own.
+// The fraction of the connections beyond the reserved ones that may be used to give each request in flight
+// its own connection.
 constexpr double kSpareFraction = 0.75;
 
 }  // namespace
@@ -78,8 +79,8 @@
   }
 }
 
-// Sends the first pending attempt and those behind it that may share its frame: a frame costs the endpoint
-// work beside that of its requests.
+// Sends the first pending attempt and those after it that may share its frame: each frame costs the endpoint
+// work in addition to its requests.
 void RequestDispatcher::SendBatch(EndpointQueue& queue, ConnectionId id, EndpointConnection& connection) {
   std::size_t statement_bytes = 0;
   std::size_t free_streams =
@@ -103,8 +104,8 @@
   io_.Flush(id, connection);
 }
 
-// At capacity an attempt waits, as long as its deadline allows, instead of being reported as the endpoint's
-// failure.
+// At capacity an attempt waits as long as its deadline allows, and is not reported as a failure of the
+// endpoint.
 void RequestDispatcher::DispatchWaiting() {
   while (!waiting_endpoints_.empty()) {
     auto queue = queues_.find(waiting_endpoints_.front());
@@ -121,14 +122,14 @@
   return !connections_.IdleTooLong(connection, now_us) && connection.addr == addr && !connection.retired;
 }
 
-bool RequestDispatcher::CanTake(const EndpointConnection& connection, const std::string& attempt_id) const {
+bool RequestDispatcher::CanAccept(const EndpointConnection& connection, const std::string& attempt_id) const {
   bool full = static_cast<int>(connection.in_flight.size()) >= limits_.streams_per_connection;
   return !full && !connection.IsWriting() && !connection.HasUnanswered(attempt_id);
 }
 
-// The connection with the fewest requests in flight, or kNoConnection to wait for one that is being
-// established. Prefers an unshared connection as long as MayOpenAnother allows one; a usable connection is
-// not passed over for one that is slow to establish.
+// Returns the usable connection with the fewest requests in flight, or kNoConnection if there is none or the
+// attempt should wait for one that is being established. Opens another connection if all are shared and
+// MayOpenAnother allows it, but does not wait for a slow one while another is usable.
 ConnectionId RequestDispatcher::SelectConnection(EndpointQueue& queue, const std::string& attempt_id) {
   std::string addr = resolver_.Find(queue.endpoint).addr;
   Micros now_us = clock_.Now();
@@ -142,7 +143,7 @@
       if (unused) connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
       continue;
     }
-    if (!CanTake(connection, attempt_id)) continue;
+    if (!CanAccept(connection, attempt_id)) continue;
     if (best == kNoConnection || connection.in_flight.size() < fewest_in_flight) {
       best = id;
       fewest_in_flight = connection.in_flight.size();
@@ -154,9 +155,9 @@
   return wait_for_new ? kNoConnection : best;
 }
 
-// A connection that breaks takes all requests in flight on it along, so each request gets one of its own
-// while connections are to spare. A second connection to one endpoint must not keep another endpoint from
-// having its first.
+// A connection that breaks fails all requests in flight on it, so each request gets its own connection while
+// there are spare ones. Additional connections to one endpoint must not prevent the first connection to
+// another.
 bool RequestDispatcher::MayOpenAnother(const EndpointQueue& queue) const {
   double endpoints = std::max<double>(limits_.endpoints, static_cast<double>(queues_.size()));
   double spare = std::max(0.0, limits_.max_connections - kReservedPerEndpoint * endpoints);
@@ -167,12 +168,12 @@
          queue.connecting < frames_pending;
 }
 
-// An attempt that was pending when the failed connection was begun has waited a whole connect for it and is
-// not made to wait for another, unless the endpoint has an established connection left.
+// Attempts that were pending when the failed connect was started have waited for all of it. They end instead
+// of waiting for another connect, unless the endpoint still has an established connection.
 void RequestDispatcher::HandleConnectFailure(ConnectionId id, EndpointConnection& connection) {
   EndpointQueue& queue = *connection.queue;
   Micros started_us = connection.connect_started_us;
-  log::Info("endpoint at {}: no connection after {} us", connection.addr, clock_.Now() - started_us);
+  log::Info("connect to endpoint {} failed after {} us", connection.addr, clock_.Now() - started_us);
   counters_.connects_failed.Add();
   queue.slow_connect = true;
   connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -1,6 +1,6 @@
-// Assigns queued attempts to connections: one queue for each endpoint, which connection a request takes, when
-// another connection is opened, and who is next when the pool is at capacity. It does no I/O of its own. The
-// pool's lock guards it.
+// Queues attempts per endpoint and assigns them to connections. Decides which connection a request uses, when
+// another one is opened, and which endpoint is next when the pool is at capacity. No I/O of its own. Guarded
+// by the pool's lock.
 #ifndef LIFTRUDDER_NET_REQUEST_DISPATCHER_H_
 #define LIFTRUDDER_NET_REQUEST_DISPATCHER_H_
 
@@ -16,33 +16,34 @@
 
 class RequestDispatcher {
  public:
-  // All references outlive this object; `limits` may change under the pool's lock.
+  // All references must outlive this object; `limits` may change under the pool's lock.
   RequestDispatcher(const EndpointProtocol& protocol, const coordinator::EndpointResolver& resolver,
                     const coordinator::Clock& clock, const ConnectionLimits& limits,
                     metrics::Counters& counters, AttemptRegistry& attempts,
                     EndpointConnectionTable& connections, EndpointConnectionIo& io);
 
-  // Queues an attempt that is in the registry until EndRound, so that those of one round can share a frame.
+  // Holds an attempt that is in the registry until EndRound, so that the attempts of one round can share a
+  // frame.
   void Stage(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint);
   void EndRound();
 
-  // Sends what is pending as far as there are usable connections. The rest waits for a connection that is
+  // Sends the pending attempts for which there are usable connections. The rest wait for a connection that is
   // being established, or for capacity.
   void Dispatch(EndpointQueue& queue);
-  // Serves the endpoints that found the pool at capacity, the longest waiting first.
+  // Dispatches to the endpoints that found the pool at capacity, the longest waiting first.
   void DispatchWaiting();
   // Closes a connection that failed to establish, and ends the attempts that have waited for it.
   void HandleConnectFailure(ConnectionId id, EndpointConnection& connection);
 
   void CloseIdle(const coordinator::EndpointId& endpoint);
-  // Releases the queues and connections of endpoints that were removed or drain, once they are unused.
+  // Releases the queues and connections of endpoints that were removed or are draining, once they are unused.
   void ReleaseRemovedEndpoints();
 
  private:
   void SendBatch(EndpointQueue& queue, ConnectionId id, EndpointConnection& connection);
   ConnectionId SelectConnection(EndpointQueue& queue, const std::string& attempt_id);
   bool IsUsable(const EndpointConnection& connection, const std::string& addr, Micros now_us) const;
-  bool CanTake(const EndpointConnection& connection, const std::string& attempt_id) const;
+  bool CanAccept(const EndpointConnection& connection, const std::string& attempt_id) const;
   bool MayOpenAnother(const EndpointQueue& queue) const;
   bool IsReleasable(const EndpointQueue& queue) const;
 
@@ -54,7 +55,7 @@
   AttemptRegistry& attempts_;
   EndpointConnectionTable& connections_;
   EndpointConnectionIo& io_;
-  std::map<coordinator::EndpointId, EndpointQueue> queues_;  // connections point into it
+  std::map<coordinator::EndpointId, EndpointQueue> queues_;  // connections hold pointers into it
   std::vector<coordinator::EndpointId> staged_endpoints_;    // whose queues have staged attempts
   std::deque<coordinator::EndpointId> waiting_endpoints_;    // found no capacity; the longest waiting first
 };
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -15,12 +15,12 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr Micros kIdleTimeout = 2'000'000;
-constexpr Micros kWriteTimeout = 2'000'000;
-constexpr Micros kCloseReportInterval = 2'000'000;
+constexpr Micros kIdleTimeoutUs = 2'000'000;
+constexpr Micros kWriteTimeoutUs = 2'000'000;
+constexpr Micros kCloseReportIntervalUs = 2'000'000;
 // A load balancer polls readiness every 0.1 s and sends new connections for up to 0.2 s after it has noticed.
-constexpr Micros kAdminDrainDelay = 400'000;
-constexpr int kMaxLingering = 20;  // closed connections that are still read to their end
+constexpr Micros kAdminDrainDelayUs = 400'000;
+constexpr int kMaxLingeringConnections = 20;  // closed connections that are still read to their end
 
 }  // namespace
 
@@ -33,7 +33,7 @@
       max_connections_(limits.connections),
       max_requests_(limits.requests),
       tls_(tls),
-      lingering_closer_(kMaxLingering),
+      lingering_closer_(kMaxLingeringConnections),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
       workers_(mutex_, closed_, [this](SessionRef session) { Answer(session); }) {
   epoll_event event{EPOLLIN, {}};
@@ -45,7 +45,7 @@
 Server::~Server() {
   Drain();
   StopListening();
-  while (!WaitClosed(kCloseReportInterval)) log::Error("client connections stay open");
+  while (!WaitClosed(kCloseReportIntervalUs)) log::Error("shutdown waits for client connections to end");
   reader_thread_.Join();
 }
 
@@ -61,11 +61,11 @@
   return draining != was_draining;
 }
 
-// Not at once when an operator drains: a load balancer that has not noticed yet would send the client's next
-// connection here again.
+// A drain by an operator closes connections only after a delay: a load balancer that has not noticed the
+// drain yet would send the client's next connection here again.
 bool Server::ClosesAfterResponse() const {
   Micros since_us = admin_drain_since_us_;
-  bool admin_drained = since_us != 0 && clock_.Now() - since_us >= kAdminDrainDelay;
+  bool admin_drained = since_us != 0 && clock_.Now() - since_us >= kAdminDrainDelayUs;
   return accepting_stopped_ || admin_drained;
 }
 
@@ -75,8 +75,8 @@
   workers_.Stop();
 }
 
-// Lingering connections count too: a response that its client has not taken in would be lost with the
-// process.
+// Also waits for lingering connections: a response that its client has not received would be lost when the
+// process exits.
 bool Server::WaitClosed(Micros wait_us) {
   Micros until_us = clock_.Now() + wait_us;
   {
@@ -95,7 +95,7 @@
   try {
     Respond(session);
   } catch (const std::exception& error) {
-    log::Error("client connection: {}", error.what());
+    log::Error("error while answering a request, closing its client connection: {}", error.what());
     Remove(session);
   }
 }
@@ -109,10 +109,10 @@
     Remove(session);
     return;
   }
-  // A draining server keeps connections open until it stops listening: a client that is sent away at once
+  // A draining server keeps connections open until it stops listening: a client that is disconnected earlier
   // may find no other coordinator while several are being replaced.
   bool close = response->close || session->parser.message().close || stopping_ || ClosesAfterResponse();
-  Written written = session->connection.Write(Format(*response, close), kWriteTimeout);
+  Written written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
   bool complete = written.status == Io::kOk;
   handler_.Wrote(answered_queries, response->status, written.bytes, complete);
   if (!complete) {
@@ -136,7 +136,7 @@
   busy_sessions_ -= session->phase == SessionPhase::kBusy ? 1 : 0;
   session->phase = SessionPhase::kIdle;
   session->phase_since_us = clock_.Now();
-  session->request_deadline_us = session->phase_since_us + kIdleTimeout;
+  session->request_deadline_us = session->phase_since_us + kIdleTimeoutUs;
   session->received_us = 0;
   session->parser = HttpParser(HttpParser::Kind::kRequest);
   session->reply_waiter = nullptr;
@@ -145,7 +145,7 @@
 
 ClientConnection Server::Remove(SessionRef session) {
   std::lock_guard lock(mutex_);
-  // The lingering closer may keep the descriptor open: its events must not name a session that is removed.
+  // The lingering closer may keep the descriptor open, and its events must not refer to a removed session.
   ::epoll_ctl(epoll_.Get(), EPOLL_CTL_DEL, session->connection.fd(), nullptr);
   ClientConnection connection = std::move(session->connection);
   busy_sessions_ -= session->phase == SessionPhase::kBusy ? 1 : 0;
@@ -155,7 +155,8 @@
   return connection;
 }
 
-// After a last response: bytes that the client sends meanwhile must not turn it into a reset.
+// Called after the last response on a connection: bytes that the client sends meanwhile must not cause a
+// reset that loses it.
 void Server::CloseGracefully(SessionRef session) { lingering_closer_.Take(Remove(session).Finish()); }
 
 void Server::Control(int operation, const ClientSession& session, std::uint32_t interest) const {
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,6 +1,6 @@
 // Accepts client connections on one listener, reads requests on one reader thread, and answers each on a
-// worker's thread through a Handler. It bounds connections and requests, serves plain TCP or TLS, and drains
-// and stops without losing a request. What is answered is the Handler's.
+// worker's thread with the response of a Handler. Bounds connections and requests, serves plain TCP or TLS,
+// and drains and stops without losing a request.
 //
 // Threads: the reader thread owns all sessions that are not busy, and the listener. A worker owns a busy
 // session until it has answered the request. Public calls come from any thread.
@@ -30,7 +30,7 @@
 
 class Server {
  public:
-  // `tls` null: plain TCP. All references and `tls` outlive the server.
+  // `tls` null: plain TCP. All references and `tls` must outlive the server.
   Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
          const ServerLimits& limits, const TlsSource* tls = nullptr);
   // Drains, stops listening and waits until all connections have ended.
@@ -38,23 +38,25 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // Connections and requests beyond smaller limits end on their own.
+  // Applies new limits. Requests beyond a lower limit are still answered; idle connections beyond it are
+  // closed.
   void Resize(const ServerLimits& limits);
-  // The process is about to stop: reports not ready, and keeps serving until StopListening.
+  // Called when the process is about to stop: reports not ready, but keeps serving until StopListening.
   void Drain() { draining_ = true; }
-  // An operator drains the server, or ends that. While it lasts the server reports not ready; after a delay
-  // that lets load balancers notice, connections are closed after their response or while idle, and new ones
-  // are still served. False when that was its state already.
+  // Starts or ends a drain by an operator. During the drain the server reports not ready; after a delay that
+  // lets load balancers notice, connections are closed after their response or while idle, and new ones are
+  // still served. Returns false if the state did not change.
   bool SetAdminDrain(bool draining);
   bool Ready() const { return !draining_ && admin_drain_since_us_ == 0; }
-  // Accepts no more connections, for another process accepts them on the same listener. Those that are open
+  // Stops accepting connections, because another process accepts them on the same listener. Open connections
   // are served and closed after their next response.
   void StopAccepting() { accepting_stopped_ = true; }
-  // Accepts what is in the listener's backlog, then closes it. Every request that has begun to arrive is
-  // answered, and its connection closed.
+  // Accepts the connections in the listener's backlog, then closes the listener. Every request that has begun
+  // to arrive is answered, then its connection is closed.
   void StopListening();
-  // After StopListening: whether all connections have ended within that time, responses taken in by their
-  // clients or out of time. The process may exit then.
+  // Called after StopListening: waits until all connections have ended, each response having been received by
+  // its client or having timed out. The process may then exit. Returns false if that takes longer than
+  // `wait_us`.
   bool WaitClosed(Micros wait_us);
 
  private:
@@ -87,9 +89,9 @@
   void Control(int operation, const ClientSession& session, std::uint32_t interest) const;
   void AwaitReadable(const ClientSession& session) const;
 
-  static constexpr SessionId kListenerEvent = 0;  // the poll's tag of the listener; no session's id
+  static constexpr SessionId kListenerEvent = 0;  // the listener's epoll tag; never a session's id
 
-  Fd listener_;  // the reader thread's
+  Fd listener_;  // reader thread only
   Handler& handler_;
   const coordinator::Clock& clock_;
   metrics::Counters& counters_;
@@ -103,16 +105,16 @@
   std::atomic<Micros> admin_drain_since_us_{0};  // 0: not drained by an operator
   std::atomic<bool> stopping_{false};            // set under the lock
 
-  std::mutex mutex_;                // guards everything below, but as stated
+  std::mutex mutex_;                // guards everything below, except as stated
   std::condition_variable closed_;  // a session, a worker or the reader thread has ended
-  SessionList sessions_;            // the list; a session itself belongs to the reader thread or its worker
+  SessionList sessions_;            // the list only; a session is owned by the reader thread or its worker
   std::unordered_map<SessionId, SessionRef> sessions_by_id_;
   int busy_sessions_ = 0;
   bool reader_ended_ = false;
   WorkerPool workers_;
-  SessionId last_id_ = 0;      // the reader thread's, no lock
-  Micros last_expiry_us_ = 0;  // the reader thread's, no lock: when it last looked for expired sessions
-  Thread reader_thread_;       // last: it uses everything above
+  SessionId last_id_ = 0;            // reader thread only, no lock
+  Micros last_expiry_check_us_ = 0;  // reader thread only, no lock: the last check for expired sessions
+  Thread reader_thread_;             // declared last: the thread uses all members above
 };
 
 }  // namespace liftrudder::net
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -1,4 +1,5 @@
-// The reader thread's part of Server: accepting, reading requests, closing what is unused or overdue.
+// The reader thread's part of Server: accepts connections, reads requests, closes unused and expired
+// sessions.
 #include <sys/epoll.h>
 
 #include <algorithm>
@@ -15,20 +16,20 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr int kPollMs = 100;  // at least this often the reader thread looks for expired sessions
+constexpr int kPollMs = 100;  // longest time between checks for expired sessions
 constexpr int kStoppingPollMs = 10;
-constexpr Micros kMinExpiryInterval = 20'000;
-constexpr Micros kFirstRequestTimeout = 2'000'000;  // from accepting to the end of the first request
-constexpr Micros kRequestTimeout = 2'000'000;       // from the first byte of a later request to its end
-constexpr int kMaxPerTurn = 64;                     // connections accepted, and events handled, in one turn
-constexpr std::size_t kMaxReadBytes = 131072;       // of one client in one turn
+constexpr Micros kMinExpiryCheckIntervalUs = 20'000;
+constexpr Micros kFirstRequestTimeoutUs = 2'000'000;  // from accept to the end of the first request
+constexpr Micros kRequestTimeoutUs = 2'000'000;       // from the first byte of a later request to its end
+constexpr int kMaxPerTurn = 64;                       // events and accepted connections per loop iteration
+constexpr std::size_t kMaxReadBytes = 131072;         // from one client per loop iteration
 
 }  // namespace
 
 void Server::RunReader() {
   bool accepting = true;
   while (true) {
-    bool stopping = stopping_;  // read before the events: what had arrived by then is accepted below
+    bool stopping = stopping_;  // read first: connections that have arrived by now are accepted below
     bool connection_pending = HandleEvents(stopping ? kStoppingPollMs : kPollMs);
     if (tls_ != nullptr) LimitHandshakes();
     if (accepting_stopped_ && accepting) {
@@ -39,7 +40,8 @@
     CloseExpired(clock_.Now());
     if (!stopping) continue;
     if (accepting) {
-      // The kernel has accepted what is in the backlog: closing the listener would reset it.
+      // The kernel has already completed the connections in the backlog: closing the listener would reset
+      // them.
       while (AcceptSome()) {
       }
       accepting = false;
@@ -54,7 +56,7 @@
   closed_.notify_all();
 }
 
-// Handles the events of sessions; whether there was one of the listener.
+// Handles the events of sessions; returns whether there was one on the listener.
 bool Server::HandleEvents(int wait_ms) {
   epoll_event events[kMaxPerTurn];
   int count = ::epoll_wait(epoll_.Get(), events, kMaxPerTurn, wait_ms);
@@ -80,8 +82,8 @@
     if (found == sessions_by_id_.end()) return;
     session = found->second;
     if (session->phase == SessionPhase::kBusy) reply_waiter = session->reply_waiter;
-    // Only a disconnection is of interest now: bytes that stay unread until the worker looks would report the
-    // connection as readable again and again.
+    // Watch only for a disconnection now: unread bytes would report the connection as readable repeatedly
+    // until the worker checks it.
     if (reply_waiter != nullptr && !disconnected) Control(EPOLL_CTL_MOD, *session, 0);
   }
   if (reply_waiter != nullptr) {
@@ -91,7 +93,7 @@
   }
 }
 
-// Whether there may be more connections to accept.
+// Returns whether there may be more connections to accept.
 bool Server::AcceptSome() {
   for (int i = 0; i < kMaxPerTurn; ++i) {
     Fd accepted = Accept(listener_, 0);
@@ -126,7 +128,7 @@
   }
   session->connection = std::move(connection);
   session->phase_since_us = now_us;
-  session->request_deadline_us = now_us + kFirstRequestTimeout;
+  session->request_deadline_us = now_us + kFirstRequestTimeoutUs;
   Control(EPOLL_CTL_ADD, *session, EPOLLIN);
 }
 
@@ -136,8 +138,8 @@
   lingering_closer_.Take(connection.Finish());
 }
 
-// While stopping: closes the sessions without a request; whether none is left. A request that has begun to
-// arrive is waited for, and a connection that was just accepted gets a moment to send one.
+// While stopping: closes sessions without a request and returns whether no session is left. Waits for a
+// request that has begun to arrive, and gives a newly accepted connection kMinIdleUs to send one.
 bool Server::CloseUnused(Micros now_us) {
   std::vector<SessionRef> not_busy;
   {
@@ -148,7 +150,7 @@
   }
   for (auto session : not_busy) {
     bool just_accepted =
-        session->phase == SessionPhase::kNew && now_us - session->phase_since_us < kMinIdleTime;
+        session->phase == SessionPhase::kNew && now_us - session->phase_since_us < kMinIdleUs;
     bool request_begun = session->received_us != 0;
     if (just_accepted || request_begun) continue;
     if (Peek(session->connection.fd()) == SocketState::kBytes) {
@@ -162,10 +164,10 @@
 }
 
 void Server::CloseExpired(Micros now_us) {
-  if (now_us - last_expiry_us_ < kMinExpiryInterval) return;
-  last_expiry_us_ = now_us;
+  if (now_us - last_expiry_check_us_ < kMinExpiryCheckIntervalUs) return;
+  last_expiry_check_us_ = now_us;
   ExpiryRules rules;
-  rules.closing_idle = admin_drain_since_us_ != 0 && ClosesAfterResponse();
+  rules.close_idle = admin_drain_since_us_ != 0 && ClosesAfterResponse();
   ExpiredSessions found;
   {
     std::lock_guard lock(mutex_);
@@ -199,17 +201,18 @@
 
 void Server::Receive(SessionRef session) {
   try {
-    // Synchronizes with the worker that had the session before: it armed the connection under the lock.
+    // Synchronizes with the worker that owned the session before and rearmed the connection under the lock.
     { std::lock_guard lock(mutex_); }
     bool complete = ReadRequest(session);
     if (complete) Submit(session);
   } catch (const std::exception& error) {
-    log::Error("client connection: {}", error.what());
+    log::Error("error while reading a request, closing its client connection: {}", error.what());
     Remove(session);
   }
 }
 
-// Reads what has arrived. True when a request is complete; else the session waits for more or was closed.
+// Reads the bytes that have arrived. Returns true if a request is complete; otherwise the session waits for
+// more or was closed.
 bool Server::ReadRequest(SessionRef session) {
   std::size_t read_bytes = 0;
   while (read_bytes <= kMaxReadBytes) {
@@ -222,13 +225,13 @@
     if (session->received_us == 0) {
       session->received_us = clock_.Now();
       if (session->phase == SessionPhase::kIdle) {
-        session->request_deadline_us = session->received_us + kRequestTimeout;
+        session->request_deadline_us = session->received_us + kRequestTimeoutUs;
       }
     }
     read_bytes += session->unparsed.size();
     HttpParser::State state = session->parser.Feed(session->unparsed);
     bool complete = state == HttpParser::State::kDone;
-    // Requests are not pipelined: of several sent at once none is begun.
+    // Pipelining is not supported: if several requests are sent at once, none is run.
     bool pipelined =
         complete && (!session->unparsed.empty() || session->connection.Probe() == SocketState::kBytes);
     if (state == HttpParser::State::kBad || pipelined) {
@@ -254,7 +257,7 @@
   }
 }
 
-// False when there are as many requests as allowed, or no thread for this one.
+// Returns false at the limit on requests, or if there is no thread for this one.
 bool Server::TrySubmit(SessionRef session) {
   std::lock_guard lock(mutex_);
   bool accepted = busy_sessions_ < max_requests_ && workers_.Reserve();
@@ -267,7 +270,8 @@
   return true;
 }
 
-// It holds the session's id and not its descriptor, which may be another connection's by the time it is used.
+// The callback holds the session's id instead of its descriptor, which may belong to another connection by
+// the time it is used.
 std::shared_ptr<ReplyWaiter> Server::NewReplyWaiter(SessionId id) {
   return std::make_shared<ReplyWaiter>([this, id] {
     std::lock_guard lock(mutex_);
--- a/src/net/session_eviction.cpp
+++ b/src/net/session_eviction.cpp
@@ -6,19 +6,19 @@
 namespace liftrudder::net {
 namespace {
 
-// Near the limit, connections are evicted that have been idle or silent for longer than these; at the limit
-// any that is not busy.
-constexpr Micros kOldIdleTime = 2'000'000;
-constexpr Micros kOldSilentTime = 500'000;
-// A new connection that has sent nothing for longer than this counts as silent.
-constexpr Micros kFirstByteGrace = 50'000;
-// The divisor of the connections that may be in a TLS handshake.
-constexpr int kHandshakeShare = 4;
+// Near the connection limit, connections that have been idle or without a complete request for longer than
+// this are evicted; at the limit, any connection that is not busy.
+constexpr Micros kEarlyEvictionIdleUs = 2'000'000;
+constexpr Micros kEarlyEvictionSilenceUs = 500'000;
+// A new connection without a complete request counts as silent after this time.
+constexpr Micros kFirstRequestGraceUs = 50'000;
+// At most the connection limit divided by this may be in a TLS handshake.
+constexpr int kHandshakeLimitDivisor = 4;
 
-// The greatest is evicted first. Silent connections precede idle ones: a client that loses an idle connection
-// reconnects, which would add to a flood of silent ones.
+// The session with the greatest rank is evicted first. Silent connections rank above idle ones: a client that
+// loses an idle connection reconnects, which would add to a flood of silent connections.
 struct EvictionRank {
-  bool old = false;
+  bool evictable_early = false;
   bool silent = false;
   bool idle = false;
   Micros age_us = 0;
@@ -29,8 +29,8 @@
 EvictionRank RankOf(const ClientSession& session, Micros now_us) {
   Micros age_us = now_us - session.phase_since_us;
   bool idle = session.phase == SessionPhase::kIdle;
-  return {.old = age_us > (idle ? kOldIdleTime : kOldSilentTime),
-          .silent = !idle && age_us > kFirstByteGrace,
+  return {.evictable_early = age_us > (idle ? kEarlyEvictionIdleUs : kEarlyEvictionSilenceUs),
+          .silent = !idle && age_us > kFirstRequestGraceUs,
           .idle = idle,
           .age_us = age_us};
 }
@@ -53,7 +53,7 @@
     victim_rank = rank;
   }
   if (victim == sessions.end()) return {.admit = !at_limit, .evict = {}};
-  if (!at_limit && !victim_rank.old) return {};
+  if (!at_limit && !victim_rank.evictable_early) return {};
   return {.admit = true, .evict = victim};
 }
 
@@ -63,8 +63,8 @@
   for (auto session = sessions.begin(); session != sessions.end(); ++session) {
     past_first_request += session->phase != SessionPhase::kNew ? 1 : 0;
     if (session->phase == SessionPhase::kBusy) continue;
-    bool unused = session->received_us == 0 && now_us - session->phase_since_us > kMinIdleTime;
-    bool closable = rules.closing_idle && unused;
+    bool unused = session->received_us == 0 && now_us - session->phase_since_us > kMinIdleUs;
+    bool closable = rules.close_idle && unused;
     bool expired = now_us >= session->request_deadline_us ||
                    (closable && Peek(session->connection.fd()) == SocketState::kNothing);
     if (expired) {
@@ -86,7 +86,7 @@
     bool in_handshake = session->phase != SessionPhase::kBusy && session->connection.InHandshake();
     if (in_handshake) handshakes.push_back(session);
   }
-  auto allowed = static_cast<std::size_t>(std::max(1, max_connections / kHandshakeShare));
+  auto allowed = static_cast<std::size_t>(std::max(1, max_connections / kHandshakeLimitDivisor));
   std::size_t excess = handshakes.size() > allowed ? handshakes.size() - allowed : 0;
   handshakes.resize(excess);
   return handshakes;
--- a/src/net/session_eviction.h
+++ b/src/net/session_eviction.h
@@ -1,6 +1,6 @@
-// Which client connections the server closes so that it can serve the others: to make room for a new one, for
-// exceeding a time limit, or for handshakes that do not go on. Selects only; the caller holds the server's
-// lock and closes them on the reader thread.
+// Selects the client connections that the server closes so that it can serve the others: to make room for a
+// new one, after a time limit, or because of unfinished handshakes. The caller holds the server's lock and
+// closes them on the reader thread.
 #ifndef LIFTRUDDER_NET_SESSION_EVICTION_H_
 #define LIFTRUDDER_NET_SESSION_EVICTION_H_
 
@@ -11,11 +11,11 @@
 
 namespace liftrudder::net {
 
-// An idle connection is kept open for at least this long where it may be closed early, and a new one while
+// The least time for which an idle connection is kept open before it may be closed early, and a new one while
 // the server stops.
-constexpr Micros kMinIdleTime = 200'000;
+constexpr Micros kMinIdleUs = 200'000;
 
-// What becomes of a new connection.
+// What to do with a new connection.
 struct AdmissionDecision {
   bool admit = true;
   std::optional<SessionRef> evict;  // to be closed first
@@ -25,19 +25,20 @@
 struct ExpiryRules {
   int max_connections = 0;
   int max_requests = 0;
-  bool closing_idle = false;  // the server drains: connections without a request are closed
+  bool close_idle = false;  // drained by an operator: close connections without a request
 };
 struct ExpiredSessions {
   std::vector<SessionRef> expired;  // past their deadline, or closed by a drain
-  std::vector<SessionRef> evicted;  // idle, and more than clients may keep open
+  std::vector<SessionRef> evicted;  // idle, beyond the number that clients may keep open
 };
-// A new connection owes its first request soon after it was accepted, a later request must be complete soon
-// after it has begun. Clients that keep idle connections open may hold half as many as there may be requests,
-// the longest idle are closed first: otherwise they would keep new clients out.
+// The first request must be complete soon after accept, a later one soon after its first byte. Connections
+// past their first request may number half of `max_requests`; beyond that, or beyond `max_connections`, the
+// longest idle are closed first, so that they do not keep new clients out.
 ExpiredSessions FindExpired(SessionList& sessions, const ExpiryRules& rules, Micros now_us);
 
-// The oldest handshakes beyond the share of `max_connections` that may be in one. A handshake costs some
-// 50 KB, and an unfinished one must not hold that for long; a live client's takes a round trip or two.
+// The oldest handshakes beyond the fraction of `max_connections` that may be in one. A handshake takes about
+// 50 KB, which an unfinished one must not hold for long; a responsive client completes it in one or two round
+// trips.
 std::vector<SessionRef> FindExcessHandshakes(SessionList& sessions, int max_connections);
 
 }  // namespace liftrudder::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -23,9 +23,9 @@
 namespace {
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::size_t kStackBytes = 1024 * 1024;
+constexpr std::size_t kThreadStackBytes = 1024 * 1024;
 #else
-constexpr std::size_t kStackBytes = 128 * 1024;
+constexpr std::size_t kThreadStackBytes = 128 * 1024;
 #endif
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
@@ -52,8 +52,8 @@
   return out;
 }
 
-// Waits for `events` on `fd` until the monotonic time `until_us`; returns the events that occurred, 0: none.
-PollEvents Wait(int fd, PollEvents events, Micros until_us) {
+// Waits for `events` on `fd` until the monotonic time `until_us`; returns the events that occurred, or 0.
+PollEvents PollUntil(int fd, PollEvents events, Micros until_us) {
   while (true) {
     Micros left_us = std::max<Micros>(0, until_us - ReadClock(CLOCK_MONOTONIC));
     pollfd polled{fd, events, 0};
@@ -76,7 +76,7 @@
 bool StartThread(pthread_t& handle, std::function<void()> body, bool joinable) {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, kStackBytes);
+  pthread_attr_setstacksize(&attributes, kThreadStackBytes);
   if (!joinable) pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
   auto owned = std::make_unique<std::function<void()>>(std::move(body));
   bool started = pthread_create(&handle, &attributes, RunBody, owned.get()) == 0;
@@ -130,7 +130,7 @@
 Fd Connect(const std::string& address, Micros wait_us) {
   Micros until_us = DeadlineAfter(wait_us);
   Fd fd = BeginConnect(address);
-  bool connected = fd.Valid() && Wait(fd.Get(), POLLOUT, until_us) != 0 && ConnectError(fd) == 0;
+  bool connected = fd.Valid() && PollUntil(fd.Get(), POLLOUT, until_us) != 0 && ConnectError(fd) == 0;
   if (!connected) return Fd();
   int flags = fcntl(fd.Get(), F_GETFL);
   fcntl(fd.Get(), F_SETFL, flags & ~O_NONBLOCK);
@@ -154,18 +154,18 @@
   int number = -1;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size() || number < 0) {
-    throw InheritedSocketError(fmt::format("passed socket: '{}' is no descriptor's number", text));
+    throw InheritedSocketError(fmt::format("passed socket: '{}' is not a descriptor number", text));
   }
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0) {
+  int listening = 0;
+  socklen_t size = sizeof listening;
+  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) != 0) {
     throw InheritedSocketError(fmt::format("passed socket: descriptor {}: {}", number, std::strerror(errno)));
   }
-  if (listens == 0) {
-    throw InheritedSocketError(fmt::format("passed socket: descriptor {} does not listen", number));
+  if (listening == 0) {
+    throw InheritedSocketError(fmt::format("passed socket: descriptor {} is not a listening socket", number));
   }
   Fd fd(number);
-  // Non-blocking, for another process may share it and accept the connection that woke both.
+  // Non-blocking, because another process may share the listener and accept the connection that woke both.
   ::fcntl(number, F_SETFL, ::fcntl(number, F_GETFL) | O_NONBLOCK);
   ::fcntl(number, F_SETFD, FD_CLOEXEC);
   return fd;
@@ -193,7 +193,7 @@
 }
 
 Fd Accept(const Fd& listener, Micros wait_us) {
-  if (Wait(listener.Get(), POLLIN, DeadlineAfter(wait_us)) == 0) return Fd();
+  if (PollUntil(listener.Get(), POLLIN, DeadlineAfter(wait_us)) == 0) return Fd();
   Fd fd(::accept4(listener.Get(), nullptr, nullptr, SOCK_CLOEXEC));
   int on = 1;
   if (fd.Valid()) setsockopt(fd.Get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -217,7 +217,7 @@
     Written step = WriteNow(fd, bytes.substr(written_bytes));
     written_bytes += step.bytes;
     if (step.status == Io::kError) return {Io::kError, written_bytes};
-    bool timed_out = step.status == Io::kTimeout && Wait(fd.Get(), POLLOUT, until_us) == 0;
+    bool timed_out = step.status == Io::kTimeout && PollUntil(fd.Get(), POLLOUT, until_us) == 0;
     if (timed_out) return {Io::kTimeout, written_bytes};
   }
   return {Io::kOk, written_bytes};
@@ -240,13 +240,13 @@
 Io ReadSome(const Fd& fd, std::string& out, Micros wait_us) {
   Micros until_us = DeadlineAfter(wait_us);
   while (true) {
-    if (Wait(fd.Get(), POLLIN, until_us) == 0) return Io::kTimeout;
+    if (PollUntil(fd.Get(), POLLIN, until_us) == 0) return Io::kTimeout;
     Io got = ReadNow(fd, out);
     if (got != Io::kTimeout) return got;
   }
 }
 
-bool Readable(int fd, Micros wait_us) { return Wait(fd, POLLIN, DeadlineAfter(wait_us)) != 0; }
+bool Readable(int fd, Micros wait_us) { return PollUntil(fd, POLLIN, DeadlineAfter(wait_us)) != 0; }
 
 void ShutDown(const Fd& fd) { ::shutdown(fd.Get(), SHUT_RDWR); }
 void ShutDownWriting(const Fd& fd) { ::shutdown(fd.Get(), SHUT_WR); }
@@ -290,7 +290,7 @@
   if (std::exchange(running_, false)) pthread_join(handle_, nullptr);
 }
 
-bool Detach(std::function<void()> body) {
+bool StartDetachedThread(std::function<void()> body) {
   pthread_t handle{};
   return StartThread(handle, std::move(body), false);
 }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,5 +1,5 @@
 // Sockets, descriptors, the steady clock and threads: RAII over POSIX calls, with a time limit on every call
-// that waits. IPv4 addresses in numbers only; no name look-ups.
+// that waits. Numeric IPv4 addresses only; no name resolution.
 #ifndef LIFTRUDDER_NET_SOCKET_H_
 #define LIFTRUDDER_NET_SOCKET_H_
 
@@ -19,7 +19,7 @@
 
 using coordinator::Micros;
 
-// Owns a descriptor.
+// Owns a file descriptor.
 class Fd {
  public:
   Fd() = default;
@@ -34,8 +34,8 @@
   int fd_ = -1;
 };
 
-// Monotonic time, offset to Unix time as it was when the clock was made, so that it can be compared with the
-// wall time of other hosts.
+// Monotonic time plus its offset to Unix time at construction, so that it can be compared with the wall time
+// of other hosts.
 class SteadyClock : public coordinator::Clock {
  public:
   SteadyClock();
@@ -47,7 +47,7 @@
 
 enum class Io {
   kOk,
-  kEnd,      // the other side has closed the connection
+  kEnd,      // the peer has closed the connection
   kTimeout,  // nothing could be transferred in time
   kError,
 };
@@ -60,57 +60,58 @@
 // ---- Opening connections. An invalid Fd means failure. Addresses are HOST:PORT. ----
 
 Fd Connect(const std::string& address, Micros wait_us);
-// Begins to connect without waiting. When the socket becomes writable it is connected or has failed, which
-// ConnectError tells. A failure leaves its reason in errno.
+// Starts connecting without waiting. Once the socket is writable it is connected or has failed; ConnectError
+// tells which. An immediate failure leaves its reason in errno.
 Fd BeginConnect(const std::string& address);
-// An errno value; 0: connected.
+// The errno value of the connect; 0 if connected.
 int ConnectError(const Fd& fd);
-// Whether errno says that the process or the machine has run out of descriptors.
+// Whether errno says that the process or the machine has run out of descriptors or memory for them.
 bool OutOfDescriptors();
 
 // ---- Listening ----
 
-// The descriptor that was passed by the process which started this one is not a listening socket.
+// The descriptor passed by the parent process is not a listening socket.
 class InheritedSocketError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 Fd Listen(const std::string& address);
-// Takes over the listening socket whose descriptor's number is `text`. Throws InheritedSocketError.
+// Takes ownership of the listening socket whose descriptor number is `text`. Throws InheritedSocketError.
 Fd Inherit(const std::string& text);
 Fd Accept(const Fd& listener, Micros wait_us);
 std::string LocalAddress(const Fd& fd);
-// The other side's address in numbers, without its port; empty when it has disconnected.
+// The peer's numeric address without its port; empty if it has disconnected.
 std::string PeerHost(int fd);
 
 // ---- Transfer ----
 
 Written WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us);
-// Appends what has arrived to `out`; waits for the first byte.
+// Waits for the first byte and appends at most kReadBytes to `out`.
 Io ReadSome(const Fd& fd, std::string& out, Micros wait_us);
-// The same two without waiting; kTimeout when nothing can be transferred now.
+// The same without waiting; kTimeout if nothing can be transferred now. WriteNow may write only a part.
 Written WriteNow(const Fd& fd, std::string_view bytes);
 Io ReadNow(const Fd& fd, std::string& out);
-// The most that ReadNow takes; less means that there is no more.
+// The most that one ReadNow reads; a shorter read means that no more bytes are available.
 constexpr std::size_t kReadBytes = 8192;
-// Discards up to `max_bytes` that have arrived; returns how many, nothing at the end of the connection.
+// Discards up to `max_bytes` received bytes; returns how many, or nullopt at the end of the connection or
+// after an error.
 std::optional<std::size_t> Discard(const Fd& fd, std::size_t max_bytes);
 
-// Whether there is a byte or an end to read; waits for it.
+// Waits until there is a byte or the end of the connection to read; returns false after `wait_us`.
 bool Readable(int fd, Micros wait_us);
 enum class SocketState { kNothing, kBytes, kEnd };
-// What the next read would find, without waiting.
+// What the next read would return, without waiting. An error counts as kEnd.
 SocketState Peek(int fd);
 
 void ShutDown(const Fd& fd);
 void ShutDownWriting(const Fd& fd);
-// What has arrived can still be read; then comes the end.
+// Bytes that have arrived can still be read, followed by the end of the connection.
 void ShutDownReading(int fd);
 
 // ---- Threads with small stacks ----
 
-// Joins when it is destroyed.
+// Joins on destruction.
 class Thread {
  public:
   Thread() = default;
@@ -125,8 +126,8 @@
   bool running_ = false;
 };
 
-// Runs `body` on a thread that nobody joins; false when the system grants no thread.
-bool Detach(std::function<void()> body);
+// Runs `body` on a detached thread; returns false if the system cannot start one.
+bool StartDetachedThread(std::function<void()> body);
 
 }  // namespace liftrudder::net
 
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -20,13 +20,13 @@
 
 constexpr int kMaxClientChainBytes = 32 * 1024;
 constexpr int kMaxClientChainDepth = 4;  // issuers between a client's certificate and one in client_ca
-// For TLS 1.2; version 1.3 has no weak suites.
+// For TLS 1.2; TLS 1.3 has no weak suites.
 constexpr char kTls12CipherSuites[] = "ECDHE+AESGCM:ECDHE+CHACHA20";
 
-constexpr int kTicketNotUsable = 0;  // results of a ticket callback: a full handshake follows,
-constexpr int kTicketUsable = 1;     // the session is resumed,
-constexpr int kTicketRenew = 2;      // the same, and the client gets a new ticket,
-constexpr int kTicketFailure = -1;   // or the handshake fails
+constexpr int kTicketNotUsable = 0;  // ticket callback result: do a full handshake
+constexpr int kTicketUsable = 1;     // resume the session
+constexpr int kTicketRenew = 2;      // resume the session and issue a new ticket
+constexpr int kTicketFailure = -1;   // fail the handshake
 
 }  // namespace
 
@@ -35,7 +35,7 @@
     return *static_cast<TlsContext*>(SSL_CTX_get_app_data(SSL_get_SSL_CTX(ssl)));
   }
 
-  // Selects the certificate for the name that the client asked for.
+  // Selects the certificate that matches the server name requested by the client.
   static int SelectByServerName(SSL* ssl, int* /*alert*/, void* /*argument*/) {
     const char* name = SSL_get_servername(ssl, TLSEXT_NAMETYPE_host_name);
     if (name == nullptr) return SSL_TLSEXT_ERR_NOACK;
@@ -48,13 +48,13 @@
   }
 
   // Sets up the encryption of a new ticket or the decryption of a presented one (RFC 5077).
-  static int Ticket(SSL* ssl, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
-                    EVP_MAC_CTX* mac, int sealing) {
+  static int PrepareTicketKey(SSL* ssl, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
+                              EVP_MAC_CTX* mac, int encrypting) {
     TlsContext& context = ContextOf(ssl);
     Micros now_us = context.clock_->Now();
     TicketKeys::Key key;
     int result = kTicketUsable;
-    if (sealing != 0) {
+    if (encrypting != 0) {
       key = context.ticket_keys_->Newest(now_us);
       std::memcpy(name, key.name.data(), key.name.size());
       if (RAND_bytes(iv, EVP_CIPHER_get_iv_length(EVP_aes_256_cbc())) != 1) return kTicketFailure;
@@ -68,7 +68,7 @@
     OSSL_PARAM params[] = {
         OSSL_PARAM_construct_octet_string(OSSL_MAC_PARAM_KEY, key.mac.data(), key.mac.size()),
         OSSL_PARAM_construct_utf8_string(OSSL_MAC_PARAM_DIGEST, digest, 0), OSSL_PARAM_construct_end()};
-    if (EVP_CipherInit_ex(cipher, EVP_aes_256_cbc(), nullptr, key.cipher.data(), iv, sealing) != 1 ||
+    if (EVP_CipherInit_ex(cipher, EVP_aes_256_cbc(), nullptr, key.cipher.data(), iv, encrypting) != 1 ||
         EVP_MAC_CTX_set_params(mac, params) != 1) {
       return kTicketFailure;
     }
@@ -80,17 +80,18 @@
   std::string where = "certificate " + std::to_string(certificate) + ": ";
   switch (fault) {
     case TlsFault::kNoCertificate:
-      return "no certificate is given";
+      return "no server certificate is configured";
     case TlsFault::kNoClientCa:
-      return "clients' certificates are asked for, and no issuer of them is given";
+      return "client certificates are required or revocation lists are given, but no issuers of client "
+             "certificates";
     case TlsFault::kUnreadableClientCa:
-      return "clients' issuers: no certificate is in the file";
+      return "issuers of client certificates: the file contains no PEM certificate";
     case TlsFault::kUnreadableRevocation:
-      return "revoked certificates: no list is in the file";
+      return "revocation lists: the file contains no PEM revocation list";
     case TlsFault::kCertificate:
       return where + reason;
     case TlsFault::kKey:
-      return where + "its key: " + reason;
+      return where + "private key: " + reason;
   }
   return reason;
 }
@@ -146,20 +147,20 @@
     return tl::unexpected(TlsError{TlsFault::kKey, position, std::move(reason)});
   };
   std::shared_ptr<SSL_CTX> context(SSL_CTX_new(TLS_server_method()), SSL_CTX_free);
-  if (context == nullptr) return certificate_fault(LastOpenSslError("no memory"));
+  if (context == nullptr) return certificate_fault(LastOpenSslError("out of memory"));
   Configure(context.get());
   std::vector<Certificate> chain = ReadCertificates(pair.certificate);
-  if (chain.empty()) return certificate_fault("none is in the file");
-  if (chain.size() > kMaxChainCertificates + 1) return certificate_fault("more than eight beside it");
+  if (chain.empty()) return certificate_fault("the file contains no PEM certificate");
+  if (chain.size() > kMaxChainCertificates + 1) return certificate_fault("it has more than eight issuers");
   if (SSL_CTX_use_certificate(context.get(), chain[0].get()) != 1) {
-    return certificate_fault(LastOpenSslError("it is not fit"));
+    return certificate_fault(LastOpenSslError("OpenSSL rejects the certificate"));
   }
   for (std::size_t i = 1; i < chain.size(); ++i) SSL_CTX_add1_chain_cert(context.get(), chain[i].get());
   PrivateKey key = ReadPrivateKey(pair.key);
-  if (key == nullptr) return key_fault(LastOpenSslError("none is in the file"));
+  if (key == nullptr) return key_fault(LastOpenSslError("the file contains no PEM private key"));
   if (SSL_CTX_use_PrivateKey(context.get(), key.get()) != 1 ||
       SSL_CTX_check_private_key(context.get()) != 1) {
-    return key_fault(LastOpenSslError("it is another's"));
+    return key_fault(LastOpenSslError("it does not belong to the certificate"));
   }
   const ASN1_TIME* not_after = X509_get0_notAfter(chain[0].get());
   if (X509_cmp_current_time(not_after) <= 0) return certificate_fault("it has expired");
@@ -180,15 +181,15 @@
   SSL_CTX_set_mode(context, SSL_MODE_RELEASE_BUFFERS | SSL_MODE_NO_AUTO_CHAIN);
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_OFF);  // clients could fill a cache
   SSL_CTX_set_max_cert_list(context, kMaxClientChainBytes);
-  static constexpr unsigned char kSessionScope[] = "liftrudder";
-  SSL_CTX_set_session_id_context(context, kSessionScope, sizeof kSessionScope - 1);
+  static constexpr unsigned char kSessionIdContext[] = "liftrudder";
+  SSL_CTX_set_session_id_context(context, kSessionIdContext, sizeof kSessionIdContext - 1);
   SSL_CTX_set_app_data(context, this);
   SSL_CTX_set_tlsext_servername_callback(context, TlsCallbacks::SelectByServerName);
   if (client_store_ != nullptr) {
     ConfigureClientCertificates(context);
   } else {
     SSL_CTX_set_num_tickets(context, 1);
-    SSL_CTX_set_tlsext_ticket_key_evp_cb(context, TlsCallbacks::Ticket);
+    SSL_CTX_set_tlsext_ticket_key_evp_cb(context, TlsCallbacks::PrepareTicketKey);
   }
 }
 
@@ -203,13 +204,13 @@
 }
 
 std::string TlsContext::Verify(const TlsPeer& peer) const {
-  if (client_store_ == nullptr) return "clients' certificates are not asked for any more";
+  if (client_store_ == nullptr) return "client certificates are no longer requested";
   std::unique_ptr<STACK_OF(X509), void (*)(STACK_OF(X509)*)> chain(
       sk_X509_new_null(), [](STACK_OF(X509) * stack) { sk_X509_free(stack); });
   for (const auto& issuer : peer.chain) sk_X509_push(chain.get(), issuer.get());
   StoreContext check(X509_STORE_CTX_new());
   if (X509_STORE_CTX_init(check.get(), client_store_.get(), peer.certificate.get(), chain.get()) != 1) {
-    return LastOpenSslError("no memory");
+    return LastOpenSslError("out of memory");
   }
   X509_STORE_CTX_set_default(check.get(), "ssl_client");
   X509_STORE_CTX_set_depth(check.get(), kMaxClientChainDepth);
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,6 +1,5 @@
-// What TLS connections are served with: certificates, the issuers of clients' certificates and their
-// revocation lists, as of one moment. Reads no file and does no I/O; cryptography is OpenSSL's. Connections
-// are TlsChannels.
+// The server's TLS configuration at one point in time: certificates, the issuers of client certificates and
+// their revocation lists. No file or socket I/O; uses OpenSSL for cryptography. Connections are TlsChannels.
 #ifndef LIFTRUDDER_NET_TLS_H_
 #define LIFTRUDDER_NET_TLS_H_
 
@@ -24,12 +23,12 @@
 
 class TicketKeys;
 
-// Certificates beside the leaf, in a file or from a client.
+// The most certificates besides the leaf, in a file or from a client.
 constexpr std::size_t kMaxChainCertificates = 8;
 
 // PEM texts.
 struct TlsPair {
-  std::string certificate;  // the leaf first, its issuers behind it
+  std::string certificate;  // the leaf first, followed by its issuers
   std::string key;
   bool operator==(const TlsPair&) const = default;
 };
@@ -37,15 +36,15 @@
 // PEM texts.
 struct TlsMaterial {
   std::vector<TlsPair> pairs;  // the first serves clients that name no server or an unknown one
-  std::string client_ca;       // empty: clients are not asked for certificates
-  std::string revoked;         // revocation lists of every issuer in client_ca; empty: none is checked
+  std::string client_ca;       // issuers of client certificates; empty: no client certificates are requested
+  std::string revoked;         // a revocation list of every issuer; empty: revocation is not checked
   bool client_required = false;
   bool operator==(const TlsMaterial&) const = default;
 };
 
 enum class TlsFault {
   kNoCertificate,         // no pair was given
-  kNoClientCa,            // client certificates are asked for without issuers
+  kNoClientCa,            // `client_required` or `revoked` is set without `client_ca`
   kUnreadableClientCa,    // `client_ca` holds no certificate
   kUnreadableRevocation,  // `revoked` holds no list
   kCertificate,           // a pair's certificate cannot be used
@@ -54,33 +53,34 @@
 
 struct TlsError {
   TlsFault fault = TlsFault::kNoCertificate;
-  std::size_t certificate = 0;  // which pair, from 1; 0: none in particular
+  std::size_t certificate = 0;  // number of the pair, from 1; 0: no particular pair
   std::string reason;           // of kCertificate and kKey
   std::string Message() const;
 };
 
-// What a client's verified certificate says.
+// The contents of a client's verified certificate.
 struct TlsPeer {
   std::vector<std::string> names;  // its subjectAltName, prefixed with dns:, uri: or email:
-  std::string subject;             // in one line, for the audit log
+  std::string subject;             // on one line, for the audit log
   std::shared_ptr<x509_st> certificate;
-  std::vector<std::shared_ptr<x509_st>> chain;  // as the client sent it
+  std::vector<std::shared_ptr<x509_st>> chain;  // issuers, as the client sent them
 };
 
-// Immutable; connections keep the one they began with. Any thread.
+// Immutable; a connection keeps the context that it began with. Any thread.
 class TlsContext {
  public:
-  // Tickets issued under `previous` stay valid. None are issued where clients show certificates: a resumed
-  // connection shows none, and a revocation must count. `clock` outlives the context.
+  // Session tickets issued under `previous` stay valid. None are issued if client certificates are requested:
+  // a resumed connection presents no certificate, so a revocation would have no effect. `clock` must outlive
+  // the context.
   static tl::expected<std::shared_ptr<const TlsContext>, TlsError> Make(TlsMaterial material,
                                                                         const coordinator::Clock& clock,
                                                                         const TlsContext* previous = nullptr);
 
   const TlsMaterial& material() const { return material_; }
-  // Why a client's certificate that was valid when its connection began is not any more: it has expired, was
-  // revoked, or its issuer was removed. Empty when it still is.
+  // Why a client certificate that was valid when its connection began is no longer valid: it has expired, was
+  // revoked, or its issuer was removed. Empty if it is still valid.
   std::string Verify(const TlsPeer& peer) const;
-  // When the first of the server's certificates expires, in seconds of Unix time.
+  // The earliest expiry of the server's certificates, in seconds of Unix time.
   std::int64_t expires_s() const { return expires_s_; }
   const std::string& subjects() const {
     return subjects_;
@@ -100,12 +100,12 @@
   std::shared_ptr<TicketKeys> ticket_keys_;
   std::vector<std::shared_ptr<ssl_ctx_st>> contexts_;  // one for each pair
   std::vector<std::shared_ptr<x509_st>> client_issuers_;
-  std::shared_ptr<x509_store_st> client_store_;  // null: clients are not asked for certificates
+  std::shared_ptr<x509_store_st> client_store_;  // null: no client certificates are requested
   std::int64_t expires_s_ = 0;
   std::string subjects_;
 };
 
-// The current context, which new connections take. Any thread.
+// Holds the current context, which new connections use. Any thread.
 class TlsSource {
  public:
   void Set(std::shared_ptr<const TlsContext> context) {
--- a/src/net/tls_certificate.cpp
+++ b/src/net/tls_certificate.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::size_t kMaxNames = 16;       // of one certificate
-constexpr std::size_t kMaxNameBytes = 256;  // of one name, and of a subject as it is written
+constexpr std::size_t kMaxNameBytes = 256;  // of one name, and of a subject's text
 
 BioHandle OpenText(const std::string& text) {
   constexpr std::size_t kMaxTextBytes = 1 << 30;
   return BioHandle(BIO_new_mem_buf(text.data(), static_cast<int>(std::min(text.size(), kMaxTextBytes))));
 }
 
-// Without this OpenSSL would ask for a passphrase at the terminal.
+// Without this callback OpenSSL would prompt for a passphrase on the terminal.
 int NoPassphrase(char* /*buffer*/, int /*size*/, int /*writing*/, void* /*context*/) { return -1; }
 
 const char* NamePrefix(int type) {
@@ -73,7 +73,7 @@
     const auto* text = static_cast<const ASN1_IA5STRING*>(value);
     std::string name(reinterpret_cast<const char*>(ASN1_STRING_get0_data(text)),
                      static_cast<std::size_t>(ASN1_STRING_length(text)));
-    // A name with a zero byte looks like another name to code that stops there.
+    // A name with a zero byte looks like a different name to code that stops at that byte.
     bool has_zero_byte = name.find('\0') != std::string::npos;
     if (name.size() <= kMaxNameBytes && !has_zero_byte) found.push_back(prefix + name);
   }
--- a/src/net/tls_channel.cpp
+++ b/src/net/tls_channel.cpp
@@ -11,7 +11,7 @@
 namespace liftrudder::net {
 namespace {
 
-constexpr std::size_t kMaxRecordBytes = 16 * 1024;  // RFC 8446 section 5.1: plain text of one record
+constexpr std::size_t kMaxRecordPlaintextBytes = 16 * 1024;  // RFC 8446 section 5.1: plaintext of one record
 
 }  // namespace
 
@@ -19,7 +19,7 @@
     : context_(std::move(context)), ssl_(SSL_new(context_->raw()), SSL_free) {
   if (ssl_ == nullptr) {
     state_ = State::kFailed;
-    fault_ = LastOpenSslError("no memory");
+    fault_ = LastOpenSslError("out of memory");
     return;
   }
   SSL_set_bio(ssl_.get(), BIO_new(BIO_s_mem()), BIO_new(BIO_s_mem()));
@@ -38,7 +38,7 @@
       ReadPeer();
     }
   }
-  char buffer[kMaxRecordBytes];
+  char buffer[kMaxRecordPlaintextBytes];
   while (result > 0) {
     result = SSL_read(ssl_.get(), buffer, sizeof buffer);
     if (result > 0) plain.append(buffer, static_cast<std::size_t>(result));
@@ -48,14 +48,14 @@
   return state_;
 }
 
-// The state after a call of OpenSSL that transferred nothing: it needs more input, the client has closed its
-// side, or the channel has failed.
+// The state after an OpenSSL call that transferred nothing: unchanged if it needs more input, kEnded if the
+// client has closed its side, otherwise kFailed.
 TlsChannel::State TlsChannel::StateAfter(int result) {
   int error = SSL_get_error(ssl_.get(), result);
   if (error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE) return state_;
   if (error == SSL_ERROR_ZERO_RETURN) return State::kEnded;
   long verified = SSL_get_verify_result(ssl_.get());  // NOLINT(google-runtime-int): OpenSSL's type
-  fault_ = LastOpenSslError("the other side broke off");
+  fault_ = LastOpenSslError("TLS failed without an OpenSSL reason");
   if (verified != X509_V_OK) fault_ += std::string(": ") + X509_verify_cert_error_string(verified);
   return State::kFailed;
 }
@@ -65,7 +65,7 @@
   ERR_clear_error();
   bool sealed = true;
   while (sealed && !plain.empty()) {
-    std::size_t size = std::min(plain.size(), kMaxRecordBytes);
+    std::size_t size = std::min(plain.size(), kMaxRecordPlaintextBytes);
     sealed = SSL_write(ssl_.get(), plain.data(), static_cast<int>(size)) == static_cast<int>(size);
     plain.remove_prefix(size);
     TakeOutput(wire);
--- a/src/net/tls_channel.h
+++ b/src/net/tls_channel.h
@@ -1,5 +1,5 @@
-// The server's side of TLS on one connection, without I/O: bytes that arrived go in, plain text and bytes to
-// be written come out. The owner of the socket bounds time and number.
+// The server side of TLS on one connection, without I/O: takes received bytes and returns plaintext and bytes
+// to write. The owner of the socket limits the time and number of handshakes.
 #ifndef LIFTRUDDER_NET_TLS_CHANNEL_H_
 #define LIFTRUDDER_NET_TLS_CHANNEL_H_
 
@@ -19,23 +19,24 @@
   enum class State {
     kHandshake,
     kOpen,
-    kEnded,   // the client sent close_notify; without it, the end of a connection is a cut
+    kEnded,   // the client sent close_notify; a connection that ends without it was truncated
     kFailed,  // see fault()
   };
 
   explicit TlsChannel(std::shared_ptr<const TlsContext> context);
 
-  // Takes bytes that arrived; appends their plain text to `plain` and what must be written, alerts included,
-  // to `wire`.
+  // Processes received bytes: appends their plaintext to `plain` and the bytes to write, including alerts, to
+  // `wire`.
   State Feed(std::string_view arrived, std::string& plain, std::string& wire);
-  // Appends `plain` encrypted to `wire`; false before the handshake is complete and after a failure.
+  // Encrypts `plain` and appends it to `wire`; returns false before the handshake is complete and after a
+  // failure.
   bool Seal(std::string_view plain, std::string& wire);
   // Appends the close_notify.
   void Close(std::string& wire);
 
   State state() const { return state_; }
-  const std::string& fault() const { return fault_; }  // why it failed; empty while it has not
-  // Null when the client has shown no certificate.
+  const std::string& fault() const { return fault_; }  // why it failed; empty if it has not
+  // Null if the client has presented no certificate.
   const TlsPeer* peer() const { return peer_.get(); }
   bool resumed() const;
   std::string protocol() const;
--- a/src/net/tls_ticket_keys.cpp
+++ b/src/net/tls_ticket_keys.cpp
@@ -6,9 +6,9 @@
 
 namespace liftrudder::net {
 
-TicketKeys::TicketKeys(coordinator::Micros now_us) : newest_(Make()), made_us_(now_us) {}
+TicketKeys::TicketKeys(coordinator::Micros now_us) : newest_(GenerateKey()), newest_created_us_(now_us) {}
 
-TicketKeys::Key TicketKeys::Make() {
+TicketKeys::Key TicketKeys::GenerateKey() {
   Key key;
   RAND_bytes(key.name.data(), static_cast<int>(key.name.size()));
   RAND_bytes(key.cipher.data(), static_cast<int>(key.cipher.size()));
@@ -17,12 +17,12 @@
 }
 
 void TicketKeys::RotateIfDue(coordinator::Micros now_us) {
-  coordinator::Micros age_us = now_us - made_us_;
-  if (age_us < kTicketLife) return;
+  coordinator::Micros age_us = now_us - newest_created_us_;
+  if (age_us < kRotationIntervalUs) return;
   previous_.reset();
-  if (age_us < 2 * kTicketLife) previous_ = newest_;
-  newest_ = Make();
-  made_us_ = now_us;
+  if (age_us < 2 * kRotationIntervalUs) previous_ = newest_;
+  newest_ = GenerateKey();
+  newest_created_us_ = now_us;
 }
 
 TicketKeys::Key TicketKeys::Newest(coordinator::Micros now_us) {
--- a/src/net/waker.h
+++ b/src/net/waker.h
@@ -1,4 +1,4 @@
-// Wakes a thread that waits in poll or epoll_wait. Any thread may wake; the waiting thread drains.
+// Wakes a thread that waits in poll or epoll_wait. Any thread may call Wake; the waiting thread calls Drain.
 #ifndef LIFTRUDDER_NET_WAKER_H_
 #define LIFTRUDDER_NET_WAKER_H_
 
--- a/src/net/worker_pool.cpp
+++ b/src/net/worker_pool.cpp
@@ -14,7 +14,7 @@
 bool WorkerPool::Reserve() {
   bool thread_free = waiting_threads_ > static_cast<int>(ready_.size());
   if (thread_free) return true;
-  bool started = Detach([this] { Run(); });
+  bool started = StartDetachedThread([this] { Run(); });
   threads_ += started ? 1 : 0;
   return started;
 }
@@ -45,7 +45,7 @@
     lock.lock();
   }
   --threads_;
-  changed_.notify_all();
+  thread_ended_.notify_all();
 }
 
 }  // namespace liftrudder::net
--- a/src/net/worker_pool.h
+++ b/src/net/worker_pool.h
@@ -1,6 +1,6 @@
-// Threads that answer requests, one request at a time: started when there are more requests than waiting
-// threads, and ended after a while without any. It shares the lock of its owner, who bounds the number of
-// requests and with it that of threads.
+// Threads that answer requests, each one request at a time. A thread is started when there are more requests
+// than waiting threads, and ends after a time without requests. The pool shares the lock of its owner, which
+// bounds the number of requests and thereby of threads.
 #ifndef LIFTRUDDER_NET_WORKER_POOL_H_
 #define LIFTRUDDER_NET_WORKER_POOL_H_
 
@@ -15,17 +15,17 @@
 
 class WorkerPool {
  public:
-  // `answer` is called on a worker's thread without the lock. `changed` is notified when a worker ends.
-  // The owner outlives all threads: it waits for NoThreads before it destroys anything.
-  WorkerPool(std::mutex& mutex, std::condition_variable& changed, std::function<void(SessionRef)> answer)
-      : mutex_(mutex), changed_(changed), answer_(std::move(answer)) {}
+  // `answer` is called on a worker's thread without the lock. `thread_ended` is notified when a worker ends.
+  // The owner must outlive all threads: it waits for NoThreads before it is destroyed.
+  WorkerPool(std::mutex& mutex, std::condition_variable& thread_ended, std::function<void(SessionRef)> answer)
+      : mutex_(mutex), thread_ended_(thread_ended), answer_(std::move(answer)) {}
 
-  // All of these hold the lock.
+  // The functions below are called with the lock held.
 
-  // Makes sure that there is a thread for one more session; false when the system grants none.
+  // Ensures that there is a thread for one more session; returns false if the system cannot start one.
   bool Reserve();
   void Submit(SessionRef session);
-  // Waiting threads end as soon as nothing is submitted.
+  // Ends the threads as soon as no submitted session is left.
   void Stop();
   bool NoThreads() const { return threads_ == 0; }
 
@@ -33,10 +33,10 @@
   void Run();
 
   std::mutex& mutex_;  // guards everything below
-  std::condition_variable& changed_;
+  std::condition_variable& thread_ended_;
   const std::function<void(SessionRef)> answer_;
   std::condition_variable submitted_;
-  std::deque<SessionRef> ready_;  // busy sessions that no worker has taken yet
+  std::deque<SessionRef> ready_;  // submitted sessions that no worker has taken yet
   int threads_ = 0;
   int waiting_threads_ = 0;
   bool stopping_ = false;
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -162,7 +162,7 @@
   std::ofstream(path) << Config(environment.discovery, "");
   for (auto [number, reason] : {std::pair("77", "descriptor 77: Bad file descriptor"),
                                 {"0", "passed socket: descriptor 0"},
-                                {"3x", "'3x' is no descriptor's number"}}) {
+                                {"3x", "'3x' is not a descriptor number"}}) {
     ::setenv("BALANCER_PASSED_SOCKET", number, 1);
     std::tie(code, said) = test_support::RunProgram(LIFTRUDDER_PROGRAM, {});
     INFO(said);
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -135,7 +135,7 @@
   // There are fewer descriptors than endpoints, and most connections live on all the same.
   CHECK(fleet.taken() < 6 * kMaxEndpoints);
   std::string log = coordinator.Log();
-  CHECK(log.find("no connection after") == std::string::npos);
+  CHECK(log.find("connect to endpoint") == std::string::npos);
   CHECK(log.find(" error ") == std::string::npos);
   CHECK(coordinator.Stop() >= 0);
 }
--- a/tests/net/endpoint_connection_pool_test.cpp
+++ b/tests/net/endpoint_connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// The connection pool over loopback: the test is each endpoint, and decides what happens when.
+// The connection pool over loopback: the test acts as every endpoint and controls the order of events.
 #include "net/endpoint_connection_pool.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr net::Micros kTestTimeout = 20'000'000;
+constexpr net::Micros kTestTimeoutUs = 20'000'000;
 
 }  // namespace
 
@@ -29,23 +29,23 @@
   auto client = std::make_shared<coordinator::ClientPresence>();
   SECTION("pending for the only connection") {
     fixture.Send(0);
-    net::Fd endpoint = fixture.Take(0);
+    net::Fd endpoint = fixture.AcceptAndRead(0);
     fixture.Send(0, client);
     client->MarkDisconnected();
-    net::WriteAll(endpoint, ServedResponse(1), kTestTimeout);
-    CHECK(fixture.Ended(0).cause == Cause::kServed);
-    coordinator::AttemptResult second = fixture.Ended(1);
+    net::WriteAll(endpoint, ServedResponse(1), kTestTimeoutUs);
+    CHECK(fixture.WaitForResult(0).cause == Cause::kServed);
+    coordinator::AttemptResult second = fixture.WaitForResult(1);
     CHECK(second.cause == Cause::kClientDisconnected);
     CHECK(coordinator::OutcomeOf(second.progress, second.cause) == coordinator::AttemptOutcome::kNotSent);
     fixture.pool.reset();
     std::string more;
-    CHECK(net::ReadSome(endpoint, more, kTestTimeout) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, more, kTestTimeoutUs) == net::Io::kEnd);
     CHECK(more.empty());
   }
   SECTION("when its round ends") {
     client->MarkDisconnected();
     fixture.Send(0, client);
-    CHECK(fixture.Ended(0).cause == Cause::kClientDisconnected);
+    CHECK(fixture.WaitForResult(0).cause == Cause::kClientDisconnected);
   }
 }
 
@@ -54,95 +54,95 @@
   net::ConnectionLimits limits;
   limits.max_requests_per_call = 3;
   ConnectionPoolFixture fixture(1, limits);
-  fixture.ends_round = false;
+  fixture.end_round_after_send = false;
   auto client = std::make_shared<coordinator::ClientPresence>();
   fixture.Send(0);
   fixture.Send(0, client);
   fixture.Send(0);
   client->MarkDisconnected();
   fixture.pool->EndRound();
-  net::Fd endpoint = fixture.Take(0);
+  net::Fd endpoint = fixture.AcceptAndRead(0);
   auto request_line = [](int shard_request) {
     return "q." + std::to_string(shard_request) + " " + std::to_string(shard_request) + " d=";
   };
-  std::size_t size = static_cast<unsigned char>(fixture.got[0]);
-  REQUIRE(fixture.got.size() == size + 4);  // one frame
-  CHECK(fixture.got.find(request_line(1)) != std::string::npos);
-  CHECK(fixture.got.find(request_line(2)) == std::string::npos);
-  CHECK(fixture.got.find(request_line(3)) != std::string::npos);
-  CHECK(fixture.Ended(0).cause == Cause::kClientDisconnected);
-  net::WriteAll(endpoint, ServedResponse(3) + ServedResponse(1), kTestTimeout);
-  CHECK(fixture.Ended(1).cause == Cause::kServed);
-  CHECK(fixture.Ended(2).cause == Cause::kServed);
+  std::size_t size = static_cast<unsigned char>(fixture.received[0]);
+  REQUIRE(fixture.received.size() == size + 4);  // a single frame
+  CHECK(fixture.received.find(request_line(1)) != std::string::npos);
+  CHECK(fixture.received.find(request_line(2)) == std::string::npos);
+  CHECK(fixture.received.find(request_line(3)) != std::string::npos);
+  CHECK(fixture.WaitForResult(0).cause == Cause::kClientDisconnected);
+  net::WriteAll(endpoint, ServedResponse(3) + ServedResponse(1), kTestTimeoutUs);
+  CHECK(fixture.WaitForResult(1).cause == Cause::kServed);
+  CHECK(fixture.WaitForResult(2).cause == Cause::kServed);
 }
 
 TEST_CASE("an attempt with a requested cancellation ends with its response or its connection") {
   ConnectionPoolFixture fixture(1, {});
   fixture.Send(0);
-  net::Fd endpoint = fixture.Take(0);
+  net::Fd endpoint = fixture.AcceptAndRead(0);
   fixture.pool->RequestCancellation({1, 0});
   fixture.pool->RequestCancellation({1, 0});
   std::string cancellation;
-  REQUIRE(net::ReadSome(endpoint, cancellation, kTestTimeout) == net::Io::kOk);
-  CHECK(cancellation == std::string{4, 0, 0, 0} + "cq.1");  // once
-  CHECK(fixture.Results() == 0);
+  REQUIRE(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::Io::kOk);
+  CHECK(cancellation == std::string{4, 0, 0, 0} + "cq.1");  // sent only once
+  CHECK(fixture.ResultCount() == 0);
   SECTION("answered") {
-    net::WriteAll(endpoint, ServedResponse(1), kTestTimeout);
-    CHECK(fixture.Ended(0).cause == Cause::kServed);
+    net::WriteAll(endpoint, ServedResponse(1), kTestTimeoutUs);
+    CHECK(fixture.WaitForResult(0).cause == Cause::kServed);
   }
   SECTION("reset") {
     endpoint = {};
-    CHECK(fixture.Ended(0).cause == Cause::kConnectionLost);
+    CHECK(fixture.WaitForResult(0).cause == Cause::kConnectionLost);
   }
   SECTION("its query has ended") {
     fixture.pool->CancelAttempt({1, 0}, fixture.update->endpoints[0].id, Cause::kCancelled);
-    CHECK(fixture.Ended(0).cause == Cause::kCancelled);
+    CHECK(fixture.WaitForResult(0).cause == Cause::kCancelled);
     fixture.pool.reset();
     cancellation.clear();
-    CHECK(net::ReadSome(endpoint, cancellation, kTestTimeout) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::Io::kEnd);
     CHECK(cancellation.empty());
   }
 }
 
-// A thread for each endpoint and each connection runs into the system's limit on threads in a large fleet,
-// after which no attempt ends.
+// One thread per endpoint and connection would reach the system's limit on threads in a large fleet, after
+// which no attempt would end.
 TEST_CASE("connections to many endpoints take one thread in all, and each attempt ends once") {
   constexpr int kEndpoints = 60;
   auto threads = [] { return std::distance(std::filesystem::directory_iterator("/proc/self/task"), {}); };
-  net::Thread([] {}).Join();  // a sanitizer starts one of its own beside the first
+  net::Thread([] {}).Join();  // a sanitizer starts a thread of its own together with the first one
   auto before = threads();
-  ConnectionPoolFixture all(kEndpoints, {});
-  for (int i = 0; i < kEndpoints; ++i) all.Send(i);
+  ConnectionPoolFixture pool_fixture(kEndpoints, {});
+  for (int i = 0; i < kEndpoints; ++i) pool_fixture.Send(i);
   std::vector<net::Fd> connections;
   connections.reserve(kEndpoints);
-  for (int i = 0; i < kEndpoints; ++i) connections.push_back(all.Take(i));
+  for (int i = 0; i < kEndpoints; ++i) connections.push_back(pool_fixture.AcceptAndRead(i));
   CHECK(threads() - before <= 1);
-  connections.pop_back();  // the last endpoint's connection ends after its frame came
-  coordinator::AttemptResult first = all.Ended(0);
+  connections.pop_back();  // closes the last endpoint's connection after its frame has arrived
+  coordinator::AttemptResult first = pool_fixture.WaitForResult(0);
   CHECK(coordinator::OutcomeOf(first.progress, first.cause) == AttemptOutcome::kReset);
-  all.pool.reset();
-  CHECK(all.Results() == kEndpoints);
+  pool_fixture.pool.reset();
+  CHECK(pool_fixture.ResultCount() == kEndpoints);
 }
 
-TEST_CASE("an attempt that finds all connections busy waits for one, and is no failure of its endpoint") {
+TEST_CASE("an attempt that finds all connections busy waits for one and is not a failure of its endpoint") {
   constexpr int kEndpoints = 6;
   constexpr int kMaxConnections = 4;
   net::ConnectionLimits limits;
   limits.max_connections = kMaxConnections;
-  ConnectionPoolFixture all(kEndpoints, limits);
-  for (int i = 0; i < kEndpoints; ++i) all.Send(i);
+  ConnectionPoolFixture pool_fixture(kEndpoints, limits);
+  for (int i = 0; i < kEndpoints; ++i) pool_fixture.Send(i);
   std::vector<net::Fd> connections;
   connections.reserve(kEndpoints);
-  for (int i = 0; i < kMaxConnections; ++i) connections.push_back(all.Take(i));
-  CHECK(all.Results() == 0);
-  // One response has come: its connection makes room for the next in turn.
+  for (int i = 0; i < kMaxConnections; ++i) connections.push_back(pool_fixture.AcceptAndRead(i));
+  CHECK(pool_fixture.ResultCount() == 0);
+  // After one response its connection is closed for the endpoint that has waited longest.
   net::WriteAll(connections[2], ServedResponse(3), 1'000'000);
-  CHECK(all.Ended(0).cause == Cause::kServed);
-  connections.push_back(all.Take(kMaxConnections));
+  CHECK(pool_fixture.WaitForResult(0).cause == Cause::kServed);
+  connections.push_back(pool_fixture.AcceptAndRead(kMaxConnections));
   net::WriteAll(connections[0], ServedResponse(1), 1'000'000);
-  CHECK(all.Ended(1).cause == Cause::kServed);
-  connections.push_back(all.Take(kMaxConnections + 1));
-  CHECK(all.Results() == 2);
+  CHECK(pool_fixture.WaitForResult(1).cause == Cause::kServed);
+  connections.push_back(pool_fixture.AcceptAndRead(kMaxConnections + 1));
+  CHECK(pool_fixture.ResultCount() == 2);
 }
 
 TEST_CASE("second connections to some endpoints leave room for a first one to each") {
@@ -150,18 +150,18 @@
   constexpr int kMaxConnections = 10;
   net::ConnectionLimits limits;
   limits.max_connections = kMaxConnections;
-  ConnectionPoolFixture all(kEndpoints, limits);
+  ConnectionPoolFixture pool_fixture(kEndpoints, limits);
   std::vector<net::Fd> connections;
   connections.reserve(kEndpoints);
-  for (int i = 0; i < kEndpoints; ++i) all.Send(i);
-  for (int i = 0; i < kEndpoints; ++i) connections.push_back(all.Take(i));
+  for (int i = 0; i < kEndpoints; ++i) pool_fixture.Send(i);
+  for (int i = 0; i < kEndpoints; ++i) connections.push_back(pool_fixture.AcceptAndRead(i));
   net::WriteAll(connections[7], ServedResponse(8), 1'000'000);
-  all.Ended(0);
+  pool_fixture.WaitForResult(0);
   // A second shard request for each of the others shares its connection.
-  for (int i = 0; i < kEndpoints - 1; ++i) all.Send(i);
-  all.Send(kEndpoints - 1);
-  std::string got;
-  REQUIRE(net::ReadSome(connections[7], got, 10'000'000) == net::Io::kOk);
-  CHECK(all.counters.connects.Value() == kEndpoints);
-  CHECK(all.Results() == 1);
+  for (int i = 0; i < kEndpoints - 1; ++i) pool_fixture.Send(i);
+  pool_fixture.Send(kEndpoints - 1);
+  std::string received;
+  REQUIRE(net::ReadSome(connections[7], received, 10'000'000) == net::Io::kOk);
+  CHECK(pool_fixture.counters.connects.Value() == kEndpoints);
+  CHECK(pool_fixture.ResultCount() == 1);
 }
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -1,4 +1,4 @@
-// HttpParser: strict parsing, and what it reports about messages that it rejects.
+// HttpParser: strict parsing, and the errors that it reports for rejected messages.
 #include "net/http.h"
 
 #include <catch2/catch.hpp>
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -1,5 +1,5 @@
-// Server: a client's disconnection and a stop of the listener at every point of a request's progress. The
-// handler blocks where a test needs two steps in a fixed order.
+// Server: client disconnections and closing the listener at every stage of a request. The handler blocks
+// where a test needs two steps in a fixed order.
 #define CATCH_CONFIG_MAIN
 #include "net/server.h"
 
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr net::Micros kTestTimeout = 20'000'000;
+constexpr net::Micros kTestTimeoutUs = 20'000'000;
 constexpr auto kTestTimeoutS = std::chrono::seconds(20);
 
 // Blocks the worker of a request for /held, or the reader thread on a malformed request, until Release.
@@ -96,14 +96,14 @@
 std::string Request(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: g\r\n\r\n"; }
 
 void Send(const net::Fd& fd, const std::string& bytes) {
-  REQUIRE(net::WriteAll(fd, bytes, kTestTimeout).status == net::Io::kOk);
+  REQUIRE(net::WriteAll(fd, bytes, kTestTimeoutUs).status == net::Io::kOk);
 }
 
-// The status of the next response; 0: the connection ended without one.
+// The status of the next response; 0 if the connection ended without one.
 int ReadStatus(const net::Fd& fd) {
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   std::string in;
-  while (net::ReadSome(fd, in, kTestTimeout) == net::Io::kOk) {
+  while (net::ReadSome(fd, in, kTestTimeoutUs) == net::Io::kOk) {
     if (parser.Feed(in) == net::HttpParser::State::kDone) return parser.message().status;
   }
   return 0;
@@ -111,7 +111,7 @@
 
 void AwaitCondition(const std::function<bool()>& holds) {
   net::SteadyClock clock;
-  for (net::Micros until_us = clock.Now() + kTestTimeout; !holds();) {
+  for (net::Micros until_us = clock.Now() + kTestTimeoutUs; !holds();) {
     REQUIRE(clock.Now() < until_us);
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
@@ -127,7 +127,7 @@
 
 TEST_CASE("a client that disconnects is detected while its worker is busy") {
   ServerFixture fixture;
-  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd client = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(client, Request("/held"));
   fixture.handler.AwaitRequests(1);
   auto presence = fixture.handler.reply_waiter()->client();
@@ -141,7 +141,7 @@
   SECTION("with bytes some time before") {
     Send(client, "GET ");
     // The answer to a later request shows that the reader thread has handled the earlier bytes.
-    net::Fd other = net::Connect(fixture.addr, kTestTimeout);
+    net::Fd other = net::Connect(fixture.addr, kTestTimeoutUs);
     Send(other, Request("/"));
     CHECK(ReadStatus(other) == 200);
     client = net::Fd();
@@ -151,7 +151,7 @@
 
 TEST_CASE("a disconnection marked for one request is not inherited by the next on the connection") {
   ServerFixture fixture;
-  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd client = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(client, Request("/"));
   CHECK(ReadStatus(client) == 200);
   auto first = fixture.handler.reply_waiter()->client();
@@ -165,10 +165,10 @@
 TEST_CASE("a connection in the backlog is answered when the listener closes") {
   ServerFixture fixture;
   fixture.handler.BlockMalformed();
-  net::Fd malformed = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd malformed = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(malformed, "no request\r\n\r\n");
-  fixture.handler.AwaitMalformed();  // the reader thread is blocked and accepts nobody
-  net::Fd late = net::Connect(fixture.addr, kTestTimeout);
+  fixture.handler.AwaitMalformed();  // the reader thread is blocked and accepts no connections
+  net::Fd late = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(late, Request("/"));
   auto stopped = std::async(std::launch::async, [&] { fixture.server->StopListening(); });
   fixture.handler.Release();
@@ -178,26 +178,26 @@
 
 TEST_CASE("a request that has partly arrived when the listener closes is read and answered") {
   ServerFixture fixture;
-  net::Fd partial = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd partial = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(partial, Request("/"));
   CHECK(ReadStatus(partial) == 200);
   Send(partial, "GET / HTTP/1.1\r\nHo");
-  net::Fd other = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd other = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(other, Request("/"));
   CHECK(ReadStatus(other) == 200);
   fixture.server->StopListening();
-  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeout).Valid(); });
+  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeoutUs).Valid(); });
   Send(partial, "st: g\r\n\r\n");
   CHECK(ReadStatus(partial) == 200);
 }
 
 TEST_CASE("a client that disconnects while the server stops is detected") {
   ServerFixture fixture;
-  net::Fd client = net::Connect(fixture.addr, kTestTimeout);
+  net::Fd client = net::Connect(fixture.addr, kTestTimeoutUs);
   Send(client, Request("/held"));
   fixture.handler.AwaitRequests(1);
   fixture.server->StopListening();
-  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeout).Valid(); });
+  AwaitCondition([&] { return !net::Connect(fixture.addr, kTestTimeoutUs).Valid(); });
   auto presence = fixture.handler.reply_waiter()->client();
   client = net::Fd();
   AwaitCondition([&] { return presence->Disconnected(); });
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -37,7 +37,7 @@
   }
 };
 
-// A server with TLS on a port of its own.
+// A TLS server on its own port.
 struct TlsServerFixture {
   explicit TlsServerFixture(int max_connections) {
     source.Set(
@@ -56,11 +56,11 @@
   std::optional<net::Server> server;
 };
 
-constexpr net::Micros kTestTimeout = 20'000'000;
+constexpr net::Micros kTestTimeoutUs = 20'000'000;
 
-// Sends a request on a new connection over TLS; returns the response, empty when there was none.
+// Sends a request on a new TLS connection; returns the response, empty if there was none.
 std::string Request(const std::string& addr, TlsClient& client, net::Fd& fd) {
-  fd = net::Connect(addr, kTestTimeout);
+  fd = net::Connect(addr, kTestTimeoutUs);
   std::string at_client, arrived, out = client.Step("", at_client);
   bool sent = false;
   while (at_client.find("/lessons") == std::string::npos) {
@@ -68,9 +68,9 @@
       out += client.Say("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
       sent = true;
     }
-    if (!out.empty() && net::WriteAll(fd, out, kTestTimeout).status != net::Io::kOk) return "";
+    if (!out.empty() && net::WriteAll(fd, out, kTestTimeoutUs).status != net::Io::kOk) return "";
     arrived.clear();
-    if (net::ReadSome(fd, arrived, kTestTimeout) != net::Io::kOk) return "";
+    if (net::ReadSome(fd, arrived, kTestTimeoutUs) != net::Io::kOk) return "";
     out = client.Step(arrived, at_client);
   }
   return at_client;
@@ -86,12 +86,12 @@
   std::string at_client;
   for (int i = 0; i < kAbandoned; ++i) {
     TlsClient halfway;
-    abandoned.push_back(net::Connect(addr, kTestTimeout));
+    abandoned.push_back(net::Connect(addr, kTestTimeoutUs));
     REQUIRE(abandoned.back().Valid());
     // The server's flight shows that its side of the handshake has begun.
     std::string flight;
-    net::WriteAll(abandoned.back(), halfway.Step("", at_client), kTestTimeout);
-    REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeout) == net::Io::kOk);
+    net::WriteAll(abandoned.back(), halfway.Step("", at_client), kTestTimeoutUs);
+    REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeoutUs) == net::Io::kOk);
     if (i % 50 != 49) continue;
     TlsClient good;
     net::Fd fd;
@@ -105,19 +105,19 @@
 
 TEST_CASE("connections that were silent before their handshake are held to the same share") {
   constexpr int kMaxConnections = 40,
-                kSilent = 25;  // fewer than those at which silent ones are evicted for new ones
+                kSilent = 25;  // below the number at which silent connections are evicted for new ones
   TlsServerFixture fixture(kMaxConnections);
   std::vector<net::Fd> silent;
   std::string at_client;
   for (int i = 0; i < kSilent; ++i) {
-    silent.push_back(net::Connect(fixture.addr, kTestTimeout));
+    silent.push_back(net::Connect(fixture.addr, kTestTimeoutUs));
     REQUIRE(silent.back().Valid());
   }
   for (const net::Fd& one : silent) {
     TlsClient halfway;
     std::string flight;
-    net::WriteAll(one, halfway.Step("", at_client), kTestTimeout);
-    REQUIRE(net::ReadSome(one, flight, kTestTimeout) == net::Io::kOk);
+    net::WriteAll(one, halfway.Step("", at_client), kTestTimeoutUs);
+    REQUIRE(net::ReadSome(one, flight, kTestTimeoutUs) == net::Io::kOk);
   }
   TlsClient good;
   net::Fd fd;
@@ -130,14 +130,14 @@
 TEST_CASE("a connection that is rejected before its handshake gets an alert") {
   TlsServerFixture fixture(8);
   net::Fd listener = net::Listen("127.0.0.1:0");
-  net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeout);
-  net::ClientConnection connection(net::Accept(listener, kTestTimeout), &fixture.source);
+  net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeoutUs);
+  net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.source);
   CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::Io::kError);
   connection.Finish();
   TlsClient side;
   std::string at_client, arrived;
   side.Step("", at_client);
-  REQUIRE(net::ReadSome(client, arrived, kTestTimeout) == net::Io::kOk);
+  REQUIRE(net::ReadSome(client, arrived, kTestTimeoutUs) == net::Io::kOk);
   side.Step(arrived, at_client);
   CHECK(at_client.empty());
   CHECK(arrived == std::string("\x15\x03\x03\0\2\2\x50", 7));
@@ -152,17 +152,17 @@
   CHECK_FALSE(client.ended());
   // The client's close_notify ends the connection, and the server closes its side.
   std::string at_client, arrived;
-  net::WriteAll(fd, client.Close(), kTestTimeout);
-  while (net::ReadSome(fd, arrived, kTestTimeout) == net::Io::kOk) {
+  net::WriteAll(fd, client.Close(), kTestTimeoutUs);
+  while (net::ReadSome(fd, arrived, kTestTimeoutUs) == net::Io::kOk) {
   }
-  // So does a rejected request: its response is followed by a close_notify.
+  // A rejected request ends its connection too: the response is followed by a close_notify.
   TlsClient other;
   net::Fd second;
   REQUIRE(Request(addr, other, second).find("HTTP/1.1 200") == 0);
-  net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kTestTimeout);
+  net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kTestTimeoutUs);
   while (!other.ended()) {
     arrived.clear();
-    REQUIRE(net::ReadSome(second, arrived, kTestTimeout) == net::Io::kOk);
+    REQUIRE(net::ReadSome(second, arrived, kTestTimeoutUs) == net::Io::kOk);
     other.Step(arrived, at_client);
   }
   CHECK(at_client.find("HTTP/1.1 400") == 0);
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -29,8 +29,8 @@
 
 namespace {
 
-// The message of the error; empty where there is none.
-std::string FaultOf(TlsMaterial material) {
+// The error's message; empty if there is none.
+std::string MessageOf(TlsMaterial material) {
   const ManualClock clock;
   auto made = net::TlsContext::Make(std::move(material), clock);
   return made ? "" : made.error().Message();
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("TLS 1.3 and 1.2 transfer both ways, and an ended connection differs from a cut one") {
+TEST_CASE("TLS 1.3 and 1.2 transfer both ways, and a closed connection differs from a truncated one") {
   Issuer issuer("issuer");
   TlsContextPtr context =
       MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
@@ -129,7 +129,8 @@
   }
 }
 
-TEST_CASE("a ticket resumes a session for one to two key lifetimes, also after a change of certificates") {
+TEST_CASE(
+    "a ticket resumes a session for one to two key rotation intervals, also after a change of certificates") {
   Issuer issuer("issuer");
   ManualClock clock;
   TlsContextPtr context =
@@ -148,9 +149,9 @@
     context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock,
                           context.get());
     CHECK(resumed());
-    clock.now_us += net::TicketKeys::kTicketLife;
+    clock.now_us += net::TicketKeys::kRotationIntervalUs;
     CHECK(resumed());
-    clock.now_us += 2 * net::TicketKeys::kTicketLife;
+    clock.now_us += 2 * net::TicketKeys::kRotationIntervalUs;
     CHECK_FALSE(resumed());
     context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
     CHECK_FALSE(resumed());
@@ -161,31 +162,31 @@
   Issuer issuer("clients"), other("others"), servers("servers");
   net::TlsPair pair = PairOf(servers.Issue("a", "DNS:a.example", "serverAuth"));
   Issued good = issuer.Issue("north", "DNS:north.example,URI:urn:school:north,email:n@example", "clientAuth");
-  Issued gone = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
+  Issued revoked = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
   struct Case {
     const char* what;
-    std::optional<Issued> shows;
+    std::optional<Issued> client_certificate;
     bool required, accepted;
   };
   const Case cases[] = {
-      {"none, and none is needed", {}, false, true},
-      {"none, and one is needed", {}, true, false},
-      {"a good one", good, true, true},
+      {"none, and none is required", {}, false, true},
+      {"none, and one is required", {}, true, false},
+      {"a valid one", good, true, true},
       {"expired", issuer.Issue("x", "DNS:x", "clientAuth", -3600, -1800), false, false},
-      {"not yet good", issuer.Issue("x", "DNS:x", "clientAuth", 1800, 3600), false, false},
-      {"another issuer's", other.Issue("north", "DNS:north.example", "clientAuth"), false, false},
-      {"a server's", issuer.Issue("x", "DNS:x", "serverAuth"), false, false},
-      {"revoked", gone, false, false},
+      {"not yet valid", issuer.Issue("x", "DNS:x", "clientAuth", 1800, 3600), false, false},
+      {"from another issuer", other.Issue("north", "DNS:north.example", "clientAuth"), false, false},
+      {"a server certificate", issuer.Issue("x", "DNS:x", "serverAuth"), false, false},
+      {"revoked", revoked, false, false},
   };
   for (const Case& one : cases) {
     for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
       INFO(one.what << " " << version);
-      TlsContextPtr context = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({gone}), one.required});
-      TlsClient client(version, one.shows ? &*one.shows : nullptr);
+      TlsContextPtr context = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({revoked}), one.required});
+      TlsClient client(version, one.client_certificate ? &*one.client_certificate : nullptr);
       TlsChannel server(context);
       Handshake(client, server);
       CHECK((server.state() == State::kOpen) == one.accepted);
-      CHECK((server.peer() != nullptr) == (one.accepted && one.shows));
+      CHECK((server.peer() != nullptr) == (one.accepted && one.client_certificate));
       CHECK(server.fault().empty() == one.accepted);
     }
   }
@@ -221,24 +222,27 @@
 TEST_CASE("a TlsError says what is wrong and with which certificate") {
   Issuer issuer("issuer");
   Issued a = issuer.Issue("a", "DNS:a", "serverAuth"), b = issuer.Issue("b", "DNS:b", "serverAuth");
-  CHECK(FaultOf({{}, "", "", false}) == "no certificate is given");
-  CHECK(FaultOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false}) == "certificate 2: none is in the file");
-  CHECK(FaultOf({{{a.CertificatePem(), ""}}, "", "", false}).find("certificate 1: its key: ") == 0);
-  CHECK(FaultOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false}) ==
-        "certificate 1: its key: key values mismatch");
-  CHECK(FaultOf({{PairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
+  CHECK(MessageOf({{}, "", "", false}) == "no server certificate is configured");
+  CHECK(MessageOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false}) ==
+        "certificate 2: the file contains no PEM certificate");
+  CHECK(MessageOf({{{a.CertificatePem(), ""}}, "", "", false}).find("certificate 1: private key: ") == 0);
+  CHECK(MessageOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false}) ==
+        "certificate 1: private key: key values mismatch");
+  CHECK(MessageOf({{PairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
         "certificate 1: it has expired");
   std::string encrypted_key = Issued::Pem([&](BIO* to) {
     PEM_write_bio_PrivateKey(to, a.key.get(), EVP_aes_128_cbc(), nullptr, 0, nullptr,
                              const_cast<char*>("secret"));
   });
-  CHECK(FaultOf({{{a.CertificatePem(), encrypted_key}}, "", "", false}).find("certificate 1: its key: ") ==
-        0);
-  CHECK(FaultOf({{PairOf(a)}, "junk", "", false}) == "clients' issuers: no certificate is in the file");
-  CHECK(FaultOf({{PairOf(a)}, issuer.Pem(), "junk", false}) ==
-        "revoked certificates: no list is in the file");
-  CHECK(FaultOf({{PairOf(a)}, "", "", true}) ==
-        "clients' certificates are asked for, and no issuer of them is given");
+  CHECK(MessageOf({{{a.CertificatePem(), encrypted_key}}, "", "", false})
+            .find("certificate 1: private key: ") == 0);
+  CHECK(MessageOf({{PairOf(a)}, "junk", "", false}) ==
+        "issuers of client certificates: the file contains no PEM certificate");
+  CHECK(MessageOf({{PairOf(a)}, issuer.Pem(), "junk", false}) ==
+        "revocation lists: the file contains no PEM revocation list");
+  CHECK(MessageOf({{PairOf(a)}, "", "", true}) ==
+        "client certificates are required or revocation lists are given, but no issuers of client "
+        "certificates");
 }
 
 TEST_CASE("a TlsError names its fault and the certificate's position") {
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -101,10 +101,10 @@
     CHECK_FALSE(stream.Feed("{}", [](std::string_view) { FAIL("taken"); }));
     return stream.error();
   };
-  CHECK(wrong("{}\nx{}") == "neither a blank nor the beginning of an object (0x78) at byte 3");
-  CHECK(wrong("[{}]") == "neither a blank nor the beginning of an object (0x5b) at byte 0");
-  CHECK(wrong("{\"a\n\":1}") == "a control byte inside a text (0x0a) at byte 3");
-  CHECK(wrong("{} {\"a\":  123456}") == "an object of more than 12 bytes (0x36) at byte 15");
+  CHECK(wrong("{}\nx{}") == "expected white space or the start of an object: byte 0x78 at offset 3");
+  CHECK(wrong("[{}]") == "expected white space or the start of an object: byte 0x5b at offset 0");
+  CHECK(wrong("{\"a\n\":1}") == "control character inside a string: byte 0x0a at offset 3");
+  CHECK(wrong("{} {\"a\":  123456}") == "object is longer than 12 bytes: byte 0x36 at offset 15");
 }
 
 TEST_CASE("a list of 1,024 endpoints with long names is read, on one line and indented") {
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -1,4 +1,4 @@
-// An EndpointConnectionPool over loopback; the test plays every endpoint and decides what arrives when.
+// An EndpointConnectionPool over loopback; the test acts as every endpoint and controls the order of events.
 #ifndef LIFTRUDDER_TESTS_SUPPORT_CONNECTION_POOL_FIXTURE_H_
 #define LIFTRUDDER_TESTS_SUPPORT_CONNECTION_POOL_FIXTURE_H_
 
@@ -31,7 +31,7 @@
                  [this](coordinator::AttemptResult result) {
                    std::lock_guard lock(mutex);
                    results.push_back(std::move(result));
-                   wake.notify_one();
+                   result_added.notify_one();
                  });
   }
   // Starts the next attempt, whose shard request ids count from 1.
@@ -44,27 +44,27 @@
     request.payload =
         std::make_shared<coordinator::Payload>(coordinator::Payload{"q", "", "text", "", std::move(client)});
     pool->Start(std::move(request));
-    if (ends_round) pool->EndRound();
+    if (end_round_after_send) pool->EndRound();
   }
-  // Accepts the endpoint's next connection and waits for bytes on it, which are then in `got`.
-  net::Fd Take(int endpoint) {
+  // Accepts the endpoint's next connection and reads the first bytes on it into `received`.
+  net::Fd AcceptAndRead(int endpoint) {
     net::Fd fd = net::Accept(listeners[static_cast<std::size_t>(endpoint)], 10'000'000);
-    got.clear();
-    REQUIRE(net::ReadSome(fd, got, 10'000'000) == net::Io::kOk);
+    received.clear();
+    REQUIRE(net::ReadSome(fd, received, 10'000'000) == net::Io::kOk);
     return fd;
   }
   // Waits for the nth result, from 0.
-  coordinator::AttemptResult Ended(std::size_t nth) {
+  coordinator::AttemptResult WaitForResult(std::size_t nth) {
     std::unique_lock lock(mutex);
-    REQUIRE(wake.wait_for(lock, std::chrono::seconds(20), [&] { return results.size() > nth; }));
+    REQUIRE(result_added.wait_for(lock, std::chrono::seconds(20), [&] { return results.size() > nth; }));
     return results[nth];
   }
-  std::size_t Results() {
+  std::size_t ResultCount() {
     std::lock_guard lock(mutex);
     return results.size();
   }
 
-  std::string got;  // what arrived by the last Take
+  std::string received;  // the bytes read by the last AcceptAndRead
   std::vector<net::Fd> listeners;
   coordinator::EndpointRegistry endpoint_registry;
   std::optional<liftrudder::routing::EndpointListUpdate> update;
@@ -74,11 +74,11 @@
   const std::vector<std::string> load_names;
   platform::FrameProtocol protocol;
   std::mutex mutex;  // guards `results`
-  std::condition_variable wake;
+  std::condition_variable result_added;
   std::vector<coordinator::AttemptResult> results;
   coordinator::Id shard_requests = 0;
-  bool ends_round = true;                           // after each Send, so that requests share no frame
-  std::optional<net::EndpointConnectionPool> pool;  // last: its threads use everything above
+  bool end_round_after_send = true;                 // after each Send, so that requests share no frame
+  std::optional<net::EndpointConnectionPool> pool;  // declared last: its thread uses all members above
 };
 
 // The frame with which an endpoint answers a shard request.
--- a/tests/support/tls_fixture.h
+++ b/tests/support/tls_fixture.h
@@ -38,7 +38,7 @@
 
 inline net::TlsPair PairOf(const Issued& issued) { return {issued.CertificatePem(), issued.KeyPem()}; }
 
-// Exchanges what each side writes until neither writes more; returns the plain text that the server received.
+// Exchanges each side's output until neither produces more; returns the plain text that the server received.
 inline std::string Handshake(TlsClient& client, net::TlsChannel& server) {
   constexpr int kMaxFlights = 10;
   std::string at_server;
