--- a/src/app/admin_handler.h
+++ b/src/app/admin_handler.h
@@ -1,6 +1,6 @@
-// The requests of operators' tools at the admin address: health, figures, draining and its end. Recognizes
-// the request and waits for nothing, so it may run on the admin server's only thread. It is never reachable
-// through a client's address.
+// Answers operators' requests at the admin address: health, figures, and starting and ending a drain. It
+// never blocks, so it may run on the admin server's only thread. It is not reachable through clients'
+// addresses.
 #ifndef LIFTRUDDER_APP_ADMIN_HANDLER_H_
 #define LIFTRUDDER_APP_ADMIN_HANDLER_H_
 
@@ -16,12 +16,11 @@
 
 class AdminHandler {
  public:
-  // `refresh` brings the figures up to date that are looked up and not counted. `figures` outlives the
-  // handler.
+  // `refresh` updates the figures that are sampled, not counted. `figures` outlives the handler.
   AdminHandler(metrics::OperatorFigures& figures, std::function<void()> refresh)
       : figures_(figures), refresh_(std::move(refresh)) {}
 
-  // The server whose health is reported and that is drained; null before it starts and once it shuts down.
+  // Sets the server whose health is reported and that is drained; null before start-up and during shutdown.
   void Attach(net::Server* server);
   net::HttpResponse Answer(const net::HttpMessage& request);
 
--- a/src/app/connection_budget.cpp
+++ b/src/app/connection_budget.cpp
@@ -21,15 +21,15 @@
 
 void ConnectionBudget::Rebalance() {
   std::lock_guard lock(mutex_);
-  // The list may be short or outdated: there is at least one endpoint for each cell.
+  // The list may be incomplete or outdated; there is at least one endpoint for each cell.
   int endpoints = std::max(endpoint_registry_.ListedEndpoints(), config_.settings.cells);
   bool fits = endpoints <= endpoints_ && endpoints >= endpoints_ / 2;
   if (server_ == nullptr || fits) return;
   endpoints_ = endpoints;
-  config::Budget budget = config::ShareOut(config_.descriptors, config_.memory_mb, endpoints);
+  config::Budget budget = config::ComputeBudget(config_.descriptors, config_.memory_mb, endpoints);
   server_->Resize({budget.client_connections, budget.client_requests});
   connection_pool_.Resize(budget.endpoint_connections, budget.endpoints);
-  log::Info("{} endpoints: room for {} client connections and {} endpoint connections", endpoints,
+  log::Info("{} endpoints: limits are now {} client connections and {} endpoint connections", endpoints,
             budget.client_connections, budget.endpoint_connections);
 }
 
--- a/src/app/connection_budget.h
+++ b/src/app/connection_budget.h
@@ -1,5 +1,6 @@
-// Divides the process's descriptors and memory between client and endpoint connections, and divides them anew
-// when the endpoint list has grown or shrunk much. Opens and closes nothing itself. Any thread.
+// Divides the process's descriptors and memory between client and endpoint connections, and again when the
+// endpoint list grows or shrinks below half. Only sets limits, which the server and the connection pool
+// apply. Any thread.
 #ifndef LIFTRUDDER_APP_CONNECTION_BUDGET_H_
 #define LIFTRUDDER_APP_CONNECTION_BUDGET_H_
 
@@ -18,7 +19,7 @@
   ConnectionBudget(const config::Config& config, const coordinator::EndpointRegistry& endpoint_registry,
                    net::EndpointConnectionPool& connection_pool);
 
-  // From now on that server is resized too; null: it is shutting down, and nothing is resized any more.
+  // Sets the server to resize. Null, as before start-up and during shutdown: Rebalance does nothing.
   void Attach(net::Server* server);
   // Called on the coordinator's thread after each endpoint list, and on the main thread at start-up.
   void Rebalance();
@@ -29,7 +30,7 @@
   net::EndpointConnectionPool& connection_pool_;
   std::mutex mutex_;
   net::Server* server_ = nullptr;  // guarded by mutex_
-  int endpoints_;                  // the current budget is for that many; guarded by mutex_
+  int endpoints_;                  // number that the current budget is for; guarded by mutex_
 };
 
 }  // namespace liftrudder::app
--- a/src/app/coordinator_runtime.cpp
+++ b/src/app/coordinator_runtime.cpp
@@ -16,7 +16,7 @@
   return std::make_unique<platform::FrameProtocol>(options.config.load_names);
 }
 
-// HTTP carries one request at a time on a connection; the platform's frames carry many.
+// HTTP carries one request at a time on a connection; the platform's frames carry several.
 net::ConnectionLimits LimitsFor(const ServeOptions& options) {
   const config::Config& config = options.config;
   net::ConnectionLimits limits;
@@ -76,16 +76,16 @@
 }
 
 void CoordinatorRuntime::OpenRecorder() {
-  decision_log::RecordOrigin about{config_.name, clock_.Now(), config_.classes};
+  decision_log::RecordOrigin origin{config_.name, clock_.Now(), config_.classes};
   std::string file = config_.decision_log.file;
   try {
-    recorder_.emplace(config_.decision_log.bytes, file, about, config_.seed);
+    recorder_.emplace(config_.decision_log.bytes, file, origin, config_.seed);
   } catch (const std::runtime_error& error) {
-    // A file that cannot be written is no reason not to serve.
+    // Without a writable file the coordinator still serves, and records in memory.
     if (file.empty()) throw;
-    log::Error("{}; the decision log is kept in memory", error.what());
+    log::Error("{}; keeping the decision log in memory", error.what());
     file.clear();
-    recorder_.emplace(config_.decision_log.bytes, file, about, config_.seed);
+    recorder_.emplace(config_.decision_log.bytes, file, origin, config_.seed);
   }
   log::Info("the decision log has {} bytes{}{}", recorder_->ClaimedBytes(), file.empty() ? "" : ", in ",
             file);
--- a/src/app/coordinator_runtime.h
+++ b/src/app/coordinator_runtime.h
@@ -1,5 +1,5 @@
-// The part of a coordinator that decides and talks to endpoints: the coordinator on its thread, the endpoint
-// registry, the connection pool, the decision log. It has no address of its own; clients reach it through
+// The part of a process that decides and talks to endpoints: the coordinator on its thread, the endpoint
+// registry, the connection pool, the decision log. It listens on no address; clients reach it through
 // CoordinatorServer.
 #ifndef LIFTRUDDER_APP_COORDINATOR_RUNTIME_H_
 #define LIFTRUDDER_APP_COORDINATOR_RUNTIME_H_
@@ -21,20 +21,20 @@
 
 namespace liftrudder::app {
 
-// Members are declared in the order of construction, and destroyed in the reverse:
+// Members are declared in the order of construction and destroyed in reverse:
 //   1. counters and figures, used by everything;
 //   2. the endpoint registry and the coordinator, whose thread does not run yet;
-//   3. the connection pool, which posts results to the coordinator and so must be gone before it;
+//   3. the connection pool, which posts results to the coordinator and so must be destroyed before it;
 //   4. the decision log and the explain service, used by the coordinator's thread;
-//   5. the cached endpoint list is applied, and the budget follows later lists;
-//   6. the coordinator's thread; its guard stops the loop first, since joining would wait for ever otherwise.
+//   5. the connection budget, which follows the endpoint list, after a cached list is applied;
+//   6. the coordinator's thread, then its guard, which stops the loop so that joining the thread returns.
 class CoordinatorRuntime {
  public:
-  // The arguments outlive the runtime. Throws when the memory of the decision log cannot be had.
+  // The arguments outlive the runtime. Throws when the decision log's memory cannot be allocated.
   CoordinatorRuntime(const ServeOptions& options, const coordinator::Clock& clock);
 
-  // Stops the coordinator, waits for its thread, then closes the connection pool. No front may use it any
-  // more.
+  // Stops the coordinator, waits for its thread, then closes the connection pool. No front may use the
+  // runtime from then on.
   void Stop();
 
   metrics::Counters& counters() { return counters_; }
@@ -42,13 +42,13 @@
   coordinator::EndpointRegistry& endpoint_registry() { return endpoint_registry_; }
   coordinator::Coordinator& coordinator() { return coordinator_; }
   ConnectionBudget& connection_budget() { return *connection_budget_; }
-  // Null where nothing is recorded.
+  // Null when the decision log is off.
   decision_log::ExplainService* explain_service() { return explain_service_ ? &*explain_service_ : nullptr; }
-  // Brings the figures up to date that are looked up and not counted. Any thread.
+  // Updates the figures that are sampled, not counted. Any thread.
   void RefreshFigures();
 
  private:
-  // Guards against waiting for ever for a loop that nobody stopped, when start-up fails half way.
+  // Stops the coordinator's loop when start-up fails, since joining its thread would otherwise never return.
   struct StopGuard {
     coordinator::Coordinator& coordinator;
     explicit StopGuard(coordinator::Coordinator& guarded) : coordinator(guarded) {}
--- a/src/app/coordinator_server.cpp
+++ b/src/app/coordinator_server.cpp
@@ -24,12 +24,12 @@
   return listener;
 }
 
-// Fails start-up when a tenant is identified by a client certificate but TLS does not request one.
-void CheckCertificatesCanBeAsked(IdentityFiles* identity, const TlsFiles* tls) {
-  const bool asks_clients = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
-  if (identity == nullptr || asks_clients) return;
+// Throws when a tenant is identified by a client certificate but TLS does not request one.
+void CheckClientCertificatesRequested(IdentityFiles* identity, const TlsFiles* tls) {
+  const bool requests_certificates = tls != nullptr && !tls->source().Get()->material().client_ca.empty();
+  if (identity == nullptr || requests_certificates) return;
   if (!identity->authenticator().permission_table()->tenant_by_certificate.empty()) {
-    throw StartupError("identity: a tenant has [certificates], but [tls] asks no client for one");
+    throw StartupError("identity: a tenant has [certificates], but [tls] does not request them from clients");
   }
 }
 
@@ -38,7 +38,7 @@
   if (options.tls_allowed) {
     tls = TlsFiles::Open(options.config_path, config::ReadFile(options.config_path), clock);
   }
-  CheckCertificatesCanBeAsked(options.identity.get(), tls.get());
+  CheckClientCertificatesRequested(options.identity.get(), tls.get());
   return tls;
 }
 
@@ -80,14 +80,14 @@
 void CoordinatorServer::OpenEndpointSource() {
   const dns::ZoneOptions& zone = options_.zone;
   if (zone.file.empty()) {
-    if (!config_.discovery.empty()) {
+    if (!config_.discovery_address.empty()) {
       discovery_watch_.emplace(config_, runtime_.endpoint_registry(), runtime_.coordinator(), clock_);
     }
     return;
   }
   net::Fd updates;
   if (!zone.update_listen.empty()) updates = ListenOrThrow(zone.update_listen);
-  if (updates.Valid()) log::Info("takes DNS updates at {}", net::LocalAddress(updates));
+  if (updates.Valid()) log::Info("accepting DNS updates at {}", net::LocalAddress(updates));
   zone_source_.emplace(dns::ParseZone(config::ReadFile(zone.file)), zone.service, std::move(updates),
                        runtime_.endpoint_registry(), runtime_.coordinator(), clock_);
 }
@@ -107,11 +107,12 @@
 }
 
 net::Fd CoordinatorServer::OpenListener() const {
-  net::Fd listener =
-      options_.passed_socket.empty() ? ListenOrThrow(config_.listen) : net::Inherit(options_.passed_socket);
-  log::Info("room for {} client connections, {} with requests, and {} endpoint connections; {} of a core",
-            config_.budget.client_connections, config_.budget.client_requests,
-            config_.budget.endpoint_connections, config_.cores);
+  net::Fd listener = options_.passed_socket.empty() ? ListenOrThrow(config_.listen_address)
+                                                    : net::Inherit(options_.passed_socket);
+  log::Info(
+      "limits: {} client connections, {} of them with an open request, {} endpoint connections, {} CPU cores",
+      config_.budget.client_connections, config_.budget.client_requests, config_.budget.endpoint_connections,
+      config_.cores);
   log::Info("{} listens on {}", config_.name, net::LocalAddress(listener));
   return listener;
 }
@@ -130,7 +131,7 @@
                   tls_ == nullptr ? nullptr : &tls_->source());
   runtime_.connection_budget().Attach(&*server_);
   admin_handler_->Attach(&*server_);
-  // The list may have grown while there was no server to resize.
+  // The endpoint list may have grown before there was a server to resize.
   runtime_.connection_budget().Rebalance();
 }
 
--- a/src/app/coordinator_server.h
+++ b/src/app/coordinator_server.h
@@ -1,5 +1,6 @@
 // One coordinator process: starts its parts, serves clients until SIGTERM or SIGINT, shuts down gracefully.
-// Puts parts together and decides nothing about queries. All its functions run on the main thread.
+// It only assembles the parts; decisions about queries are the coordinator's. All its functions run on the
+// main thread.
 #ifndef LIFTRUDDER_APP_COORDINATOR_SERVER_H_
 #define LIFTRUDDER_APP_COORDINATOR_SERVER_H_
 
@@ -19,14 +20,14 @@
 
 namespace liftrudder::app {
 
-// Start-up, in this order; an exception of any step destroys what was started, in reverse:
-//   1. TLS files, and the check that certificates in the permission table can be asked for;
+// Start-up, in this order; when a step throws, the parts started so far are destroyed in reverse:
+//   1. TLS files, and the check that clients are asked for certificates if the permission table uses them;
 //   2. the runtime: coordinator, connection pool, decision log (see its header);
-//   3. the admin address, which answers "not serving" until step 7;
+//   3. the admin address, whose health check reports "not serving" until step 7;
 //   4. the source of endpoints: a zone file, or the discovery watch;
 //   5. the handler of client requests, then the listener;
-//   6. a bounded wait for the first endpoint list of discovery: clients that connect wait in the backlog;
-//   7. the server, from here on ready; the connection budget follows the endpoint list.
+//   6. a bounded wait for the first endpoint list from discovery; connecting clients wait in the backlog;
+//   7. the server, which is ready from here on; the connection budget follows the endpoint list.
 // Shutdown:
 //   8. the budget and the admin address stop using the server;
 //   9. the server drains and closes (graceful_shutdown.h);
@@ -34,10 +35,10 @@
 //  11. the runtime stops: coordinator, its thread, the connection pool.
 class CoordinatorServer {
  public:
-  // `signals` outlives the server. Throws what the TLS files or the runtime throw.
+  // `signals` outlives the server. Throws StartupError, and what TlsFiles::Open and the runtime throw.
   CoordinatorServer(ServeOptions options, const ControlSignals& signals);
 
-  // Steps 3 to 11; returns when the process can exit. Throws when a step of the start-up fails.
+  // Steps 3 to 11; returns when the process can exit. Throws when a start-up step fails.
   void Run();
 
  private:
@@ -56,7 +57,7 @@
 
   const ServeOptions options_;
   const ControlSignals& signals_;
-  const config::Config& config_;  // of options_
+  const config::Config& config_;  // in options_
   net::SteadyClock clock_;
   std::unique_ptr<TlsFiles> tls_;
   CoordinatorRuntime runtime_;
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -24,7 +24,7 @@
 constexpr int kDefaultLimit = 20;
 constexpr int kMaxLimit = 500;
 
-// As the command line has them; an empty filter is none.
+// The command line's options; an empty string is no filter.
 struct Options {
   std::string coordinator_address = "127.0.0.1:8080";
   std::string record_file;
@@ -71,7 +71,7 @@
 int ExitCode(int status) {
   switch (status) {
     case 200:
-      return kFoundIt;
+      return kFound;
     case 404:
       return kNotFound;
     case 400:
@@ -93,7 +93,7 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-int AskRecordFile(const Options& options) try {
+int ExplainFromRecordFile(const Options& options) try {
   auto question = decision_log::ReadQuestion(options.Parameters(), UnixTimeUs());
   if (!question) return Print(400, question.error().message);
   const decision_log::Reply reply =
@@ -104,7 +104,7 @@
   return kBadUsage;
 }
 
-// Whether the whole response has come.
+// Returns whether the response was read completely.
 bool ReadResponse(const net::Fd& fd, net::HttpParser& parser) {
   std::string pending;
   auto state = net::HttpParser::State::kHead;
@@ -117,7 +117,7 @@
   return state == net::HttpParser::State::kDone;
 }
 
-int AskCoordinator(const Options& options) {
+int ExplainFromCoordinator(const Options& options) {
   const std::string& address = options.coordinator_address;
   std::string target = wire::kExplainPath;
   char separator = '?';
@@ -127,7 +127,7 @@
   }
   net::Fd fd = net::Connect(address, kTimeoutUs);
   if (!fd.Valid()) {
-    fmt::print(stderr, "no coordinator at {}\n", address);
+    fmt::print(stderr, "cannot connect to a coordinator at {}\n", address);
     return kNoAnswer;
   }
   const std::string request =
@@ -135,7 +135,7 @@
   net::HttpParser parser(net::HttpParser::Kind::kResponse, kMaxAnswerBytes);
   const bool written = net::WriteAll(fd, request, kTimeoutUs).status == net::Io::kOk;
   if (!written || !ReadResponse(fd, parser)) {
-    fmt::print(stderr, "the coordinator at {} gave no complete answer\n", address);
+    fmt::print(stderr, "the coordinator at {} sent no complete response\n", address);
     return kNoAnswer;
   }
   return Print(parser.message().status, parser.message().body);
@@ -145,14 +145,16 @@
 
 void AddExplainCommand(CLI::App& app, std::function<int()>& run) {
   auto options = std::make_shared<Options>();
-  CLI::App* command = app.add_subcommand(wire::kExplainCommand,
-                                         "Why queries went where they went, and why they ended as they did");
-  command->add_option("id", options->id, "A call id, or the client's own X-Opaque-Id");
-  auto* address = command
-                      ->add_option("--at", options->coordinator_address,
-                                   "Where the coordinator listens, HOST:PORT in numbers")
-                      ->capture_default_str();
-  command->add_option("--file", options->record_file, "A record's file in place of a running coordinator")
+  CLI::App* command = app.add_subcommand(
+      wire::kExplainCommand, "Explain why queries were sent where they were, and why they ended as they did");
+  command->add_option("id", options->id, "A call id, or the client's X-Opaque-Id");
+  auto* address =
+      command
+          ->add_option("--at", options->coordinator_address, "Address of the coordinator: numeric HOST:PORT")
+          ->capture_default_str();
+  command
+      ->add_option("--file", options->record_file,
+                   "Read a record file in place of asking a running coordinator")
       ->excludes(address);
   command->add_option("--class", options->class_name, "Only queries of this class");
   command->add_option("--verdict", options->verdict, wire::kExplainVerdicts);
@@ -162,19 +164,20 @@
       "--reason", options->reason,
       fmt::format("Only queries that ended for this reason, such as {}", wire::kExplainReasonExample));
   command->add_option("--since", options->since,
-                      "Came no earlier: 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
-  command->add_option("--until", options->until, "Came no later");
-  command->add_option("--limit", options->limit, "At most so many, newest first")
+                      "Only queries received since 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
+  command->add_option("--until", options->until, "Only queries received until then; same formats");
+  command->add_option("--limit", options->limit, "Maximum number of queries, newest first")
       ->check(CLI::Range(1, kMaxLimit))
       ->capture_default_str();
   command->add_flag("--summary", options->summary,
-                    "Counts of the last minute and since the start, by reason and endpoint");
-  command->add_flag("--json", options->json, "JSON in place of text");
+                    "Counts for the last minute and since the start, by reason and endpoint");
+  command->add_flag("--json", options->json, "Print JSON in place of text");
   command->footer(
-      "Ends with 0; 1: nothing is kept of that id; 2: a filter or file that cannot be used; 3: no answer.");
+      "Exit codes: 0: found; 1: no record of the query; 2: invalid usage, filter or file; 3: no answer.");
   command->callback([options, &run] {
     run = [options] {
-      return options->record_file.empty() ? AskCoordinator(*options) : AskRecordFile(*options);
+      return options->record_file.empty() ? ExplainFromCoordinator(*options)
+                                          : ExplainFromRecordFile(*options);
     };
   });
 }
--- a/src/app/graceful_shutdown.h
+++ b/src/app/graceful_shutdown.h
@@ -1,5 +1,4 @@
-// Takes a serving coordinator out of service without losing a request. Decides nothing about queries. Main
-// thread only.
+// Takes a serving coordinator out of service without losing a request. Main thread only.
 #ifndef LIFTRUDDER_APP_GRACEFUL_SHUTDOWN_H_
 #define LIFTRUDDER_APP_GRACEFUL_SHUTDOWN_H_
 
@@ -14,15 +13,15 @@
   const ControlSignals& signals;
   const coordinator::Clock& clock;
   Reloader& reloader;
-  bool listener_is_shared = false;  // another process holds the listener too and accepts from it
+  bool listener_is_shared = false;  // another process accepts on the same listener
 };
 
-// 1. The server reports that it is not ready, and goes on listening for 0.7 s: load balancers and clients
-//    learn of the shutdown late, and whoever connects meanwhile is served. A shared listener is left to the
-//    other process at once.
+// 1. The server reports that it is not ready, and keeps serving new clients for 0.7 s, since load balancers
+// and clients
+//    notice the shutdown late. A shared listener is left to the other process at once.
 // 2. It stops listening.
 // 3. It returns when every connection has closed; each request that has begun to arrive is answered.
-// SIGHUP is still obeyed all the while, since requests go on needing endpoints; other signals are ignored.
+// SIGHUP is handled throughout, since open requests still need endpoints; other signals are ignored.
 void ShutDownGracefully(net::Server& server, const ShutdownContext& context, int open_queries);
 
 }  // namespace liftrudder::app
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -33,7 +33,7 @@
 
 struct Options {
   std::string file;      // a key set, or a private key
-  std::string previous;  // the key set that `file` is to replace
+  std::string previous;  // the key set that `file` would replace
   std::string issuer;
   std::string audience;
   std::string kid;
@@ -43,7 +43,7 @@
   bool jwk = false;
 };
 
-// Null where the set is not valid; the reason has been printed then.
+// Prints the reason and returns null when the key set is not valid.
 KeySetPtr ReadKeys(const std::string& file) {
   auto keys = KeySet::Parse(config::ReadFile(file));
   if (!keys) {
@@ -82,11 +82,11 @@
       std::chrono::system_clock::now().time_since_epoch());
 }
 
-// One part of a token, as JSON or why it is none.
+// Prints one part of a token as JSON, or why it cannot be decoded.
 void PrintTokenPart(const char* name, std::string_view encoded) {
   auto text = identity::DecodeBase64Url(encoded);
   if (!text) {
-    fmt::print("{}: it is not base64url\n", name);
+    fmt::print("{}: not base64url\n", name);
     return;
   }
   auto json = identity::ParseStrictJson(*text, identity::kMaxTokenBytes);
@@ -98,15 +98,15 @@
   if (keys == nullptr) return kInvalid;
   auto verified = identity::VerifyToken(token, *keys, {options.issuer, options.audience}, UnixTime().count());
   if (!verified) {
-    fmt::print("not good: {}\n", identity::Name(verified.error()));
+    fmt::print("not valid: {}\n", identity::Name(verified.error()));
     return kInvalid;
   }
-  fmt::print("good until {}: tenant {}, subject {}\n", verified->valid_until_us / kMicrosPerSecond,
+  fmt::print("valid until {}: tenant {}, subject {}\n", verified->valid_until_us / kMicrosPerSecond,
              nlohmann::json(verified->tenant).dump(), nlohmann::json(verified->subject).dump());
   return kValid;
 }
 
-// Prints header and claims but never the signature, so what is printed admits nobody.
+// Prints the header and claims but not the signature, so the output cannot be used as a token.
 int InspectToken(const Options& options) {
   std::string token{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
   while (token.ends_with('\n') || token.ends_with('\r')) token.pop_back();
@@ -119,7 +119,7 @@
   return options.file.empty() ? kValid : VerifyToken(token, options);
 }
 
-// For a key made for tests. The token that is printed admits its bearer wherever that key is in the set.
+// Meant for keys made for tests: the printed token is accepted wherever the key is in the key set.
 int SignForTests(const Options& options) {
   auto key = identity::SigningKey::Parse(config::ReadFile(options.file));
   if (!key) {
@@ -139,7 +139,7 @@
   return kValid;
 }
 
-int RunGuarded(int (*command)(const Options&), const Options& options) try {
+int RunCommand(int (*command)(const Options&), const Options& options) try {
   return command(options);
 } catch (const std::runtime_error& error) {
   fmt::print(stderr, "{}\n", error.what());
@@ -150,46 +150,47 @@
 
 void AddIdentityCommands(CLI::App& app, std::function<int()>& run) {
   auto options = std::make_shared<Options>();
-  const char* codes = "Ends with 0; 1: it is not good, and why; 2: a file that cannot be read.";
-  CLI::App* keys = app.add_subcommand("keys", "Key sets that clients' tokens are verified with");
+  const char* exit_codes =
+      "Exit codes: 0: valid; 1: not valid, the reason is printed; 2: a file cannot be read.";
+  CLI::App* keys = app.add_subcommand("keys", "Key sets for verifying clients' tokens");
   keys->require_subcommand(1);
-  CLI::App* check = keys->add_subcommand("check", "Whether a set can be used, and the state of each key");
+  CLI::App* check =
+      keys->add_subcommand("check", "Check whether a key set is valid; print the state of each key");
   check->add_option("file", options->file, "A JWK set")->required();
-  check->add_option("--before", options->previous, "The set that it is to replace: says what changes");
-  check->footer(codes);
-  check->callback([options, &run] { run = [options] { return RunGuarded(CheckKeys, *options); }; });
+  check->add_option("--before", options->previous, "The key set that it would replace: print the changes");
+  check->footer(exit_codes);
+  check->callback([options, &run] { run = [options] { return RunCommand(CheckKeys, *options); }; });
   CLI::App* token = app.add_subcommand("token", "Clients' tokens");
   token->require_subcommand(1);
   CLI::App* inspect = token->add_subcommand(
-      "inspect", "What a token says, read from standard input; with a key set, whether it is good now");
+      "inspect", "Print a token from standard input; with a key set, also whether it is valid now");
   auto* file = inspect->add_option("--keys", options->file, "A JWK set");
   auto* issuer = inspect->add_option("--issuer", options->issuer, "As in the operator's file");
   auto* audience = inspect->add_option("--audience", options->audience, "As in the operator's file");
   file->needs(issuer)->needs(audience);
-  inspect->footer(codes);
-  inspect->callback([options, &run] { run = [options] { return RunGuarded(InspectToken, *options); }; });
-  CLI::App* sign =
-      token->add_subcommand("sign-for-tests", "A token of a private key of your own, for trying out");
+  inspect->footer(exit_codes);
+  inspect->callback([options, &run] { run = [options] { return RunCommand(InspectToken, *options); }; });
+  CLI::App* sign = token->add_subcommand("sign-for-tests",
+                                         "Print a token signed with a private key of your own, for tests");
   sign->add_option("--key", options->file, "A private key in PEM, Ed25519 or P-256")->required();
-  sign->add_option("--kid", options->kid, "The key's name in the set")->required();
-  auto* jwk =
-      sign->add_flag("--jwk", options->jwk, "In place of a token, the key's public half for a key set");
+  sign->add_option("--kid", options->kid, "The key's id in the key set")->required();
+  auto* jwk = sign->add_flag("--jwk", options->jwk, "Print the public key for a key set in place of a token");
   for (auto [name, where] : {std::pair("--issuer", &options->issuer),
                              {"--audience", &options->audience},
                              {"--tenant", &options->tenant},
                              {"--subject", &options->subject}}) {
-    sign->add_option(name, *where, "As in the operator's file; not beside --jwk")->excludes(jwk);
+    sign->add_option(name, *where, "As in the operator's file; not with --jwk")->excludes(jwk);
   }
-  sign->add_option("--life", options->lifetime_s, "Seconds until it expires; below 0: expired already")
+  sign->add_option("--life", options->lifetime_s, "Seconds until it expires; negative: it has expired")
       ->check(CLI::Range(-kMaxLifetimeSeconds, kMaxLifetimeSeconds))
       ->excludes(jwk);
-  sign->footer(codes);
+  sign->footer(exit_codes);
   sign->callback([options, &run] {
     bool complete = !options->issuer.empty() && !options->audience.empty() && !options->tenant.empty();
     if (!options->jwk && !complete) {
-      throw CLI::ValidationError("--issuer, --audience and --tenant are needed");
+      throw CLI::ValidationError("--issuer, --audience and --tenant are required");
     }
-    run = [options] { return RunGuarded(SignForTests, *options); };
+    run = [options] { return RunCommand(SignForTests, *options); };
   });
 }
 
--- a/src/app/identity_command.h
+++ b/src/app/identity_command.h
@@ -1,5 +1,5 @@
-// The sub-commands `keys check`, `token inspect` and `token sign-for-tests`: what a coordinator would make of
-// a key set or a token, without one running. They print the answer and end. Main thread only.
+// The sub-commands `keys check`, `token inspect` and `token sign-for-tests`: whether a coordinator would
+// accept a key set or a token, without a running one. They print the answer and end. Main thread only.
 #ifndef LIFTRUDDER_APP_IDENTITY_COMMAND_H_
 #define LIFTRUDDER_APP_IDENTITY_COMMAND_H_
 
@@ -11,8 +11,8 @@
 
 namespace liftrudder::app {
 
-// Adds them; where the user chose one, parsing sets `run` to a function that returns the exit code: 0, 1 for
-// a key set or token that is not valid, 2 for a file that cannot be read.
+// Adds them. If the user chooses one, parsing sets `run` to a function that returns the exit code: 0, 1 for a
+// key set or token that is not valid, 2 for a file that cannot be read.
 void AddIdentityCommands(CLI::App& app, std::function<int()>& run);
 
 }  // namespace liftrudder::app
--- a/src/app/identity_files.cpp
+++ b/src/app/identity_files.cpp
@@ -35,47 +35,47 @@
 
 IdentityFiles::IdentityFiles(std::string operator_file, identity::PermissionTable permission_table)
     : operator_file_(std::move(operator_file)),
-      keys_file_(Beside(operator_file_, permission_table.keys_file)),
+      keys_file_(ResolvePath(operator_file_, permission_table.keys_file)),
       authenticator_(std::move(permission_table)) {}
 
 void IdentityFiles::Poll() {
-  if (StampOf(keys_file_) != last_stamp_) ReadKeys();
+  if (ReadFileStamp(keys_file_) != last_stamp_) ReadKeys();
 }
 
 void IdentityFiles::Reload() {
   try {
     ReadPermissions();
   } catch (const std::runtime_error& error) {
-    log::Error("{}; the permissions in use stay", error.what());
+    log::Error("{}; keeping the current permissions", error.what());
   }
   ReadKeys();
 }
 
 void IdentityFiles::ReadKeys() {
-  // Stamped before it is read: a change meanwhile is noticed by the next poll.
-  last_stamp_ = StampOf(keys_file_);
+  // Stamped before it is read, so that the next poll notices a change during the read.
+  last_stamp_ = ReadFileStamp(keys_file_);
   std::vector<std::string> changes;
-  std::string wrong;
+  std::string problem;
   try {
     auto replaced = authenticator_.ReplaceKeys(config::ReadFile(keys_file_));
     if (replaced) {
       changes = std::move(*replaced);
     } else {
-      wrong = replaced.error().Message();
+      problem = replaced.error().Message();
     }
   } catch (const std::runtime_error& error) {
-    wrong = error.what();
+    problem = error.what();
   }
-  if (!wrong.empty()) wrong = "keys in " + keys_file_ + ": " + wrong;
-  if (!wrong.empty() && wrong != last_error_) log::Error("{}; the keys so far stay", wrong);
-  last_error_ = wrong;
+  if (!problem.empty()) problem = "keys in " + keys_file_ + ": " + problem;
+  if (!problem.empty() && problem != last_error_) log::Error("{}; keeping the current keys", problem);
+  last_error_ = problem;
   LogChanges(changes);
 }
 
 void IdentityFiles::ReadPermissions() {
   const std::string text = config::ReadFile(operator_file_);
   identity::PermissionTable table = ParsePermissions(net::json::Get(text, wire::kIdentityMember));
-  std::string keys_file = Beside(operator_file_, table.keys_file);
+  std::string keys_file = ResolvePath(operator_file_, table.keys_file);
   auto changes = authenticator_.ReplacePermissions(std::move(table));
   if (!changes) throw config::ConfigError(changes.error().Message());
   keys_file_ = std::move(keys_file);
--- a/src/app/identity_files.h
+++ b/src/app/identity_files.h
@@ -1,6 +1,7 @@
-// The files that say who clients are and what they may do: the operator's file with the permission table, and
-// the key set that it names. Polled for changes, and read again on reload. A file that cannot be read or is
-// wrong changes nothing, and each new reason is logged once. Main thread, but for the authenticator.
+// The files that identify clients and their permissions: the operator's file with the permission table, and
+// the key set that it names, which is polled for changes. Both are read again on reload. A file that is
+// unreadable or invalid changes nothing; while the key set stays unusable for the same reason, the error is
+// logged once. Main thread only, except for the authenticator.
 #ifndef LIFTRUDDER_APP_IDENTITY_FILES_H_
 #define LIFTRUDDER_APP_IDENTITY_FILES_H_
 
@@ -15,14 +16,14 @@
 
 class IdentityFiles {
  public:
-  // Null where the operator's file, whose content is `text`, has no identity member: all clients are admitted
-  // then. Throws config::ConfigError where it is wrong or the keys cannot be read, since a program that
-  // starts without keys would reject everybody.
+  // Null when the operator's file, whose content is `text`, has no identity member; all clients are admitted
+  // then. Throws config::ConfigError when it is invalid or the keys cannot be read, since a coordinator
+  // without keys would reject every client.
   static std::unique_ptr<IdentityFiles> Open(const std::string& operator_file, std::string_view text);
 
   identity::Authenticator& authenticator() { return authenticator_; }
   // Reads the key set again if its file has changed. To be called at least every kPollIntervalUs
-  // (watched_files.h), so that a withdrawn key is refused within a second.
+  // (watched_files.h), so that a withdrawn key is rejected within a second.
   void Poll();
   // Reads both files again, changed or not.
   void Reload();
@@ -36,7 +37,7 @@
   std::string keys_file_;
   identity::Authenticator authenticator_;
   FileStamp last_stamp_;    // of keys_file_
-  std::string last_error_;  // of reading the keys, logged already; empty: they were read
+  std::string last_error_;  // from reading the keys, already logged; empty on success
 };
 
 }  // namespace liftrudder::app
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -12,7 +12,7 @@
     : config_path_(std::move(config_path)), targets_(targets) {}
 
 void Reloader::Reload() {
-  MoveDiscovery();
+  ReloadDiscoveryAddress();
   if (targets_.identity != nullptr) targets_.identity->Reload();
   if (targets_.tls != nullptr) targets_.tls->Reload();
 }
@@ -22,18 +22,18 @@
   if (targets_.tls != nullptr) targets_.tls->Poll();
 }
 
-void Reloader::MoveDiscovery() {
-  // The file may be half written or wrong: the coordinator then goes on with what it has.
+void Reloader::ReloadDiscoveryAddress() {
+  // The file may be incomplete or invalid: the coordinator then keeps its current settings.
   try {
-    config::Config config = config::Parse(config::ReadFile(config_path_));
-    if (targets_.discovery_watch == nullptr || config.discovery.empty()) {
-      log::Info("reload: there is no discovery watch to move");
+    config::Config config = config::ParseConfig(config::ReadFile(config_path_));
+    if (targets_.discovery_watch == nullptr || config.discovery_address.empty()) {
+      log::Info("reload: no discovery watch, or no discovery address in the file; nothing to change");
       return;
     }
-    log::Info("reload: discovery is at {}", config.discovery);
-    targets_.discovery_watch->Move(config.discovery);
+    log::Info("reload: discovery address is {}", config.discovery_address);
+    targets_.discovery_watch->SetAddress(config.discovery_address);
   } catch (const std::exception& error) {
-    log::Error("reload: {}; the old settings stay", error.what());
+    log::Error("reload: {}; keeping the current settings", error.what());
   }
 }
 
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -1,5 +1,5 @@
-// Reads the operator's files again while the coordinator serves: on SIGHUP all of them, in between those that
-// changed. A file that is missing or wrong changes nothing. Main thread only.
+// Reads the operator's files again while the coordinator serves: all of them on SIGHUP, keys and certificates
+// also whenever they change. A file that is missing or invalid changes nothing. Main thread only.
 #ifndef LIFTRUDDER_APP_RELOAD_H_
 #define LIFTRUDDER_APP_RELOAD_H_
 
@@ -11,7 +11,7 @@
 
 namespace liftrudder::app {
 
-// What can change without a restart; each is null where the coordinator has none. Owned by the caller.
+// The parts that a reload updates; null when the coordinator runs without one. Owned by the caller.
 struct ReloadTargets {
   platform::DiscoveryWatch* discovery_watch = nullptr;
   IdentityFiles* identity = nullptr;
@@ -22,15 +22,15 @@
  public:
   Reloader(std::string config_path, ReloadTargets targets);
 
-  // Reads everything again. Errors are logged, and the settings in use stay.
+  // Reads all files again. Errors are logged, and the current settings are kept.
   void Reload();
-  // Whether there are files to poll; they are to be polled every kPollIntervalUs (watched_files.h).
+  // Whether there are files to poll, which is to be done every kPollIntervalUs (watched_files.h).
   bool HasWatchedFiles() const { return targets_.identity != nullptr || targets_.tls != nullptr; }
-  // Reads again the keys and certificates whose files have changed.
+  // Reads keys and certificates again whose files have changed.
   void PollFiles();
 
  private:
-  void MoveDiscovery();
+  void ReloadDiscoveryAddress();
 
   const std::string config_path_;
   const ReloadTargets targets_;
--- a/src/app/serve_options.cpp
+++ b/src/app/serve_options.cpp
@@ -19,10 +19,10 @@
 
 ServeOptions ReadPlatformOptions() {
   const char* path = std::getenv(wire::kConfigVariable);
-  if (path == nullptr) throw StartupError(fmt::format("{} names no configuration", wire::kConfigVariable));
+  if (path == nullptr) throw StartupError(fmt::format("{} is not set", wire::kConfigVariable));
   ServeOptions options;
   options.config_path = path;
-  options.config = config::Parse(config::ReadFile(path));
+  options.config = config::ParseConfig(config::ReadFile(path));
   config::SetAdminAddress(options.config, EnvironmentOrEmpty(wire::kAdminAddressVariable));
   options.passed_socket = EnvironmentOrEmpty(wire::kPassedSocketVariable);
   return options;
@@ -32,7 +32,7 @@
   const std::string text = config::ReadFile(operator_file);
   ServeOptions options;
   options.config_path = operator_file;
-  options.config = config::Parse(text);
+  options.config = config::ParseConfig(text);
   options.search = opensearch::ParseOptions(text, options.config);
   options.identity = IdentityFiles::Open(operator_file, text);
   options.zone = dns::ParseZoneOptions(text);
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -1,5 +1,5 @@
-// The signals that control a running coordinator, received synchronously on the main thread. They are blocked
-// in every thread, so no code runs in a signal handler.
+// The signals that control a running coordinator. They are blocked in every thread and received synchronously
+// on the main thread, so no code runs in a signal handler.
 #ifndef LIFTRUDDER_APP_SIGNALS_H_
 #define LIFTRUDDER_APP_SIGNALS_H_
 
@@ -10,7 +10,7 @@
 namespace liftrudder::app {
 
 enum class ControlSignal {
-  kNone,           // nothing came in time, or the wait was interrupted
+  kNone,           // no signal arrived in time, or the wait was interrupted
   kPrintCounters,  // SIGUSR1
   kReload,         // SIGHUP
   kTerminate,      // SIGTERM, SIGINT
@@ -24,7 +24,7 @@
   ControlSignals();
 
   ControlSignal Wait() const;
-  // Waits at most that long.
+  // Waits at most `timeout_us`.
   ControlSignal WaitFor(coordinator::Micros timeout_us) const;
 
  private:
--- a/src/app/startup_error.h
+++ b/src/app/startup_error.h
@@ -6,7 +6,7 @@
 
 namespace liftrudder::app {
 
-// The text names what could not be had and its value, such as the address or the file.
+// The text names the resource that is not available, such as the address or the file.
 class StartupError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -23,18 +23,18 @@
 
 std::string ReadBoundedFile(const std::string& path) {
   std::string text = config::ReadFile(path);
-  if (text.size() > kMaxFileBytes) throw config::ConfigError(path + " has over a MiB");
+  if (text.size() > kMaxFileBytes) throw config::ConfigError(path + " is larger than 1 MiB");
   return text;
 }
 
-void ThrowIfWrong(const identity::JsonMembers& members) {
+void ThrowOnError(const identity::JsonMembers& members) {
   if (members.error()) throw config::ConfigError(members.error()->Message());
 }
 
-// A member that is not known is an error too.
-void EndMembers(identity::JsonMembers& members) {
+// Throws when a member was invalid or is unknown.
+void RejectUnknownMembers(identity::JsonMembers& members) {
   members.RejectUnknown();
-  ThrowIfWrong(members);
+  ThrowOnError(members);
 }
 
 const Json& KeyPairArray(identity::JsonMembers& members) {
@@ -43,7 +43,7 @@
       pairs != nullptr && pairs->is_array() && !pairs->empty() && pairs->size() <= kMaxKeyPairs;
   if (!usable) {
     throw config::ConfigError(
-        fmt::format("tls: [{}] must be a list of 1 to {}", wire::kTlsCertificates, kMaxKeyPairs));
+        fmt::format("tls: [{}] must be a list of 1 to {} key pairs", wire::kTlsCertificates, kMaxKeyPairs));
   }
   return *pairs;
 }
@@ -65,35 +65,36 @@
   if (!json) throw config::ConfigError("tls: " + json.error().Message());
   Paths paths;
   identity::JsonMembers members(*json, "tls");
-  ThrowIfWrong(members);
+  ThrowOnError(members);
   const Json& pairs = KeyPairArray(members);
   for (std::size_t i = 0; i < pairs.size(); ++i) {
     identity::JsonMembers pair(pairs[i], fmt::format("tls: certificate {}", i + 1));
     KeyPairPaths names;
     pair.Read(wire::kTlsCertificate, names.certificate);
     pair.Read(wire::kTlsKey, names.key);
-    if (names.certificate.empty() || names.key.empty()) pair.Fail("names no [certificate] or no [key]");
-    EndMembers(pair);
-    paths.key_pairs.push_back({Beside(operator_file_, names.certificate), Beside(operator_file_, names.key)});
+    if (names.certificate.empty() || names.key.empty()) pair.Fail("must name a [certificate] and a [key]");
+    RejectUnknownMembers(pair);
+    paths.key_pairs.push_back(
+        {ResolvePath(operator_file_, names.certificate), ResolvePath(operator_file_, names.key)});
   }
   if (const Json* clients = members.Find(wire::kTlsClients)) {
     identity::JsonMembers client_members(*clients, "tls: clients");
     client_members.Read(wire::kTlsClientIssuers, paths.client_issuers);
     client_members.Read(wire::kTlsClientRevoked, paths.revoked);
     client_members.Read(wire::kTlsClientRequired, paths.client_certificate_required);
-    if (paths.client_issuers.empty()) client_members.Fail("names no [issuers]");
-    EndMembers(client_members);
-    paths.client_issuers = Beside(operator_file_, paths.client_issuers);
-    if (!paths.revoked.empty()) paths.revoked = Beside(operator_file_, paths.revoked);
+    if (paths.client_issuers.empty()) client_members.Fail("must name [issuers]");
+    RejectUnknownMembers(client_members);
+    paths.client_issuers = ResolvePath(operator_file_, paths.client_issuers);
+    if (!paths.revoked.empty()) paths.revoked = ResolvePath(operator_file_, paths.revoked);
   }
-  EndMembers(members);
+  RejectUnknownMembers(members);
   return paths;
 }
 
 std::vector<TlsFiles::PathStamp> TlsFiles::Stamps() const {
   std::vector<PathStamp> stamps;
   auto add = [&stamps](const std::string& path) {
-    if (!path.empty()) stamps.push_back({path, StampOf(path)});
+    if (!path.empty()) stamps.push_back({path, ReadFileStamp(path)});
   };
   for (const KeyPairPaths& pair : paths_.key_pairs) {
     add(pair.certificate);
@@ -105,7 +106,7 @@
 }
 
 void TlsFiles::ReadMaterial() {
-  // Stamped before they are read: a change meanwhile is noticed by the next poll.
+  // Stamped before they are read, so that the next poll notices a change during the read.
   last_stamps_ = Stamps();
   net::TlsMaterial material;
   for (const KeyPairPaths& pair : paths_.key_pairs) {
@@ -114,12 +115,12 @@
   if (!paths_.client_issuers.empty()) material.client_ca = ReadBoundedFile(paths_.client_issuers);
   if (!paths_.revoked.empty()) material.revoked = ReadBoundedFile(paths_.revoked);
   material.client_required = paths_.client_certificate_required;
-  std::shared_ptr<const net::TlsContext> before = source_.Get();
-  if (before != nullptr && before->material() == material) return;
-  auto made = net::TlsContext::Make(std::move(material), clock_, before.get());
-  if (!made) throw config::ConfigError("tls: " + made.error().Message());
-  source_.Set(*made);
-  log::Info("audit: tls shows {} from now on; the first to end does so at {:%Y-%m-%dT%H:%M:%SZ}",
+  std::shared_ptr<const net::TlsContext> current = source_.Get();
+  if (current != nullptr && current->material() == material) return;
+  auto context = net::TlsContext::Make(std::move(material), clock_, current.get());
+  if (!context) throw config::ConfigError("tls: " + context.error().Message());
+  source_.Set(*context);
+  log::Info("audit: tls now presents {}; the first of them expires at {:%Y-%m-%dT%H:%M:%SZ}",
             source_.Get()->subjects(), fmt::gmtime(static_cast<std::time_t>(source_.Get()->expires_s())));
 }
 
@@ -129,7 +130,7 @@
     ReadMaterial();
     last_error_.clear();
   } catch (const std::runtime_error& error) {
-    if (last_error_ != error.what()) log::Error("{}; the certificates in use stay", error.what());
+    if (last_error_ != error.what()) log::Error("{}; keeping the current certificates", error.what());
     last_error_ = error.what();
   }
 }
@@ -138,7 +139,7 @@
   try {
     paths_ = ReadPaths(net::json::Get(config::ReadFile(operator_file_), wire::kTlsMember));
   } catch (const std::runtime_error& error) {
-    log::Error("{}; the files named before stay in use", error.what());
+    log::Error("{}; keeping the current file names", error.what());
   }
   last_stamps_.clear();
   Poll();
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -1,6 +1,6 @@
 // The TLS files that the operator's file names: read at start-up, polled for changes, read again on reload.
-// Files that cannot be read or do not fit change nothing, and each new reason is logged once. Main thread,
-// but for source(), which is for any thread.
+// Files that are unreadable or invalid change nothing; while they stay so for the same reason, polling logs
+// the error once. Main thread only, except for source(), which is for any thread.
 #ifndef LIFTRUDDER_APP_TLS_FILES_H_
 #define LIFTRUDDER_APP_TLS_FILES_H_
 
@@ -16,8 +16,8 @@
 
 class TlsFiles {
  public:
-  // Null where the operator's file, whose content is `text`, has no TLS member. Throws config::ConfigError
-  // with what is wrong. `clock` outlives the object.
+  // Null when the operator's file, whose content is `text`, has no TLS member. Throws config::ConfigError for
+  // invalid files. `clock` outlives the object.
   static std::unique_ptr<TlsFiles> Open(const std::string& operator_file, std::string_view text,
                                         const coordinator::Clock& clock);
 
@@ -57,7 +57,7 @@
   Paths paths_;
   std::vector<PathStamp> last_stamps_;
   net::TlsSource source_;
-  std::string last_error_;  // logged already
+  std::string last_error_;  // already logged; empty on success
 };
 
 }  // namespace liftrudder::app
--- a/src/app/watched_files.cpp
+++ b/src/app/watched_files.cpp
@@ -11,11 +11,11 @@
 
 }  // namespace
 
-std::string Beside(const std::string& operator_file, const std::string& path) {
+std::string ResolvePath(const std::string& operator_file, const std::string& path) {
   return (std::filesystem::path(operator_file).parent_path() / path).string();
 }
 
-FileStamp StampOf(const std::string& path) {
+FileStamp ReadFileStamp(const std::string& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0) return {};
   return {status.st_mtim.tv_sec * kNanosPerSecond + status.st_mtim.tv_nsec, status.st_size, status.st_ino};
--- a/src/app/wire_names.h
+++ b/src/app/wire_names.h
@@ -1,12 +1,12 @@
-// Names that operators and their scripts rely on: environment variables, sub-commands and their options, the
+// Names that operators and their scripts rely on: environment variables, sub-commands and their options,
 // members of the operator's file, admin paths. They are interfaces and never change; the rest of the module
-// uses the constants.
+// uses these constants.
 #ifndef LIFTRUDDER_APP_WIRE_NAMES_H_
 #define LIFTRUDDER_APP_WIRE_NAMES_H_
 
 namespace liftrudder::app::wire {
 
-// Environment of the platform's deployment.
+// Environment variables of the platform's deployment.
 inline constexpr char kConfigVariable[] = "BALANCER_CONFIG";
 inline constexpr char kAdminAddressVariable[] = "BALANCER_MGMT";
 inline constexpr char kPassedSocketVariable[] = "BALANCER_PASSED_SOCKET";
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,8 +22,8 @@
 constexpr int kDefaultMemoryMb = 192;
 constexpr int kSeedBase = 16;
 
-// The default is a share of the memory that holds a minute or more of a busy coordinator's queries and is not
-// missed by serving.
+// The default is a fraction of the memory that holds at least a minute of a busy coordinator's queries and
+// that serving can spare.
 constexpr std::int64_t kDecisionLogMemoryDivisor = 48;
 constexpr std::int64_t kMinDecisionLogBytes = kMiB;
 constexpr std::int64_t kMaxDefaultDecisionLogBytes = 8 * kMiB;
@@ -33,8 +33,8 @@
   return json::String(json::Get(object, key)).value_or("");
 }
 
-std::int64_t IntegerOr(std::string_view object, std::string_view key, std::int64_t otherwise) {
-  return json::Integer(json::Get(object, key)).value_or(otherwise);
+std::int64_t IntegerOr(std::string_view object, std::string_view key, std::int64_t fallback) {
+  return json::Integer(json::Get(object, key)).value_or(fallback);
 }
 
 std::vector<std::string> Strings(std::string_view array) {
@@ -66,20 +66,20 @@
   if (!off && !fits) {
     throw ConfigError(
         DecisionLogKey(wire::kDecisionLogBytes), std::string(value),
-        fmt::format("is neither 0 nor from {} to {}", kMinDecisionLogBytes, kMaxDecisionLogBytes));
+        fmt::format("is neither 0 nor in the range {} to {}", kMinDecisionLogBytes, kMaxDecisionLogBytes));
   }
   return static_cast<std::size_t>(*bytes);
 }
 
-void TakeDecisionLogMember(std::string_view name, std::string_view value, DecisionLogOptions& options) {
+void ReadDecisionLogMember(std::string_view name, std::string_view value, DecisionLogOptions& options) {
   if (name == wire::kDecisionLogBytes) {
     options.bytes = ParseDecisionLogBytes(value);
   } else if (name == wire::kDecisionLogFile) {
     auto file = json::String(value);
-    if (!file) throw ConfigError(DecisionLogKey(wire::kDecisionLogFile), std::string(value), "is not a text");
+    if (!file) throw ConfigError(DecisionLogKey(wire::kDecisionLogFile), std::string(value), "is not text");
     options.file = *file;
   } else {
-    throw ConfigError(fmt::format("{}: there is no such setting; there are {} and {}", DecisionLogKey(name),
+    throw ConfigError(fmt::format("{}: unknown setting; known settings are {} and {}", DecisionLogKey(name),
                                   wire::kDecisionLogBytes, wire::kDecisionLogFile));
   }
 }
@@ -90,7 +90,7 @@
                                                       kMinDecisionLogBytes, kMaxDefaultDecisionLogBytes));
   if (text.empty()) return options;
   bool is_object = json::JsonMembers(text, [&options](std::string_view name, std::string_view value) {
-    TakeDecisionLogMember(name, value, options);
+    ReadDecisionLogMember(name, value, options);
     return true;
   });
   if (!is_object) throw ConfigError(fmt::format("{}: not an object", wire::kDecisionLog));
@@ -99,8 +99,8 @@
 
 void ReadIdentification(std::string_view text, Config& config) {
   config.name = StringOrEmpty(text, wire::kName);
-  config.listen = StringOrEmpty(text, wire::kListenAddress);
-  config.discovery = StringOrEmpty(text, wire::kDiscoveryAddress);
+  config.listen_address = StringOrEmpty(text, wire::kListenAddress);
+  config.discovery_address = StringOrEmpty(text, wire::kDiscoveryAddress);
   const std::string seed = StringOrEmpty(text, wire::kSeed);
   std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, kSeedBase);
 }
@@ -118,7 +118,7 @@
       1, static_cast<int>(IntegerOr(bounds, wire::kStreamsPerConnection, config.streams_per_connection)));
 }
 
-// The decision log is taken off the memory.
+// Subtracts the decision log from the memory.
 void ReadLimits(std::string_view text, Config& config) {
   std::string_view limits = json::Get(text, wire::kLimits);
   const int memory_mb = static_cast<int>(IntegerOr(limits, wire::kLimitMemoryMb, kDefaultMemoryMb));
@@ -132,7 +132,7 @@
 
 }  // namespace
 
-Config Parse(std::string_view text) {
+Config ParseConfig(std::string_view text) {
   if (!json::Valid(text)) throw ConfigError("configuration: not JSON");
   Config config;
   ReadIdentification(text, config);
@@ -141,10 +141,10 @@
   std::string_view cached = json::Get(text, wire::kCachedEndpointList);
   if (!cached.empty()) config.cached_endpoints = ParseEndpointList(cached, config);
   config.cached_endpoints.kind = routing::EndpointListKind::kCached;
-  // The list may be short or outdated: there is at least one endpoint for each cell.
+  // The list may be incomplete or outdated; there is at least one endpoint for each cell.
   const int endpoints =
       std::max(static_cast<int>(config.cached_endpoints.entries.size()), config.settings.cells);
-  config.budget = ShareOut(config.descriptors, config.memory_mb, endpoints);
+  config.budget = ComputeBudget(config.descriptors, config.memory_mb, endpoints);
   SetAdminAddress(config, StringOrEmpty(text, wire::kAdminAddress));
   return config;
 }
@@ -153,7 +153,7 @@
   if (address.empty() || !config.admin_address.empty()) return;
   config.admin_address = address;
   config.descriptors -= net::AdminServer::kDescriptors;
-  config.budget = ShareOut(config.descriptors, config.memory_mb, config.budget.endpoints);
+  config.budget = ComputeBudget(config.descriptors, config.memory_mb, config.budget.endpoints);
 }
 
 std::string ReadFile(const std::string& path) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,5 +1,5 @@
-// What a coordinator is configured with at its start. Reads text and files, and opens nothing else. Plain
-// data and functions without state; any thread.
+// The configuration that a coordinator starts with. Reads text and files only. Plain data and functions
+// without state; any thread.
 #ifndef LIFTRUDDER_CONFIG_CONFIG_H_
 #define LIFTRUDDER_CONFIG_CONFIG_H_
 
@@ -17,18 +17,18 @@
 namespace liftrudder::config {
 
 struct DecisionLogOptions {
-  std::size_t bytes = 0;  // claimed at the start; 0: nothing is recorded
-  std::string file;       // the record outlives the process there; empty: in memory only
+  std::size_t bytes = 0;  // allocated at start-up; 0: the decision log is off
+  std::string file;       // where the record outlives the process; empty: in memory only
 };
 
 struct Config {
   std::string name;
-  std::string listen;         // HOST:PORT, as are the next two
-  std::string discovery;      // empty: there is none
-  std::string admin_address;  // empty: there is none
+  std::string listen_address;     // HOST:PORT, as are the next two
+  std::string discovery_address;  // empty: none
+  std::string admin_address;      // empty: none
   std::uint64_t seed = 0;
   routing::Settings settings;
-  // Names by index, as the routing settings number them.
+  // Names, by the indices that the routing settings use.
   std::vector<std::string> classes;
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
@@ -37,19 +37,19 @@
   routing::Micros idle_close_us = 30'000'000;
   int streams_per_connection = 100;
   double cores = 1;
-  coordinator::EndpointList cached_endpoints;  // of the process before this one; may be outdated
-  int descriptors = 1024;                      // less what the admin address takes
-  int memory_mb = 192;                         // less what the decision log takes
-  Budget budget;                               // for the endpoints known at the start
+  coordinator::EndpointList cached_endpoints;  // from the previous process; may be outdated
+  int descriptors = 1024;                      // without those of the admin server
+  int memory_mb = 192;                         // without the decision log
+  Budget budget;                               // for the endpoints known at start-up
   DecisionLogOptions decision_log;
 };
 
 // Throws ConfigError, SettingsError or EndpointListError.
-Config Parse(std::string_view text);
-// Adds the address and takes its descriptors off the budget. Does nothing where `address` is empty or the
-// configuration names one.
+Config ParseConfig(std::string_view text);
+// Sets the admin address and reserves the admin server's descriptors. Does nothing when `address` is empty or
+// the configuration already has one.
 void SetAdminAddress(Config& config, const std::string& address);
-// The whole file; throws ConfigError naming the path.
+// Returns the content of the file. Throws ConfigError that names the path.
 std::string ReadFile(const std::string& path);
 
 }  // namespace liftrudder::config
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,5 +1,5 @@
-// What is wrong with something that an operator or the platform configured. Thrown by the readers of
-// configuration; stops the start-up, or is logged where a reload keeps what is in use.
+// Errors in what an operator or the platform configured. Thrown by the readers of configuration and endpoint
+// lists. During start-up they end the program; later they are logged, and what is in use is kept.
 #ifndef LIFTRUDDER_CONFIG_CONFIG_ERROR_H_
 #define LIFTRUDDER_CONFIG_CONFIG_ERROR_H_
 
@@ -12,9 +12,9 @@
 
 class ConfigError : public std::runtime_error {
  public:
-  // Without a single key at fault.
+  // For an error that is not in a single key.
   explicit ConfigError(const std::string& problem) : std::runtime_error(problem) {}
-  // `value` as it is written in the file. The text reads "KEY: VALUE PROBLEM".
+  // `value` as written in the file. The text reads "KEY: VALUE PROBLEM".
   ConfigError(std::string key, std::string value, std::string_view problem)
       : std::runtime_error(key + ": " + value + " " + std::string(problem)),
         key_(std::move(key)),
@@ -28,13 +28,13 @@
   std::string value_;
 };
 
-// Which key of the routing settings is missing, of the wrong type, or impossible.
+// A key of the routing settings is missing, of the wrong type, or out of range.
 class SettingsError : public ConfigError {
  public:
   using ConfigError::ConfigError;
 };
 
-// Which entry of an endpoint list cannot be used, and why.
+// An endpoint list, or an entry of it, is malformed.
 class EndpointListError : public ConfigError {
  public:
   using ConfigError::ConfigError;
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -38,14 +38,15 @@
   return *number;
 }
 
-// One pass over the entry's members: a list of a thousand is read during a drain, on a share of a core.
+// Reads an entry in one pass over its members, since lists of a thousand entries are parsed during drains, on
+// a fraction of a core.
 class EntryReader {
  public:
   explicit EntryReader(const Config& config) : config_(config) {}
 
   coordinator::EndpointEntry Read(std::string_view text) {
     bool is_object = json::JsonMembers(text, [this](std::string_view key, std::string_view value) {
-      TakeMember(key, value);
+      ReadMember(key, value);
       return true;
     });
     if (!is_object) throw EndpointListError("not an object");
@@ -55,7 +56,7 @@
   }
 
  private:
-  void TakeMember(std::string_view key, std::string_view value) {
+  void ReadMember(std::string_view key, std::string_view value) {
     routing::Endpoint& endpoint = entry_.endpoint;
     if (key == wire::kEndpointId) {
       entry_.id = ParseName(value);
@@ -70,7 +71,7 @@
     } else if (key == wire::kEndpointWeight) {
       endpoint.weight = json::Number(value).value_or(1);
     } else if (key == wire::kEndpointStartedMs) {
-      // Unix time, as the coordinator's clock has it.
+      // Unix time, as on the coordinator's clock.
       endpoint.started_us = ParseInteger(key, value) * kMicrosPerMilli;
     } else if (key == wire::kEndpointState) {
       endpoint.availability = ParseState(value);
@@ -100,7 +101,7 @@
     return true;
   });
   if (!is_object || !version || *version < 0 || !full) {
-    throw EndpointListError("endpoint list: no version, or not said whether full");
+    throw EndpointListError("endpoint list: 'version' or 'full' is missing or invalid");
   }
   return {static_cast<std::uint64_t>(*version), *full, endpoints};
 }
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -1,5 +1,5 @@
-// Reads endpoint lists, as discovery sends them and as the configuration carries a cached one. Pure
-// functions; any thread.
+// Reads endpoint lists: those that discovery sends, and the cached one in the configuration. A pure function;
+// any thread.
 #ifndef LIFTRUDDER_CONFIG_ENDPOINT_LIST_H_
 #define LIFTRUDDER_CONFIG_ENDPOINT_LIST_H_
 
@@ -10,7 +10,7 @@
 
 namespace liftrudder::config {
 
-// Zones and kinds are looked up by name in `config`; a name that it does not have counts as the first. Throws
+// Zones and kinds are looked up by name in `config`; an unknown name maps to index 0. Throws
 // EndpointListError.
 coordinator::EndpointList ParseEndpointList(std::string_view text, const Config& config);
 
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -37,8 +37,8 @@
 }
 
 template <typename T>
-T GetOr(const Json& object, const char* key, T otherwise) {
-  return object.contains(key) ? Get<T>(object, key) : otherwise;
+T GetOr(const Json& object, const char* key, T fallback) {
+  return object.contains(key) ? Get<T>(object, key) : fallback;
 }
 
 Effect ParseEffect(const std::string& name) {
@@ -60,7 +60,7 @@
   return query_class;
 }
 
-// What a class has in the lists beside the classes.
+// Reads the classes, each with its entries in the lists of the sharding object.
 void ReadClasses(const Json& root, const Json& sharding, Settings& settings) {
   const Json& classes = Member(root, wire::kClasses);
   const auto minimum = Get<std::vector<double>>(sharding, wire::kMinimumCoverages);
@@ -71,7 +71,7 @@
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (i >= minimum.size() || i >= complete.size() || i >= partial_value.size() ||
         i >= fetch_requests.size()) {
-      throw KeyError(wire::kSharding, "has no figures for class " + std::to_string(i));
+      throw KeyError(wire::kSharding, "has a list without an entry for class " + std::to_string(i));
     }
     QueryClassSettings query_class = ReadClass(classes[i]);
     query_class.min_coverage = minimum[i];
--- a/src/config/routing_settings.h
+++ b/src/config/routing_settings.h
@@ -1,5 +1,5 @@
-// Reads the routing module's settings from their JSON, for both programs: the coordinator's configuration and
-// the simulator's first message carry the same object. A pure function; any thread.
+// Reads the routing module's settings from JSON. The coordinator's configuration and the simulator's first
+// message contain the same object. A pure function; any thread.
 #ifndef LIFTRUDDER_CONFIG_ROUTING_SETTINGS_H_
 #define LIFTRUDDER_CONFIG_ROUTING_SETTINGS_H_
 
@@ -10,8 +10,8 @@
 
 namespace liftrudder::config {
 
-// Reads and checks the settings; throws SettingsError. A key that a decision needs must be there; a key that
-// is not known is skipped.
+// Reads and checks the settings; throws SettingsError. Required keys must be present; unknown keys are
+// ignored.
 routing::Settings ParseRoutingSettings(std::string_view text);
 
 }  // namespace liftrudder::config
--- a/src/config/wire_names.h
+++ b/src/config/wire_names.h
@@ -1,6 +1,6 @@
-// The keys and words of the configuration, of the routing settings in it, and of the endpoint list, as the
-// platform's documents and the operators' files have them. They are interfaces and never change; everything
-// else uses the constants.
+// The keys and words of the configuration, of the routing settings in it, and of the endpoint list, as in the
+// platform's documents and the operators' files. They are interfaces and never change; all other code uses
+// these constants.
 #ifndef LIFTRUDDER_CONFIG_WIRE_NAMES_H_
 #define LIFTRUDDER_CONFIG_WIRE_NAMES_H_
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The query coordinator's program: parses the arguments, then serves or runs a sub-command.
+// The query coordinator's program: parses the arguments, then serves queries or runs a sub-command.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <functional>
@@ -16,11 +16,13 @@
 
 int main(int argc, char** argv) try {
   const app::ControlSignals signals;
-  CLI::App program("A query coordinator for lesson search and booking. Without a sub-command it serves.",
-                   "liftrudder");
+  CLI::App program(
+      "A query coordinator for lesson search and booking. Without a sub-command it serves queries.",
+      "liftrudder");
   std::string search_file;
-  program.add_option("--opensearch", search_file,
-                     "Serve the search API as this file says, in place of the platform");
+  program.add_option(
+      "--opensearch", search_file,
+      "Serve the search API with this configuration file, in place of the platform's protocols");
   std::function<int()> sub_command;
   app::AddExplainCommand(program, sub_command);
   app::AddIdentityCommands(program, sub_command);
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -18,23 +18,23 @@
 namespace {
 
 constexpr coordinator::Micros kConnectTimeoutUs = 500'000;
-// A watch has a heartbeat every 2 s, and an update counts as notified 6 s after it was made: a watch that is
-// silent for longer than kSilenceTimeoutUs is replaced before the 6 s are over.
+// Discovery sends a heartbeat every 2 s, and an update counts as notified 6 s after it was made. A watch that
+// is silent for kSilenceTimeoutUs is replaced, which leaves time to receive the update within those 6 s.
 constexpr coordinator::Micros kSilenceTimeoutUs = 3'000'000;
-constexpr coordinator::Micros kReadSliceUs = 200'000;  // how soon a stop or a move is noticed
-// Discovery sends what it has directly after the response header; when nothing arrives for this long, what
-// has been received is current.
-constexpr coordinator::Micros kFirstListTimeoutUs = 20'000;
-// A list has an entry for each endpoint and, during a rolling replacement, one more for its successor; few
-// fleets have more than a thousand. An entry is some 130 bytes on one line, twice that indented, and names
-// may be long.
+constexpr coordinator::Micros kReadTimeoutUs = 200'000;  // how soon a stop or a new address is noticed
+// Discovery sends pending lists directly after the response header. When nothing arrives for this long, the
+// list in use is current.
+constexpr coordinator::Micros kCatchUpTimeoutUs = 20'000;
+// Bounds the size of a list. It has an entry for each endpoint and, during a rolling replacement, another for
+// the successor; few fleets have more than a thousand endpoints. An entry takes some 130 bytes on one line
+// and twice that when indented; long names add to it.
 constexpr std::size_t kMinListEntries = 1024;
 constexpr std::size_t kListEntriesPerCell = 4;
 constexpr std::size_t kMaxEntryBytes = 2048;
 
 constexpr int kHttpOk = 200;
 
-// Why the watch at one address was lost; caught in Loop.
+// Why the watch was lost; caught in Loop.
 class WatchError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -60,7 +60,7 @@
   net::ObjectStream lists;
   std::string pending;
   coordinator::Micros last_activity_us;
-  bool caught_up = false;  // what discovery had when the watch was opened has come
+  bool caught_up = false;  // set by the first read after the response header
 };
 
 DiscoveryWatch::DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry,
@@ -71,7 +71,7 @@
       clock_(clock),
       timeouts_(limits::WatchTimeoutsOf(config.settings)),
       backoff_(timeouts_.first_backoff_us, timeouts_.max_backoff_us, config.seed),
-      address_(config.discovery),
+      address_(config.discovery_address),
       thread_([this] { Loop(); }) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
@@ -83,7 +83,7 @@
   thread_.Join();
 }
 
-void DiscoveryWatch::Move(const std::string& address) {
+void DiscoveryWatch::SetAddress(const std::string& address) {
   std::lock_guard lock(mutex_);
   address_ = address;
   wake_.notify_one();
@@ -104,7 +104,7 @@
   Pause(backoff_.Within(timeouts_.initial_delay_us), address);
   while (!stopping_) {
     address = Address();
-    std::string reason = "it ended";
+    std::string reason = "the connection ended";
     try {
       Watch(address);
     } catch (const std::exception& error) {
@@ -114,7 +114,7 @@
       backoff_.Reset();
       continue;
     }
-    // Logged once, not at each attempt.
+    // Only the first of consecutive failures is logged.
     if (backoff_.failures() == 0) log::Info("discovery: the watch at {} is lost: {}", address, reason);
     Pause(backoff_.NextWait(), address);
   }
@@ -122,20 +122,20 @@
 
 void DiscoveryWatch::Watch(const std::string& address) {
   Stream stream(OpenWatch(address), MaxListBytes(config_.settings), clock_.Now());
-  // After a reload has moved discovery, the old address may still send heartbeats but no more lists.
+  // After a reload changes the address, the old one may still send heartbeats but no lists.
   while (!stopping_ && clock_.Now() - stream.last_activity_us < kSilenceTimeoutUs && Address() == address) {
     if (ReadStream(address, stream) == StreamState::kEnded) return;
   }
-  if (clock_.Now() - stream.last_activity_us >= kSilenceTimeoutUs) throw WatchError("it fell silent");
+  if (clock_.Now() - stream.last_activity_us >= kSilenceTimeoutUs) throw WatchError("heartbeat timeout");
 }
 
 net::Fd DiscoveryWatch::OpenWatch(const std::string& address) {
   net::Fd fd = net::Connect(address, kConnectTimeoutUs);
-  if (!fd.Valid()) throw WatchError("no connection");
+  if (!fd.Valid()) throw WatchError("cannot connect");
   const std::string request = fmt::format("GET {}{} HTTP/1.1\r\nHost: {}\r\n\r\n", wire::kWatchTarget,
                                           endpoint_registry_.Version(), address);
   if (net::WriteAll(fd, request, kConnectTimeoutUs).status != net::Io::kOk) {
-    throw WatchError("the request cannot be written");
+    throw WatchError("cannot write the request");
   }
   return fd;
 }
@@ -143,40 +143,40 @@
 DiscoveryWatch::StreamState DiscoveryWatch::ReadStream(const std::string& address, Stream& stream) {
   const bool catching_up = !stream.caught_up && stream.parser.message().status == kHttpOk;
   const net::Io got =
-      net::ReadSome(stream.fd, stream.pending, catching_up ? kFirstListTimeoutUs : kReadSliceUs);
+      net::ReadSome(stream.fd, stream.pending, catching_up ? kCatchUpTimeoutUs : kReadTimeoutUs);
   if (got == net::Io::kTimeout && catching_up) endpoint_registry_.MarkUpToDate();
   stream.caught_up = stream.caught_up || catching_up;
   if (got == net::Io::kTimeout) return StreamState::kOpen;
   if (got != net::Io::kOk) return StreamState::kEnded;
-  return TakeReceived(address, stream);
+  return ProcessReceived(address, stream);
 }
 
-DiscoveryWatch::StreamState DiscoveryWatch::TakeReceived(const std::string& address, Stream& stream) {
+DiscoveryWatch::StreamState DiscoveryWatch::ProcessReceived(const std::string& address, Stream& stream) {
   const net::HttpParser::State state = stream.parser.Feed(stream.pending);
-  if (state == net::HttpParser::State::kBad) throw WatchError("the watch is not HTTP");
+  if (state == net::HttpParser::State::kBad) throw WatchError("the response is not valid HTTP");
   net::HttpMessage& message = stream.parser.message();
-  if (message.status != 0 && message.status != kHttpOk) throw WatchError("the watch was turned down");
-  // Lists are separated by their structure and not by lines: one may be written on many.
+  if (message.status != 0 && message.status != kHttpOk) throw WatchError("the response status is not 200");
+  // Lists are separated by their JSON structure, since one list may span several lines.
   bool had_list = false;
   const bool usable = stream.lists.Feed(message.body, [&](std::string_view list) {
     ApplyList(list);
     had_list = true;
   });
-  if (!usable) throw WatchError("the watch is no stream of lists: " + stream.lists.error());
-  // Activity is a list or a heartbeat, which is an empty line between lists. Bytes that go on and never
-  // complete a list are none; and since nothing may change for long, a heartbeat must end the backoff too.
+  if (!usable) throw WatchError("the response body is not a stream of lists: " + stream.lists.error());
+  // Activity is a list or a heartbeat, which is an empty line between lists; bytes that never complete a list
+  // do not count. A heartbeat resets the backoff too, since the list may stay unchanged for a long time.
   const bool heartbeat = !message.body.empty() && !stream.lists.open();
-  if (had_list || heartbeat) NoteActivity(address, stream);
+  if (had_list || heartbeat) RecordActivity(address, stream);
   message.body.clear();
   if (state != net::HttpParser::State::kDone) return StreamState::kOpen;
-  if (stream.lists.open()) throw WatchError("it ended in a list");
+  if (stream.lists.open()) throw WatchError("the response ended inside a list");
   return StreamState::kEnded;
 }
 
-void DiscoveryWatch::NoteActivity(const std::string& address, Stream& stream) {
+void DiscoveryWatch::RecordActivity(const std::string& address, Stream& stream) {
   stream.last_activity_us = clock_.Now();
   if (backoff_.failures() > 0) {
-    log::Info("discovery: watching at {} again after {} failures", address, backoff_.failures());
+    log::Info("discovery: the watch at {} is open again after {} failures", address, backoff_.failures());
   }
   backoff_.Reset();
 }
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -1,5 +1,5 @@
 // Follows the endpoint list of the platform's discovery: keeps one watch open, applies its lists in order,
-// and posts the updates to the coordinator. Decides nothing about endpoints. One thread of its own.
+// and posts the updates to the coordinator, which decides about endpoints. Runs on a thread of its own.
 #ifndef LIFTRUDDER_PLATFORM_DISCOVERY_H_
 #define LIFTRUDDER_PLATFORM_DISCOVERY_H_
 
@@ -20,29 +20,31 @@
 
 class DiscoveryWatch {
  public:
-  // Starts to watch at config.discovery. The arguments outlive the watch.
+  // Starts watching at config.discovery_address. The arguments outlive the watch.
   DiscoveryWatch(const config::Config& config, coordinator::EndpointRegistry& endpoint_registry,
                  coordinator::Coordinator& coordinator, const coordinator::Clock& clock);
   ~DiscoveryWatch();
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // From now on it watches there. The list and its version stay: the new watch asks for what came after them.
-  void Move(const std::string& address);
+  // Reopens the watch at `address`. The list and its version are kept; the new watch asks for later versions.
+  // Any thread.
+  void SetAddress(const std::string& address);
 
  private:
   struct Stream;
   enum class StreamState { kOpen, kEnded };
 
-  // All of these run on the watch's thread. Those that lose the watch throw WatchError with the reason.
+  // All of these run on the watch's thread. Those that lose the watch throw the reason: WatchError, or
+  // config::EndpointListError for a list that cannot be parsed.
   void Loop();
   void Watch(const std::string& address);
   net::Fd OpenWatch(const std::string& address);
   StreamState ReadStream(const std::string& address, Stream& stream);
-  StreamState TakeReceived(const std::string& address, Stream& stream);
-  void NoteActivity(const std::string& address, Stream& stream);
+  StreamState ProcessReceived(const std::string& address, Stream& stream);
+  void RecordActivity(const std::string& address, Stream& stream);
   void ApplyList(std::string_view text);
-  // Ends early when the watch is to stop or to move, since the backoff belongs to the old address.
+  // Waits for `span_us`, or until the watch stops or its address changes: the backoff is for the old address.
   void Pause(coordinator::Micros span_us, const std::string& address);
   std::string Address() const;
 
@@ -52,7 +54,7 @@
   const coordinator::Clock& clock_;
   std::atomic<bool> stopping_{false};
   const limits::WatchTimeouts timeouts_;
-  limits::Backoff backoff_;  // the thread's
+  limits::Backoff backoff_;  // used only by the thread
   mutable std::mutex mutex_;
   std::condition_variable wake_;
   std::string address_;  // guarded by mutex_
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -18,11 +18,11 @@
 constexpr double kMaxLoad = 1e9;
 constexpr coordinator::Micros kMicrosPerMilli = 1000;
 
-std::string Frame(char letter, std::string_view rest) {
+std::string EncodeFrame(char type, std::string_view rest) {
   std::string frame;
   const std::size_t size = rest.size() + 1;
   for (std::size_t i = 0; i < kLengthBytes; ++i) frame.push_back(static_cast<char>(size >> (8 * i) & 0xff));
-  frame.push_back(letter);
+  frame.push_back(type);
   return frame.append(rest);
 }
 
@@ -32,7 +32,7 @@
   return size;
 }
 
-// Takes the next field off the front of `text`, with its separator.
+// Removes the next field and its separator from the front of `text`; returns the field.
 std::string_view NextField(std::string_view& text, char separator = ' ') {
   std::string_view field = text.substr(0, text.find(separator));
   text.remove_prefix(std::min(text.size(), field.size() + 1));
@@ -46,9 +46,9 @@
 }
 
 std::optional<coordinator::Cause> ParseOutcome(std::string_view word) {
-  if (word == wire::kServed) return coordinator::Cause::kServed;
-  if (word == wire::kBroke) return coordinator::Cause::kEndpointError;
-  if (word == wire::kSkipped) return coordinator::Cause::kEndpointRejected;
+  if (word == wire::kOutcomeServed) return coordinator::Cause::kServed;
+  if (word == wire::kOutcomeError) return coordinator::Cause::kEndpointError;
+  if (word == wire::kOutcomeRejected) return coordinator::Cause::kEndpointRejected;
   return std::nullopt;
 }
 
@@ -68,15 +68,15 @@
     std::string_view rest = in;
     bool usable = true;
     while (usable && rest.size() >= kLengthBytes) {
-      // Noise is noticed at its first byte, not when all has come that its length seems to promise.
-      if (rest.size() > kLengthBytes && !IsEndpointFrame(rest[kLengthBytes])) {
+      // Rejects garbage by its type byte, before all the bytes that its length announces have arrived.
+      if (rest.size() > kLengthBytes && !IsEndpointFrameType(rest[kLengthBytes])) {
         usable = false;
         break;
       }
       const std::size_t size = FrameSize(rest);
       if (size == 0 || size > kMaxFrameBytes) return false;
       if (rest.size() - kLengthBytes < size) break;
-      usable = TakeFrame(rest.substr(kLengthBytes, size), out);
+      usable = ParseFrame(rest.substr(kLengthBytes, size), out);
       rest.remove_prefix(kLengthBytes + size);
     }
     in.erase(0, in.size() - rest.size());
@@ -84,22 +84,22 @@
   }
 
  private:
-  static bool IsEndpointFrame(char letter) {
-    return wire::kEndpointFrames.find(letter) != std::string_view::npos;
+  static bool IsEndpointFrameType(char type) {
+    return wire::kEndpointFrames.find(type) != std::string_view::npos;
   }
 
-  // False where the frame is malformed, and on an error frame, after which the endpoint closes.
-  bool TakeFrame(std::string_view frame, std::vector<net::EndpointResponse>& out) const {
-    const char letter = frame.front();
-    if (letter == wire::kProgressFrame || letter == wire::kLoadFrame) return true;
+  // Returns false for a malformed frame, and for an error frame, after which the endpoint closes.
+  bool ParseFrame(std::string_view frame, std::vector<net::EndpointResponse>& out) const {
+    const char type = frame.front();
+    if (type == wire::kProgressFrame || type == wire::kLoadFrame) return true;
     const auto line_end = frame.find('\n');
-    if (letter != wire::kAnswerFrame || line_end == std::string_view::npos) return false;
+    if (type != wire::kAnswerFrame || line_end == std::string_view::npos) return false;
     std::string_view line = frame.substr(1, line_end - 1);
     net::EndpointResponse response;
     response.id = NextField(line);
     const auto outcome = ParseOutcome(NextField(line));
     if (!outcome) return false;
-    NextField(line);  // the score, which nothing here uses
+    NextField(line);  // the score, which is unused
     response.cause = *outcome;
     response.load = ParseLoadReport(line);
     response.value = frame.substr(line_end + 1);
@@ -107,7 +107,7 @@
     return true;
   }
 
-  // Empty where the report is malformed or lacks a figure: it must not make the endpoint look idle.
+  // Empty when the report is malformed or lacks a figure, since a default would make the endpoint look idle.
   std::vector<double> ParseLoadReport(std::string_view text) const {
     constexpr double kMissing = -1;
     std::vector<double> load(load_names_.size(), kMissing);
@@ -129,28 +129,28 @@
 
 }  // namespace
 
-std::string FrameProtocol::AttemptId(const coordinator::AttemptRequest& order) const {
-  return fmt::format("{}.{}", order.payload->call_id, order.shard);
+std::string FrameProtocol::AttemptId(const coordinator::AttemptRequest& request) const {
+  return fmt::format("{}.{}", request.payload->call_id, request.shard);
 }
 
-std::string FrameProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+std::string FrameProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> requests,
                                          const std::string& /*endpoint*/, coordinator::Micros now_us) const {
-  std::string all;
-  for (const coordinator::AttemptRequest* order : orders) {
-    const coordinator::Micros left_ms =
-        std::max<coordinator::Micros>(1, (order->attempt_deadline_us - now_us) / kMicrosPerMilli);
-    std::string fields = fmt::format("{}={}", wire::kTimeoutField, left_ms);
-    const std::string& key = order->payload->idempotency_key;
+  std::string body;
+  for (const coordinator::AttemptRequest* request : requests) {
+    const coordinator::Micros timeout_ms =
+        std::max<coordinator::Micros>(1, (request->attempt_deadline_us - now_us) / kMicrosPerMilli);
+    std::string fields = fmt::format("{}={}", wire::kTimeoutField, timeout_ms);
+    const std::string& key = request->payload->idempotency_key;
     if (!key.empty()) fields += fmt::format(",{}={}", wire::kIdempotencyKeyField, key);
-    const std::string& statement = order->payload->statement;
-    all +=
-        fmt::format("{} {} {} {}\n{}", AttemptId(*order), order->shard, fields, statement.size(), statement);
+    const std::string& statement = request->payload->statement;
+    body += fmt::format("{} {} {} {}\n{}", AttemptId(*request), request->shard, fields, statement.size(),
+                        statement);
   }
-  return Frame(wire::kQueryFrame, all);
+  return EncodeFrame(wire::kQueryFrame, body);
 }
 
 std::string FrameProtocol::EncodeCancellation(const std::string& id) const {
-  return Frame(wire::kCancelFrame, id);
+  return EncodeFrame(wire::kCancelFrame, id);
 }
 
 std::unique_ptr<net::ResponseReader> FrameProtocol::NewReader() const {
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -1,5 +1,5 @@
-// The platform's protocol to endpoints: a frame is a length of four bytes (least significant first), a
-// letter, and the rest. Encodes and decodes; connections and retries are elsewhere. Any thread.
+// The platform's protocol to endpoints. A frame is a length of four bytes (least significant first), a letter
+// for its type, and its content. Encodes and decodes frames only. Any thread.
 #ifndef LIFTRUDDER_PLATFORM_FRAMES_H_
 #define LIFTRUDDER_PLATFORM_FRAMES_H_
 
@@ -18,8 +18,8 @@
   // `load_names`: the figures of a load report, in the order in which decisions expect them.
   explicit FrameProtocol(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
-  std::string AttemptId(const coordinator::AttemptRequest& order) const override;
-  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+  std::string AttemptId(const coordinator::AttemptRequest& request) const override;
+  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> requests,
                             const std::string& endpoint, coordinator::Micros now_us) const override;
   std::string EncodeCancellation(const std::string& id) const override;
   // The reader keeps a reference to this protocol's load names.
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -17,11 +17,12 @@
 
 namespace json = net::json;
 
-// The answer goes out that long before the client's timeout, should the coordinator be busy.
+// A worker without an answer responds with an error this long before the client's timeout, so that the
+// response still arrives in time.
 constexpr coordinator::Micros kDeadlineMarginUs = 5'000;
 constexpr coordinator::Micros kBusyRetryUs = 200'000;
 constexpr double kMicrosPerSecond = 1e6;
-constexpr char kUnreadable[] = "the request cannot be read";
+constexpr char kUnreadableText[] = "the request cannot be read";
 
 net::HttpResponse ErrorResponse(int status, std::string_view text) {
   net::HttpResponse response;
@@ -30,7 +31,7 @@
   return response;
 }
 
-// Without the header where `retry_after_us` is 0.
+// Omits the Retry-After header when `retry_after_us` is 0.
 net::HttpResponse ErrorResponse(int status, coordinator::Micros retry_after_us, std::string_view text) {
   net::HttpResponse response = ErrorResponse(status, text);
   if (retry_after_us > 0) {
@@ -70,7 +71,7 @@
 net::HttpResponse QueryHandler::Malformed(int status) {
   coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
                           decision_log::kUnknownClass, status, "");
-  return ErrorResponse(status, kUnreadable);
+  return ErrorResponse(status, kUnreadableText);
 }
 
 net::HttpResponse QueryHandler::Overloaded(const net::HttpMessage* request) {
@@ -108,20 +109,21 @@
                                                            const net::Exchange& exchange) {
   auto query = ReadQueryRequest(request, exchange.received_us, exchange.reply_waiter->client(), config_);
   if (!query) {
-    return Rejected(request, decision_log::IntakeResult::kMalformed, ErrorResponse(400, kUnreadable));
+    return RejectAtIntake(request, decision_log::IntakeResult::kMalformed,
+                          ErrorResponse(400, kUnreadableText));
   }
-  // Everything needed has been copied, and the answer may take long.
+  // Frees the body, which has been copied, for the time until the answer.
   request.body = std::string();
   const std::string call_id = query->payload->call_id;
   if (!ReserveCallId(call_id)) {
-    return Rejected(request, decision_log::IntakeResult::kDuplicateId,
-                    ErrorResponse(409, "a query with this id is open"));
+    return RejectAtIntake(request, decision_log::IntakeResult::kDuplicateId,
+                          ErrorResponse(409, "a query with this id is open"));
   }
   metrics::OperatorFigures::ClassFigures* class_figures = figures_.Of(query->class_index);
   figures_.current.Add();
   auto response = RunQuery(std::move(*query), exchange);
   figures_.current.Add(-1);
-  // Not counted where the client has disconnected or broken off its own request.
+  // Not counted when the client has disconnected, or has sent more bytes before its answer.
   if (response && !response->close) metrics::OperatorFigures::CountAnswer(class_figures, response->status);
   ReleaseCallId(call_id);
   return response;
@@ -165,8 +167,9 @@
   call_ids_in_flight_.erase(call_id);
 }
 
-net::HttpResponse QueryHandler::Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
-                                         net::HttpResponse response) {
+net::HttpResponse QueryHandler::RejectAtIntake(const net::HttpMessage& request,
+                                               decision_log::IntakeResult intake,
+                                               net::HttpResponse response) {
   counters_.malformed.Add();
   const std::string* call_id = request.Header(wire::kCallIdHeader);
   coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform,
--- a/src/platform/query_handler.h
+++ b/src/platform/query_handler.h
@@ -1,6 +1,6 @@
-// The platform's client protocol: one POST for each query, JSON in and out, and a few pages for operators.
-// Decides nothing about queries; the coordinator does. Each request is handled on its worker's thread, which
-// waits for the answer.
+// The platform's client protocol: one POST for each query, JSON in both directions, and a few pages for
+// operators. Decisions about queries are the coordinator's. Each request is handled on a worker's thread,
+// which waits for the answer.
 #ifndef LIFTRUDDER_PLATFORM_QUERY_HANDLER_H_
 #define LIFTRUDDER_PLATFORM_QUERY_HANDLER_H_
 
@@ -21,7 +21,7 @@
 
 class QueryHandler : public net::Handler {
  public:
-  // The arguments outlive the handler; `explain_service` is null where nothing is recorded.
+  // The arguments outlive the handler; `explain_service` is null when the decision log is off.
   QueryHandler(const config::Config& config, coordinator::Coordinator& coordinator,
                const coordinator::Clock& clock, metrics::Counters& counters,
                metrics::OperatorFigures& figures, decision_log::ExplainService* explain_service)
@@ -39,16 +39,16 @@
              bool whole) override;
 
  private:
-  // These return nothing where the client has disconnected.
+  // These return nullopt when the client has disconnected.
   std::optional<net::HttpResponse> HandleQuery(net::HttpMessage& request, const net::Exchange& exchange);
   std::optional<net::HttpResponse> RunQuery(coordinator::QueryRequest query, const net::Exchange& exchange);
-  // False where a query with that call id is in flight. Shard request ids are made from it, and those of two
-  // queries in flight must differ.
+  // Returns false when a query with this call id is in flight. Shard request ids are derived from the call id
+  // and must be unique among queries in flight.
   bool ReserveCallId(const std::string& call_id);
   void ReleaseCallId(const std::string& call_id);
-  // Notes that the request did not become a query; returns `response`.
-  net::HttpResponse Rejected(const net::HttpMessage& request, decision_log::IntakeResult intake,
-                             net::HttpResponse response);
+  // Counts and records a request that did not become a query; returns `response`.
+  net::HttpResponse RejectAtIntake(const net::HttpMessage& request, decision_log::IntakeResult intake,
+                                   net::HttpResponse response);
   int ClassIndex(const std::string* class_name) const;
 
   const config::Config& config_;
--- a/src/platform/query_request.cpp
+++ b/src/platform/query_request.cpp
@@ -23,22 +23,22 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMaxWorkUs = 1e9;
 constexpr int kKeyBase = 16;
-// Weights sum to 1, but for what rounding takes off each of them.
+// The weights must sum to 1, with this tolerance plus kWeightRounding for each of them: they are rounded.
 constexpr double kWeightSlack = 1e-3;
 constexpr double kWeightRounding = 1e-4;
 
-// Such a name goes into a line of a frame: nothing in it may separate fields or lines.
+// Names are written into a line of a frame, so they must not contain separators of fields or lines.
 bool IsPlainName(std::string_view name) {
   return !name.empty() && name.size() <= kMaxNameBytes &&
          std::ranges::all_of(name, [](char c) { return c > ' ' && c < 0x7f && c != ',' && c != '='; });
 }
 
-// The header's value; null where it is missing or doubled.
+// The header's value; null when it is missing or repeated.
 const std::string* SingleHeader(const net::HttpMessage& request, std::string_view name) {
   return request.Count(name) == 1 ? request.Header(name) : nullptr;
 }
 
-// False where the member came before: one reader would take the first, another the last.
+// Returns false for a repeated member: JSON readers differ in whether they take the first or the last.
 bool StoreOnce(std::string_view value, std::string_view& member) {
   if (!member.empty()) return false;
   member = value;
@@ -108,20 +108,20 @@
   return shard_request;
 }
 
-// Empty where the array or an entry is malformed.
+// Empty when the array or an entry is malformed.
 std::vector<coordinator::ShardRequest> ReadShardRequests(std::string_view array, int shards) {
   std::vector<coordinator::ShardRequest> shard_requests;
   std::set<int> seen;
   double weight_sum = 0;
   bool usable = json::Elements(array, [&](std::string_view text) {
     auto shard_request = ReadShardRequest(text, shards);
-    // No shard twice, so there are no more entries than shards.
+    // Each shard occurs once, which also bounds the number of entries.
     if (!shard_request || !seen.insert(shard_request->shard).second) return false;
     shard_requests.push_back(*shard_request);
     weight_sum += shard_request->weight;
     return true;
   });
-  // The coverage of a partial result is known only if all weights together make 1.
+  // The coverage of a partial result is known only if the weights sum to 1.
   double slack = kWeightSlack + kWeightRounding * static_cast<double>(shard_requests.size());
   if (!usable || std::abs(weight_sum - 1) > slack) return {};
   return shard_requests;
--- a/src/platform/query_request.h
+++ b/src/platform/query_request.h
@@ -12,9 +12,9 @@
 
 namespace liftrudder::platform {
 
-// `client` tells whether the client is still connected. Statement and idempotency key stay byte for byte as
-// they came. Nothing where the request is malformed: a header missing, doubled or out of range, a member
-// doubled, a shard twice or out of range, weights that do not sum to 1.
+// `client` tells whether the client is still connected. The statement and the idempotency key are passed on
+// byte for byte. Returns nullopt for a malformed request: a header that is missing, repeated or out of range,
+// a repeated member, a shard that is repeated or out of range, or weights that do not sum to 1.
 std::optional<coordinator::QueryRequest> ReadQueryRequest(
     const net::HttpMessage& request, coordinator::Micros received_us,
     std::shared_ptr<const coordinator::ClientPresence> client, const config::Config& config);
--- a/src/platform/wire_names.h
+++ b/src/platform/wire_names.h
@@ -1,6 +1,6 @@
-// The names of the platform's protocol: paths and headers of the client's HTTP, members of the query's and
-// the answer's JSON, letters and words of the frames to endpoints. They are interfaces and never change;
-// everything else uses the constants.
+// The names in the platform's protocols: paths and headers of the client's HTTP, members of a query's and an
+// answer's JSON, type letters and words of the frames to and from endpoints. They are interfaces and never
+// change; all other code uses these constants.
 #ifndef LIFTRUDDER_PLATFORM_WIRE_NAMES_H_
 #define LIFTRUDDER_PLATFORM_WIRE_NAMES_H_
 
@@ -37,7 +37,7 @@
 inline constexpr char kValue[] = "cell";
 inline constexpr char kError[] = "error";
 
-// First byte of a frame: what the coordinator writes, and what an endpoint writes.
+// Frame types: two that the coordinator sends, then four that an endpoint sends.
 inline constexpr char kQueryFrame = 'q';
 inline constexpr char kCancelFrame = 'c';
 inline constexpr char kAnswerFrame = 'a';
@@ -46,22 +46,22 @@
 inline constexpr char kErrorFrame = 'e';
 inline constexpr std::string_view kEndpointFrames = "aple";
 
-// In a query frame's line.
+// Fields in a query frame's line.
 inline constexpr char kTimeoutField[] = "d";  // milliseconds
 inline constexpr char kIdempotencyKeyField[] = "k";
 
 // Outcome words of an answer frame.
-inline constexpr char kServed[] = "served";
-inline constexpr char kBroke[] = "broke";
-inline constexpr char kSkipped[] = "skipped";
+inline constexpr char kOutcomeServed[] = "served";
+inline constexpr char kOutcomeError[] = "broke";
+inline constexpr char kOutcomeRejected[] = "skipped";
 
-// Load reports name two figures otherwise than the settings do.
+// Two figures have other names in load reports than in the settings.
 inline constexpr char kReportedQueue[] = "queue";
 inline constexpr char kReportedInFlight[] = "inflight";
 inline constexpr char kConfiguredQueue[] = "q";
 inline constexpr char kConfiguredInFlight[] = "rif";
 
-// Discovery: the watch, and its parameter with the version that is known.
+// Discovery: the watch's target, to be followed by the version of the list in use.
 inline constexpr char kWatchTarget[] = "/api/targets?watch=1&from=";
 
 }  // namespace liftrudder::platform::wire
--- a/tests/platform/discovery_watch_test.cpp
+++ b/tests/platform/discovery_watch_test.cpp
@@ -1,4 +1,4 @@
-// DiscoveryWatch against a discovery service that the test plays.
+// DiscoveryWatch against a fake discovery on a loopback socket.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 #include <string>
@@ -21,7 +21,7 @@
 TEST_CASE("a watch whose bytes never complete a list is replaced by a new one") {
   net::Fd listener = net::Listen("127.0.0.1:0");
   config::Config config;
-  config.discovery = net::LocalAddress(listener);
+  config.discovery_address = net::LocalAddress(listener);
   config.settings.cells = 1;
   net::SteadyClock clock;
   coordinator::EndpointRegistry endpoint_registry;
@@ -36,13 +36,13 @@
   };
   net::Fd first = accept_watch();
   net::WriteAll(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n", kTestTimeout);
-  std::string end;
-  net::Io state = net::Io::kTimeout;
+  std::string received;
+  net::Io read_status = net::Io::kTimeout;
   net::Micros until_us = clock.Now() + kTestTimeout;
-  while (state == net::Io::kTimeout && clock.Now() < until_us) {
+  while (read_status == net::Io::kTimeout && clock.Now() < until_us) {
     net::WriteAll(first, "1\r\nv\r\n", kTestTimeout);
-    state = net::ReadSome(first, end, 20'000);
+    read_status = net::ReadSome(first, received, 20'000);
   }
-  CHECK(state != net::Io::kTimeout);
+  CHECK(read_status != net::Io::kTimeout);
   accept_watch();
 }
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists as they may come: on one line or many, cut at any byte, long, or malformed.
+// Endpoint lists as discovery may send them: on one line or several, split at any byte, long, or malformed.
 #define CATCH_CONFIG_MAIN
 #include "config/endpoint_list.h"
 
@@ -16,8 +16,8 @@
 
 namespace {
 
-// Texts with everything in them that could be taken for structure.
-Json Value(int depth) {
+// A random JSON value, with strings that contain bytes of JSON's structure.
+Json RandomValue(int depth) {
   static const std::vector<std::string> texts = {"", "}", "{\"a\":[", "\\", "\"", "a\nb", "\\\"}", "\u00e9]"};
   switch (*rc::gen::inRange(0, depth > 0 ? 5 : 3)) {
     case 0:
@@ -27,23 +27,24 @@
     case 2:
       return nullptr;
     case 3:
-      return Json::array({Value(depth - 1), Value(depth - 1)});
+      return Json::array({RandomValue(depth - 1), RandomValue(depth - 1)});
     default:
-      return Json{{*rc::gen::elementOf(texts), Value(depth - 1)}, {"k", Value(depth - 1)}};
+      return Json{{*rc::gen::elementOf(texts), RandomValue(depth - 1)}, {"k", RandomValue(depth - 1)}};
   }
 }
 
-std::string Blanks() {
+std::string RandomWhitespace() {
   return *rc::gen::elementOf(std::vector<std::string>{"", "\n", "\r\n", "\n\n", " \t", "\n  \n"});
 }
 
-std::vector<std::string> Cut(net::ObjectStream& stream, std::string_view text, std::size_t size, bool& ok) {
-  std::vector<std::string> out;
+std::vector<std::string> FeedInPieces(net::ObjectStream& stream, std::string_view text, std::size_t size,
+                                      bool& ok) {
+  std::vector<std::string> parsed;
   ok = true;
   for (std::size_t at = 0; ok && at < text.size(); at += size) {
-    ok = stream.Feed(text.substr(at, size), [&out](std::string_view one) { out.emplace_back(one); });
+    ok = stream.Feed(text.substr(at, size), [&parsed](std::string_view one) { parsed.emplace_back(one); });
   }
-  return out;
+  return parsed;
 }
 
 config::Config ConfigWithNames() {
@@ -55,59 +56,58 @@
 
 }  // namespace
 
-TEST_CASE("objects come out as they went in, however they are written and wherever they are cut") {
+TEST_CASE("objects are unchanged by their layout and by where the stream is split") {
   rc::check([] {
-    std::vector<Json> in;
+    std::vector<Json> input;
     std::string text;
     for (int i = *rc::gen::inRange(0, 4); i > 0; --i) {
-      in.push_back(Json{{"v", Value(3)}});
-      text += Blanks() + in.back().dump(*rc::gen::inRange(-1, 4)) + Blanks();
+      input.push_back(Json{{"v", RandomValue(3)}});
+      text += RandomWhitespace() + input.back().dump(*rc::gen::inRange(-1, 4)) + RandomWhitespace();
     }
     for (std::size_t size = 1; size <= text.size(); ++size) {
       net::ObjectStream stream(text.size());
       bool ok = false;
-      std::vector<std::string> out = Cut(stream, text, size, ok);
+      std::vector<std::string> parsed = FeedInPieces(stream, text, size, ok);
       RC_ASSERT(ok);
       RC_ASSERT(!stream.open());
-      RC_ASSERT(out.size() == in.size());
-      for (std::size_t i = 0; i < in.size(); ++i) RC_ASSERT(Json::parse(out[i]) == in[i]);
+      RC_ASSERT(parsed.size() == input.size());
+      for (std::size_t i = 0; i < input.size(); ++i) RC_ASSERT(Json::parse(parsed[i]) == input[i]);
     }
   });
 }
 
-TEST_CASE("any bytes at all, cut anywhere: the same objects, or the same word on what is wrong") {
+TEST_CASE("random bytes yield the same objects and the same error wherever the stream is split") {
   rc::check([] {
     auto text =
         *rc::gen::container<std::string>(rc::gen::elementOf(std::string("{{{}}}[[]]\"\"\\\n ,:a\x01")));
     net::ObjectStream whole(32);
     bool ok = false;
-    auto out = Cut(whole, text, std::max<std::size_t>(1, text.size()), ok);
+    auto parsed = FeedInPieces(whole, text, std::max<std::size_t>(1, text.size()), ok);
     for (std::size_t size = 1; size < text.size(); ++size) {
       net::ObjectStream stream(32);
       bool same = false;
-      RC_ASSERT(Cut(stream, text, size, same) == out);
+      RC_ASSERT(FeedInPieces(stream, text, size, same) == parsed);
       RC_ASSERT(same == ok && stream.error() == whole.error() && stream.open() == whole.open());
     }
   });
 }
 
-TEST_CASE(
-    "what is no object, is too long or loses a quote is told with its place, and nothing is taken after it") {
-  auto wrong = [](std::string_view text) {
+TEST_CASE("an invalid byte or an oversized object is an error with its position, and ends the stream") {
+  auto error_of = [](std::string_view text) {
     net::ObjectStream stream(12);
     bool ok = true;
-    Cut(stream, text, 1, ok);
+    FeedInPieces(stream, text, 1, ok);
     CHECK_FALSE(ok);
-    CHECK_FALSE(stream.Feed("{}", [](std::string_view) { FAIL("taken"); }));
+    CHECK_FALSE(stream.Feed("{}", [](std::string_view) { FAIL("an object after the error"); }));
     return stream.error();
   };
-  CHECK(wrong("{}\nx{}") == "neither a blank nor the beginning of an object (0x78) at byte 3");
-  CHECK(wrong("[{}]") == "neither a blank nor the beginning of an object (0x5b) at byte 0");
-  CHECK(wrong("{\"a\n\":1}") == "a control byte inside a text (0x0a) at byte 3");
-  CHECK(wrong("{} {\"a\":  123456}") == "an object of more than 12 bytes (0x36) at byte 15");
+  CHECK(error_of("{}\nx{}") == "neither a blank nor the beginning of an object (0x78) at byte 3");
+  CHECK(error_of("[{}]") == "neither a blank nor the beginning of an object (0x5b) at byte 0");
+  CHECK(error_of("{\"a\n\":1}") == "a control byte inside a text (0x0a) at byte 3");
+  CHECK(error_of("{} {\"a\":  123456}") == "an object of more than 12 bytes (0x36) at byte 15");
 }
 
-TEST_CASE("a list of 1,024 endpoints with long names is read, on one line and indented") {
+TEST_CASE("a list of 1,024 endpoints with long names is parsed, on one line and indented") {
   Json servers = Json::array();
   for (int i = 0; i < 1024; ++i) {
     servers.push_back({{"id", fmt::format("s-{:0>200}", i)},
@@ -133,22 +133,22 @@
   }
 }
 
-TEST_CASE("a list that is not understood says which entry and why") {
-  auto wrong = [](const std::string& entry) -> std::string {
-    std::string good = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
+TEST_CASE("a malformed list is an error that names the entry and the reason") {
+  auto error_of = [](const std::string& entry) -> std::string {
+    std::string valid = R"({"id":"a","addr":"h:1","cell":0,"state":"ready"})";
     try {
-      config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + good + "," + entry + "]}",
+      config::ParseEndpointList(R"({"version":9,"full":false,"servers":[)" + valid + "," + entry + "]}",
                                 ConfigWithNames());
     } catch (const config::EndpointListError& error) {
       return error.what();
     }
     return "";
   };
-  CHECK(wrong(R"({"id":"b","state":"ready"})").empty());
-  CHECK(wrong(R"({"id":"b","state":"asleep"})") == R"(endpoint list 9: entry 2: unknown state "asleep")");
-  CHECK(wrong(R"({"id":"b"})") == "endpoint list 9: entry 2: no state");
-  CHECK(wrong(R"({"state":"gone"})") == "endpoint list 9: entry 2: no id");
-  CHECK(wrong(R"({"id":"b","state":"ready","cell":"x"})") ==
+  CHECK(error_of(R"({"id":"b","state":"ready"})").empty());
+  CHECK(error_of(R"({"id":"b","state":"asleep"})") == R"(endpoint list 9: entry 2: unknown state "asleep")");
+  CHECK(error_of(R"({"id":"b"})") == "endpoint list 9: entry 2: no state");
+  CHECK(error_of(R"({"state":"gone"})") == "endpoint list 9: entry 2: no id");
+  CHECK(error_of(R"({"id":"b","state":"ready","cell":"x"})") ==
         "endpoint list 9: entry 2: cell is \"x\", not an integer");
-  CHECK(wrong("7") == "endpoint list 9: entry 2: not an object");
+  CHECK(error_of("7") == "endpoint list 9: entry 2: not an object");
 }
--- a/tests/scenario/endpoint_statements.cpp
+++ b/tests/scenario/endpoint_statements.cpp
@@ -91,7 +91,7 @@
   if (client.connections.empty()) {
     Connection& connection = client.connections.emplace_back();
     connection.wire = WireKind::kDns;
-    connection.fd = net::Connect(LoggedAfter(log_, "takes DNS updates at "), kWriteTimeoutUs);
+    connection.fd = net::Connect(LoggedAfter(log_, "accepting DNS updates at "), kWriteTimeoutUs);
   }
   Write(client.connections.back(), TwoBytes(static_cast<int>(message.size())) + message);
 }
--- a/tests/scenario/process_statements.cpp
+++ b/tests/scenario/process_statements.cpp
@@ -57,7 +57,7 @@
   if (statement.subject == "bad") {
     WriteConfiguration("{");
     ::kill(child_, SIGHUP);
-    Until([&] { return log_.find("the old settings stay") != std::string::npos; }, "not read again");
+    Until([&] { return log_.find("keeping the current settings") != std::string::npos; }, "not read again");
     return;
   }
   std::list<Connection> old_watches;  // they stay open until the program has moved
