--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -1,4 +1,4 @@
-// What the router decides, each action with its reason. Plain data; the caller performs the actions in order.
+// The actions that the router returns, with their reasons. Plain data; the caller performs them in order.
 #ifndef LIFTRUDDER_ROUTING_ACTIONS_H_
 #define LIFTRUDDER_ROUTING_ACTIONS_H_
 
@@ -21,7 +21,7 @@
 // Answer a query, or its first phase, with the shard requests answered so far.
 struct Answer {
   Id query = 0;
-  bool complete = false;  // else a partial result
+  bool complete = false;  // false: a partial result
   CompletionReason reason = {};
 };
 
@@ -52,7 +52,7 @@
 
 struct SetTimer {
   Micros span_us = 0;       // from now
-  std::uint64_t label = 0;  // returned by TimerFired
+  std::uint64_t label = 0;  // passed back in TimerFired
 };
 
 // Ask the list service for the endpoint list and its changes.
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -7,11 +7,12 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kQuotaBurstSeconds = 2;   // of its quota that a tenant may send at once
-constexpr double kRequestCountGain = 0.3;  // weight of the newest query in the usual number of requests
+constexpr double kQuotaBurstSeconds = 2;   // seconds of its quota that a tenant may use at once
+constexpr double kRequestCountGain = 0.3;  // weight of the latest query in the average number of requests
 constexpr double kUsPerSecond = 1e6;
-// The expected latency of the slowest shard request, over the time to the objective, from which on queries
-// that need it are shed. All of them are from kHopelessLatencyRatio on.
+// Expected latency of the slowest shard request, over the time to the objective, from which queries that need
+// the request are shed. From kMaxLatencyRatio on, all those of the class with the least value density are
+// shed.
 constexpr double kSheddingStartLatencyRatio = 0.6;
 
 }  // namespace
@@ -33,25 +34,27 @@
   query.class_index = static_cast<std::size_t>(event.class_index);
   query.deadline_us = now + event.timeout_remaining_us;
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  Micros passed_us = PassedBeforeArrivalUs(event, cls);
+  Micros elapsed_before_us = ElapsedBeforeArrivalUs(event, cls);
   auto work_us = static_cast<Micros>(cls.objective_per_work * static_cast<double>(event.work_us));
-  query.objective_at_us = std::min(now + cls.latency_objective_us + work_us - passed_us, query.deadline_us);
+  query.objective_at_us =
+      std::min(now + cls.latency_objective_us + work_us - elapsed_before_us, query.deadline_us);
   if (query.objective_at_us <= now) query.value_factor *= cls.late_value_fraction;
-  if (!TakeQuota(event.tenant)) query.value_factor *= settings_.over_quota_value_factor;
+  if (!ConsumeQuota(event.tenant)) query.value_factor *= settings_.over_quota_value_factor;
   return query;
 }
 
-// What a client's retry lacks of the timeout of a first query has passed already. A short timeout of a query
-// that is no retry, or of a retry where first queries have one as short, only shows a client in a hurry.
-Micros Admission::PassedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls) {
+// How long the client has waited already. A retry whose timeout is shorter than that of first queries has
+// used up the rest of the class's client timeout. The short timeout of a query that is not a retry, or one
+// that first queries have too, only means that the client is in a hurry.
+Micros Admission::ElapsedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls) {
   Micros& first_us = first_timeout_us_[static_cast<std::size_t>(event.class_index)];
   if (!event.is_retry) first_us = event.timeout_remaining_us;
   bool shortened = event.is_retry && event.timeout_remaining_us + answer_margin_us_ < first_us;
   return shortened ? cls.client_timeout_us - event.timeout_remaining_us : 0;
 }
 
-// False when the tenant is over its quota. Tenants without one are never.
-bool Admission::TakeQuota(int tenant) {
+// Charges a query to the tenant. False if the tenant is over its quota; an unlisted tenant has no quota.
+bool Admission::ConsumeQuota(int tenant) {
   auto index = static_cast<std::size_t>(tenant);
   if (index >= quota_tokens_.size()) return true;
   bool within = quota_tokens_[index] >= 1;
@@ -68,38 +71,39 @@
 }
 
 void Admission::RecordRequestCount(std::size_t class_index, std::size_t count) {
-  double& usual = requests_per_query_[class_index];
+  double& average = requests_per_query_[class_index];
   auto newest = static_cast<double>(count);
-  usual = usual == 0 ? newest : usual + kRequestCountGain * (newest - usual);
+  average = average == 0 ? newest : average + kRequestCountGain * (newest - average);
 }
 
 std::optional<CompletionReason> Admission::Shed(const Query& query, double slowest_latency_ratio,
                                                 const LoadEstimator& load, Random& random) const {
   if (query.value_factor <= 0) return MakeReason(CompletionCause::kNoRemainingValue, query.value_factor, 0);
-  double range = kHopelessLatencyRatio - kSheddingStartLatencyRatio;
-  double by_endpoint = std::clamp((slowest_latency_ratio - kSheddingStartLatencyRatio) / range, 0.0, 1.0);
-  double by_load = load.SheddingProbability();
-  // The class with the least value for its work goes first when not all can be done.
+  double range = kMaxLatencyRatio - kSheddingStartLatencyRatio;
+  double endpoint_probability =
+      std::clamp((slowest_latency_ratio - kSheddingStartLatencyRatio) / range, 0.0, 1.0);
+  double load_probability = load.SheddingProbability();
+  // The class with the least value for its work is shed first.
   double density = ValueDensity(query.class_index) * query.value_factor;
-  double probability = std::max(by_load, by_endpoint) * LeastValueDensity() / density;
+  double probability = std::max(load_probability, endpoint_probability) * MinValueDensity() / density;
   if (random.NextUnit() >= probability) return std::nullopt;
-  if (by_endpoint > by_load) {
+  if (endpoint_probability > load_probability) {
     return MakeReason(CompletionCause::kEndpointLoad, slowest_latency_ratio, kSheddingStartLatencyRatio);
   }
   return MakeReason(CompletionCause::kLoad, load.Load(), kSheddingStartLoad);
 }
 
-// This coordinator's part of the tenant's quota, which is stated for the fleet.
+// This coordinator's share of the tenant's quota, which is set for the whole fleet.
 double Admission::QuotaPerSecond(std::size_t tenant) const {
   return settings_.tenants[tenant].quota_per_s / settings_.fleet_size;
 }
 
-// Priority weight for each shard request that a query of the class takes.
+// Priority weight per shard request of a query of the class.
 double Admission::ValueDensity(std::size_t class_index) const {
   return settings_.classes[class_index].priority_weight / std::max(requests_per_query_[class_index], 1.0);
 }
 
-double Admission::LeastValueDensity() const {
+double Admission::MinValueDensity() const {
   double least = 1e300;
   for (std::size_t index = 0; index < settings_.classes.size(); ++index) {
     if (requests_per_query_[index] > 0) least = std::min(least, ValueDensity(index));
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,5 +1,5 @@
-// Admission control: the objective and deadline of a query at its arrival, tenant quotas, and which queries
-// are shed. Owned by one router; not thread-safe.
+// Admission control: sets the objective and deadline of an arriving query, applies tenant quotas and decides
+// which queries are shed. Owned by one router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_ADMISSION_H_
 #define LIFTRUDDER_ROUTING_ADMISSION_H_
 
@@ -22,31 +22,31 @@
   // `settings` must outlive it.
   explicit Admission(const Settings& settings);
 
-  // The query that arrives with `event`, whose class must exist; uses up its tenant's quota.
+  // Creates the query of `event`, whose class must exist, and charges it to its tenant's quota.
   Query MakeQuery(const QueryReceived& event, Micros now);
 
-  // Once a round.
+  // Called once a round.
   void RefillQuotas(double elapsed_us);
 
-  // Queries of the class have so many shard requests of late.
+  // Records how many shard requests a query of the class has.
   void RecordRequestCount(std::size_t class_index, std::size_t count);
 
-  // Why the query is shed; none when it is admitted. `slowest_latency_ratio`: the expected latency of its
-  // slowest shard request over the time to its objective, 0 when it can do without any.
+  // Why the query is shed; none if it is admitted. `slowest_latency_ratio`: the expected latency of its
+  // slowest shard request over the time to its objective; 0 if it does not need all of its shard requests.
   std::optional<CompletionReason> Shed(const Query& query, double slowest_latency_ratio,
                                        const LoadEstimator& load, Random& random) const;
 
  private:
   double QuotaPerSecond(std::size_t tenant) const;
   double ValueDensity(std::size_t class_index) const;
-  double LeastValueDensity() const;
-  Micros PassedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls);
-  bool TakeQuota(int tenant);
+  double MinValueDensity() const;
+  Micros ElapsedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls);
+  bool ConsumeQuota(int tenant);
 
   const Settings& settings_;
   Micros answer_margin_us_;
-  std::vector<Micros> first_timeout_us_;    // by class: timeout of the newest query that was no retry
-  std::vector<double> requests_per_query_;  // by class, of late; 0: none seen
+  std::vector<Micros> first_timeout_us_;    // by class: timeout of the latest query that was not a retry
+  std::vector<double> requests_per_query_;  // by class: moving average; 0: no query yet
   std::vector<double> quota_tokens_;        // by tenant: queries that it may send now
 };
 
--- a/src/routing/canary_policy.cpp
+++ b/src/routing/canary_policy.cpp
@@ -7,12 +7,12 @@
 namespace liftrudder::routing {
 namespace {
 
-// The first crash by a query is not foreseen, so wide queries are sent by canary at all times: those with
-// requests for more than this share of the endpoints, and with more requests than this.
+// The first crash that a query causes cannot be foreseen, so wide queries use a canary even without losses:
+// those with requests for more than this share of the endpoints, and with more requests than this.
 constexpr double kWideEndpointShare = 0.4;
 constexpr std::size_t kWideRequests = 8;
 constexpr double kCanaryWaitMedians = 0.25;  // median latencies that a wide query waits for its canary
-constexpr double kHurriedQueryMedians = 3;   // with less time than so many, a wide query is not kept waiting
+constexpr double kUrgentQueryMedians = 3;    // with fewer left to its objective, a wide query does not wait
 
 bool IsWide(const Query& query, const CanaryInputs& inputs) {
   std::size_t requests = query.shard_requests.size();
@@ -21,22 +21,22 @@
 }
 
 bool NeedsCanary(const Query& query, const CanaryInputs& inputs) {
-  if (query.cleared || query.phase > 1) return false;
+  if (query.known_safe || query.phase > 1) return false;
   if (inputs.losses_elevated) return true;
   auto left_us = static_cast<double>(query.objective_at_us - inputs.now);
-  bool hurried = left_us < kHurriedQueryMedians * inputs.median_latency_us;
-  return IsWide(query, inputs) && !hurried && inputs.load <= kSheddingStartLoad;
+  bool urgent = left_us < kUrgentQueryMedians * inputs.median_latency_us;
+  return IsWide(query, inputs) && !urgent && inputs.load <= kSheddingStartLoad;
 }
 
 }  // namespace
 
 bool SendsCanary(const Query& query, const CanaryInputs& inputs) {
-  return query.last_first_attempt_us == 0 && query.shard_requests.size() > 1 && NeedsCanary(query, inputs);
+  return query.latest_first_attempt_us == 0 && query.shard_requests.size() > 1 && NeedsCanary(query, inputs);
 }
 
 bool WaitsForCanary(const Query& query, const CanaryInputs& inputs) {
-  if (query.last_first_attempt_us <= 0 || !NeedsCanary(query, inputs)) return false;
-  auto waited_us = static_cast<double>(inputs.now - query.last_first_attempt_us);
+  if (query.latest_first_attempt_us <= 0 || !NeedsCanary(query, inputs)) return false;
+  auto waited_us = static_cast<double>(inputs.now - query.latest_first_attempt_us);
   return inputs.losses_elevated || waited_us < kCanaryWaitMedians * inputs.median_latency_us;
 }
 
--- a/src/routing/completion_policy.cpp
+++ b/src/routing/completion_policy.cpp
@@ -5,11 +5,11 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kWeightTolerance = 5e-5;  // received weights are 32-bit and sum to 1 only roughly
+constexpr double kWeightTolerance = 5e-5;  // received weights are 32-bit and sum to 1 only approximately
 constexpr double kWeightRounding = 1e-12;
-constexpr double kAnswerLeadObjectives = 0.03;  // latency objectives before an objective: writes take time
+constexpr double kAnswerLeadObjectives = 0.03;  // latency objectives kept for writing a partial answer
 constexpr double kMostlyAnsweredShare = 0.8;
-constexpr double kRetryAfterObjectives = 0.5;  // of a rejected client when there is no load
+constexpr double kRetryAfterObjectives = 0.5;  // latency objectives in Retry-After at no load
 constexpr double kUsPerSecond = 1e6;
 
 Completion Abandon(CompletionCause cause, double observed, double threshold) {
@@ -27,13 +27,13 @@
 
 std::optional<Completion> CompletionPolicy::Decide(const Query& query, const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  // Endpoints were lost under it and none has answered: the query may have crashed them.
+  // Endpoints were lost during the query and none has answered it: it may have crashed them.
   int tolerated_losses = inputs.losses_elevated ? 0 : 1;
-  if (!query.cleared && query.endpoint_losses > tolerated_losses) {
+  if (!query.known_safe && query.endpoint_losses > tolerated_losses) {
     return Abandon(CompletionCause::kEndpointsLost, query.endpoint_losses, tolerated_losses);
   }
-  if (query.shard_requests.empty() && query.phase == 2) {  // the fetch phase's requests have yet to come
-    if (!Expired(query, inputs.now)) return std::nullopt;
+  if (query.shard_requests.empty() && query.phase == 2) {  // the requests of the fetch phase have not arrived
+    if (!IsExpired(query, inputs.now)) return std::nullopt;
     return ExpiredCompletion(query, inputs.now);
   }
   bool covered = query.coverage >= cls.complete_coverage - kWeightTolerance;
@@ -41,12 +41,12 @@
     return Completion{CompletionKind::kAnswer, query.phase == 1 || query.first_phase_complete,
                       MakeReason(CompletionCause::kComplete, query.coverage, cls.complete_coverage)};
   }
-  if (auto partial = Partial(query, inputs)) return partial;
-  return Hopeless(query, inputs);
+  if (auto partial = DecidePartial(query, inputs)) return partial;
+  return DecideAbandon(query, inputs);
 }
 
-std::optional<Completion> CompletionPolicy::Partial(const Query& query,
-                                                    const CompletionInputs& inputs) const {
+std::optional<Completion> CompletionPolicy::DecidePartial(const Query& query,
+                                                          const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
   bool enough = query.coverage >= cls.min_coverage - kWeightTolerance && query.coverage > 0 &&
                 cls.min_coverage < cls.complete_coverage;
@@ -62,19 +62,19 @@
   const QueryClassSettings& cls = settings_.classes[query.class_index];
   Micros at_us = query.objective_at_us - answer_margin_us_ -
                  static_cast<Micros>(kAnswerLeadObjectives * min_latency_objective_us_);
-  // The fetch phase is still to come within the same objective.
+  // Leaves time for the fetch phase, which has to meet the same objective.
   if (query.phase == 1 && cls.fetch_phase_requests > 0) at_us -= static_cast<Micros>(p90_latency_us);
   return std::min(at_us, query.deadline_us - answer_margin_us_);
 }
 
-std::optional<Completion> CompletionPolicy::Hopeless(const Query& query,
-                                                     const CompletionInputs& inputs) const {
+std::optional<Completion> CompletionPolicy::DecideAbandon(const Query& query,
+                                                          const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  double least = std::min(cls.min_coverage, cls.complete_coverage);
-  if (inputs.reachable_coverage < least - kWeightTolerance) {
-    return Abandon(CompletionCause::kCoverageUnreachable, inputs.reachable_coverage, least);
+  double required_coverage = std::min(cls.min_coverage, cls.complete_coverage);
+  if (inputs.reachable_coverage < required_coverage - kWeightTolerance) {
+    return Abandon(CompletionCause::kCoverageUnreachable, inputs.reachable_coverage, required_coverage);
   }
-  if (Expired(query, inputs.now)) return ExpiredCompletion(query, inputs.now);
+  if (IsExpired(query, inputs.now)) return ExpiredCompletion(query, inputs.now);
   bool late = inputs.now >= query.objective_at_us - answer_margin_us_;
   if (late && cls.late_value_fraction <= 0) {
     return Abandon(CompletionCause::kNoLateValue, Seconds(inputs.now - query.objective_at_us), 0);
--- a/src/routing/completion_policy.h
+++ b/src/routing/completion_policy.h
@@ -1,5 +1,5 @@
-// When a query ends, and how: a complete or partial answer, or given up on. Owned by one router; not
-// thread-safe. It sends nothing.
+// Decides when a query ends and how: answered completely or partially, or abandoned. Owned by one router; not
+// thread-safe. Sends nothing.
 #ifndef LIFTRUDDER_ROUTING_COMPLETION_POLICY_H_
 #define LIFTRUDDER_ROUTING_COMPLETION_POLICY_H_
 
@@ -15,8 +15,8 @@
 
 struct CompletionInputs {
   double reachable_coverage = 0;  // weight answered, in flight, or that may still be sent
-  bool all_answered = false;      // every shard request of the phase, and there is one
-  bool losses_elevated = false;   // endpoints were lost unannounced of late
+  bool all_answered = false;      // every shard request of the phase is, and there is at least one
+  bool losses_elevated = false;   // endpoints were recently lost unannounced
   double p90_latency_us = 0;
   Micros now = 0;
 };
@@ -34,22 +34,24 @@
   // `settings` must outlive it.
   explicit CompletionPolicy(const Settings& settings);
 
-  // How the query ends now; none when it goes on.
+  // How the query ends now; none if it continues.
   std::optional<Completion> Decide(const Query& query, const CompletionInputs& inputs) const;
 
-  // Whether an abandoned query is rejected, which promises that its client may repeat it, rather than failed.
+  // Whether an abandoned query is rejected, which means that its client may safely repeat it, or else fails.
   bool MayReject(const Query& query, const QueryTable& queries, Micros now) const;
 
   // The Retry-After of a rejected query; 0 where the settings allow none.
   Micros RetryAfterUs(double shedding_probability) const;
 
-  // Most requests of those sent are answered: the others are stragglers.
+  // Whether most of the requests sent are answered, so that the others are stragglers.
   static bool MostlyAnswered(const Query& query);
 
  private:
-  std::optional<Completion> Partial(const Query& query, const CompletionInputs& inputs) const;
-  std::optional<Completion> Hopeless(const Query& query, const CompletionInputs& inputs) const;
-  bool Expired(const Query& query, Micros now) const { return now >= query.deadline_us - answer_margin_us_; }
+  std::optional<Completion> DecidePartial(const Query& query, const CompletionInputs& inputs) const;
+  std::optional<Completion> DecideAbandon(const Query& query, const CompletionInputs& inputs) const;
+  bool IsExpired(const Query& query, Micros now) const {
+    return now >= query.deadline_us - answer_margin_us_;
+  }
   Completion ExpiredCompletion(const Query& query, Micros now) const;
   Micros PartialAnswerAtUs(const Query& query, double p90_latency_us) const;
 
--- a/src/routing/connection_reuse.cpp
+++ b/src/routing/connection_reuse.cpp
@@ -6,21 +6,22 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kMinIdleObjectives =
-    0.25;                                 // latency objectives idle after which a connection may be dropped
-constexpr double kMemoryObjectives = 16;  // latency objectives in which the idle limit grows e-fold again
+// Latency objectives for which an idle connection is assumed to survive.
+constexpr double kMinIdleObjectives = 0.25;
+// Latency objectives in which the idle limit grows, and the proven idle time shrinks, by a factor of e.
+constexpr double kTimeConstantObjectives = 16;
 
 }  // namespace
 
 void ConnectionReuse::Decay(double elapsed_us) {
-  max_idle_us_ *= std::exp(elapsed_us / (kMemoryObjectives * min_latency_objective_us_));
-  proven_idle_us_ *= std::exp(-elapsed_us / (kMemoryObjectives * min_latency_objective_us_));
+  max_idle_us_ *= std::exp(elapsed_us / (kTimeConstantObjectives * min_latency_objective_us_));
+  proven_idle_us_ *= std::exp(-elapsed_us / (kTimeConstantObjectives * min_latency_objective_us_));
 }
 
 std::optional<CloseReason> ConnectionReuse::BeforeSend(ConnectionState& state, bool idle, Micros now) const {
   std::optional<CloseReason> close;
   if (idle) {
-    double idle_us = state.used_us > 0 ? static_cast<double>(now - state.used_us) : 0;
+    double idle_us = state.last_used_us > 0 ? static_cast<double>(now - state.last_used_us) : 0;
     if (state.stale) {
       close = CloseReason::kDeadConnection;
     } else if (idle_us > max_idle_us_) {
@@ -31,14 +32,14 @@
     state.idle_sent_us = reuses_idle ? now : 0;
     state.idle_us = idle_us;
   }
-  state.used_us = now;
+  state.last_used_us = now;
   return close;
 }
 
 void ConnectionReuse::RecordOutcome(ConnectionState& state, AttemptOutcome outcome, Micros sent_us,
                                     Micros now) {
-  // A timeout is this side's own clock and no sign of life.
-  if (outcome != AttemptOutcome::kTimeout) state.used_us = now;
+  // A timeout comes from the coordinator's own clock and does not show that the connection works.
+  if (outcome != AttemptOutcome::kTimeout) state.last_used_us = now;
   if (outcome == AttemptOutcome::kOk && sent_us == state.idle_sent_us) {
     proven_idle_us_ = std::max(proven_idle_us_, state.idle_us);
   }
@@ -47,7 +48,7 @@
 bool ConnectionReuse::SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us) {
   bool first_on_idle = oldest_sent_us == state.idle_sent_us;
   if (!first_on_idle || state.idle_us <= proven_idle_us_ || !cancellation_allowed_) return false;
-  // What drops one unused connection drops them all, but none sooner than one was seen to live.
+  // Whatever drops one idle connection drops all, but not before an idle time that one has survived.
   max_idle_us_ = std::max({std::min(max_idle_us_, state.idle_us) / 2,
                            kMinIdleObjectives * min_latency_objective_us_, proven_idle_us_});
   state.idle_sent_us = 0;
--- a/src/routing/connection_reuse.h
+++ b/src/routing/connection_reuse.h
@@ -1,6 +1,7 @@
-// When an idle connection is too old to be used: something on the way may drop connections that are unused
-// for some time, unseen by either end. The time is learnt from shard requests that got no reply after they
-// went out on a long-idle connection. Owned by one router; not thread-safe; it closes nothing itself.
+// Decides when an idle connection is too old to be used: a device on the network path may drop connections
+// that are unused for some time without notice to either end. The time is learnt from shard requests that got
+// no reply after they were sent on a long-idle connection. Owned by one router; not thread-safe. Closes
+// nothing itself.
 #ifndef LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 #define LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 
@@ -12,17 +13,17 @@
 
 namespace liftrudder::routing {
 
-// Connections of one endpoint.
+// The connections to one endpoint.
 struct ConnectionState {
-  Micros used_us = 0;       // last send or reply; 0: no connection yet
-  Micros idle_sent_us = 0;  // a request sent on a connection unused for idle_us, without a reply so far
+  Micros last_used_us = 0;  // last send or reply; 0: no connection yet
+  Micros idle_sent_us = 0;  // latest send on an idle connection; 0 if it was idle only briefly
   double idle_us = 0;
-  bool stale = false;  // the idle connection must not be used
+  bool stale = false;  // the idle connections must not be used
 
-  // The endpoint's process is a new one.
+  // Resets the state for a new process of the endpoint.
   void Restart() {
     stale = false;
-    used_us = 0;
+    last_used_us = 0;
   }
 };
 
@@ -33,23 +34,24 @@
 
   void Decay(double elapsed_us);
 
-  // A shard request is about to be sent. `idle`: nothing else is in flight there. Says whether, and why, idle
-  // connections are to be closed first.
+  // Called before a shard request is sent. `idle`: nothing else is in flight there. Returns why idle
+  // connections must be closed first; none if they need not be.
   std::optional<CloseReason> BeforeSend(ConnectionState& state, bool idle, Micros now) const;
 
-  // An attempt sent at `sent_us` ended. A connection that was idle and then answered proves that nothing
-  // drops connections idle for that long.
+  // Records the end of an attempt sent at `sent_us`. An answer on a connection that had been idle proves that
+  // connections idle for that long are not dropped.
   void RecordOutcome(ConnectionState& state, AttemptOutcome outcome, Micros sent_us, Micros now);
 
-  // The endpoint has not replied since its oldest request, sent at `oldest_sent_us`. True when the connection
-  // was dropped rather than the endpoint at fault, as far as is known: its attempts are to be cancelled.
+  // Called when the endpoint has not replied since its oldest request in flight, sent at `oldest_sent_us`.
+  // True if a dropped connection rather than the endpoint is probably at fault: its attempts must be
+  // cancelled.
   bool SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us);
 
  private:
   double min_latency_objective_us_;
   bool cancellation_allowed_;
-  double max_idle_us_ = 1e12;  // longer idle connections are closed before use; grows without bound
-  double proven_idle_us_ = 0;  // the longest that a connection was idle and lived, of late
+  double max_idle_us_ = 1e12;  // connections idle for longer are closed before use; grows without bound
+  double proven_idle_us_ = 0;  // the longest recent idle time that a connection survived
 };
 
 }  // namespace liftrudder::routing
--- a/src/routing/coverage_cutoff.cpp
+++ b/src/routing/coverage_cutoff.cpp
@@ -20,12 +20,12 @@
     skipped += weight;
     candidate.skipped = PendingReason::kCutoff;
   }
-  // Beyond the cutoff: what cannot arrive in time from any replica only delays the requests that can.
+  // Also drops requests that no replica can answer in time: they only delay the ones that can be answered.
   SlowestRequest slowest;
   for (CutoffCandidate& candidate : by_weight) {
     if (!candidate.shard_request->selected) continue;
     double weight = candidate.shard_request->weight;
-    if (candidate.latency_ratio > kHopelessLatencyRatio && skipped + weight <= max_skipped) {
+    if (candidate.latency_ratio > kMaxLatencyRatio && skipped + weight <= max_skipped) {
       candidate.shard_request->selected = false;
       skipped += weight;
       candidate.skipped = PendingReason::kEndpointLoad;
--- a/src/routing/coverage_cutoff.h
+++ b/src/routing/coverage_cutoff.h
@@ -1,5 +1,5 @@
-// The coverage cutoff: which shard requests of a query are sent at all. Under load the lightest ones are
-// dropped, as far as the class's minimum coverage permits. Plain functions without state.
+// The coverage cutoff: decides which shard requests of a query are sent at all. Under load the lightest ones
+// are dropped, as far as the class's minimum coverage allows. Stateless.
 #ifndef LIFTRUDDER_ROUTING_COVERAGE_CUTOFF_H_
 #define LIFTRUDDER_ROUTING_COVERAGE_CUTOFF_H_
 
@@ -12,14 +12,14 @@
 
 namespace liftrudder::routing {
 
-// A shard request with a higher expected latency, over the time to the objective, cannot arrive in time.
-constexpr double kHopelessLatencyRatio = 1.2;
+// A shard request with a higher expected latency, over the time to the objective, cannot be answered in time.
+constexpr double kMaxLatencyRatio = 1.2;
 
 struct CutoffCandidate {
   ShardRequest* shard_request = nullptr;
   double latency_ratio = 0;                      // expected latency over the time to the objective
-  EndpointId endpoint;                           // the one that latency is expected of
-  PendingReason skipped = PendingReason::kNone;  // set by ApplyCoverageCutoff: kCutoff, kEndpointLoad
+  EndpointId endpoint;                           // the one with that expected latency
+  PendingReason skipped = PendingReason::kNone;  // set by ApplyCoverageCutoff: kCutoff or kEndpointLoad
 };
 
 // The slowest shard request of a query that needs all of them. Its ratio is 0 for any other query.
@@ -29,7 +29,7 @@
 };
 
 // Sets ShardRequest::selected and CutoffCandidate::skipped. `by_weight` is in ascending order of weight;
-// `cutoff_level` is the share dropped of the weight that the class allows to drop.
+// `cutoff_level` is the share dropped of the weight that the class allows to be dropped.
 SlowestRequest ApplyCoverageCutoff(const QueryClassSettings& cls, double cutoff_level,
                                    std::vector<CutoffCandidate>& by_weight);
 
--- a/src/routing/endpoint_list_poller.cpp
+++ b/src/routing/endpoint_list_poller.cpp
@@ -6,7 +6,7 @@
 namespace liftrudder::routing {
 namespace {
 
-// Shares of the time within which the list must be polled: the first wait at most, and any wait.
+// Upper bounds of the first wait and of any wait, as shares of Settings::poll_deadline_us.
 constexpr double kFirstWaitShare = 1.0 / 8;
 constexpr double kMaxWaitShare = 1.0 / 2;
 constexpr double kJitterFloor = 0.5;  // a wait is between 1/3 and 1 of its backoff
@@ -15,7 +15,7 @@
 
 PollDecision EndpointListPoller::OnUpdate(EndpointListKind kind, Random& random) {
   bool subscribes = settings_.subscription_required;
-  // A cached list does not come from the service.
+  // A cached list does not come from the list service, which is still to be called.
   if (kind == EndpointListKind::kCached) return {.subscribe_now = subscribes, .poll_after_us = std::nullopt};
   if (kind != EndpointListKind::kFailed) {
     failures_ = 0;
--- a/src/routing/endpoint_list_poller.h
+++ b/src/routing/endpoint_list_poller.h
@@ -1,5 +1,5 @@
-// Polling of the endpoint list: when a failed call to the list service is repeated. Owned by one router; not
-// thread-safe. It reads no list.
+// Polling of the endpoint list: decides when a failed call to the list service is repeated. Owned by one
+// router; not thread-safe. Does not read the list.
 #ifndef LIFTRUDDER_ROUTING_ENDPOINT_LIST_POLLER_H_
 #define LIFTRUDDER_ROUTING_ENDPOINT_LIST_POLLER_H_
 
@@ -16,7 +16,7 @@
 // Label of the timer after which the list is polled again.
 constexpr std::uint64_t kPollTimerLabel = 1;
 
-// What to do after an endpoint list event: at most one of both.
+// What to do after an endpoint list event. At most one of the two is set.
 struct PollDecision {
   bool subscribe_now = false;
   std::optional<Micros> poll_after_us;
@@ -27,9 +27,9 @@
   // `settings` must outlive it.
   explicit EndpointListPoller(const Settings& settings) : settings_(settings) {}
 
-  // Backs off exponentially with jitter after a failure: a list service that is full turns calls away at
-  // once, and a large fleet that calls again in the same round keeps it full. Also covers a broken
-  // subscription. The random value is drawn only where a wait is decided.
+  // Backs off exponentially with jitter after a failure, also of a subscription: an overloaded list service
+  // rejects calls at once, and a large fleet that repeats them in the same round keeps it overloaded. Draws a
+  // random value only when it sets a wait.
   PollDecision OnUpdate(EndpointListKind kind, Random& random);
 
  private:
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -13,8 +13,8 @@
     ++choice.unlisted;
     return;
   }
-  constexpr std::size_t kMaxShown = std::numeric_limits<std::uint16_t>::max();
-  auto in_flight = static_cast<std::uint16_t>(std::min(replica.in_flight.size(), kMaxShown));
+  constexpr std::size_t kMaxInFlightCount = std::numeric_limits<std::uint16_t>::max();
+  auto in_flight = static_cast<std::uint16_t>(std::min(replica.in_flight.size(), kMaxInFlightCount));
   choice.endpoints[choice.count++] = {replica.endpoint.id, in_flight, eligibility, false};
 }
 
@@ -37,14 +37,14 @@
   probe = nullptr;
 }
 
-ExpectedLatency EndpointSelector::Expect(int shard) const {
+ExpectedLatency EndpointSelector::EstimateLatency(int shard) const {
   ExpectedLatency healthy;
   ExpectedLatency avoided;
   endpoints_.ForEachReplica(shard, [&](const EndpointState& replica) {
     if (!replica.usable) return;
-    double each_us =
+    double per_request_us =
         replica.latency_per_request_us == 0 ? latency_.PerRequestUs() : replica.latency_per_request_us;
-    double expected_us = each_us * static_cast<double>(1 + replica.in_flight.size());
+    double expected_us = per_request_us * static_cast<double>(1 + replica.in_flight.size());
     ExpectedLatency& best = zones_.IsAvoided(replica) ? avoided : healthy;
     if (best.latency_us == 0 || expected_us < best.latency_us) best = {expected_us, replica.endpoint.id};
   });
@@ -97,7 +97,7 @@
 Eligibility EndpointSelector::ClassifyAvoided(EndpointState& replica, const ShardRequest& shard_request,
                                               bool was_tried, Micros now) {
   const OutlierState& outlier = replica.outlier;
-  // An ejected zone is probed as a whole: its own time counts, not that of each endpoint.
+  // An ejected zone is probed as a whole, at the probe time of the zone and not of each endpoint.
   bool probe_due = zones_.IsEjected(replica.zone) ? zones_.ProbeTimeDue(replica.zone, now)
                                                   : OutlierDetector::ProbeDue(outlier, Clock(now));
   bool first_attempt = shard_request.attempts.empty();
@@ -112,10 +112,10 @@
   if (!groups_.healthy.empty()) return &groups_.healthy;
   if (!groups_.over_slow_start_share.empty()) return &groups_.over_slow_start_share;
   if (is_hedge) return nullptr;
-  // A slow one still answers; one that fails fast has nothing in flight and would draw every request.
+  // Slow endpoints still answer. One that fails fast has nothing in flight and would attract every request.
   if (!groups_.outliers.empty()) return &groups_.outliers;
   if (!groups_.unresponsive.empty()) return &groups_.unresponsive;
-  // All were tried: the same ones again, but not in a tight loop.
+  // All were tried: they are tried again, after a median latency to avoid a tight loop.
   bool waited = static_cast<double>(now - shard_request.idle_since_us) >= latency_.MedianUs();
   return waited && !groups_.tried.empty() ? &groups_.tried : nullptr;
 }
@@ -126,10 +126,10 @@
 }
 
 EndpointState* EndpointSelector::FewestInFlight(const ShardRequest& shard_request,
-                                                const std::vector<EndpointState*>& among, Micros now) {
+                                                const std::vector<EndpointState*>& candidates, Micros now) {
   std::vector<EndpointState*> tied;
   int fewest = 0;
-  for (EndpointState* endpoint : among) {
+  for (EndpointState* endpoint : candidates) {
     int calls = CallsWithOneMore(*endpoint, now);
     if (!tied.empty() && calls > fewest) continue;
     if (calls < fewest) tied.clear();
@@ -139,9 +139,9 @@
   return BreakTie(shard_request, tied);
 }
 
-// With key affinity an endpoint that met a key of late does less work for it, so the whole fleet sends a
-// key's requests in a cell to the same replica. A hot key's replica fills up, and the count of calls sends
-// on elsewhere.
+// With key affinity an endpoint that served a key recently does less work for it, so the whole fleet sends a
+// key's requests in a cell to the same replica. The replica of a hot key fills up, and its higher number of
+// calls in flight then directs requests to other replicas.
 EndpointState* EndpointSelector::BreakTie(const ShardRequest& shard_request,
                                           const std::vector<EndpointState*>& tied) {
   if (!settings_.key_affinity || shard_request.key == 0) {
@@ -154,7 +154,7 @@
   return *std::ranges::max_element(tied, {}, rank);
 }
 
-// Calls in flight at the endpoint if one more request were sent now: those of one round share calls.
+// Calls in flight at the endpoint if one more request were sent now. Requests of one round share calls.
 int EndpointSelector::CallsWithOneMore(const EndpointState& endpoint, Micros now) const {
   std::map<Micros, int> requests_by_round{{now, 1}};
   for (const auto& [key, sent_us] : endpoint.in_flight) ++requests_by_round[sent_us];
--- a/src/routing/endpoint_selector.h
+++ b/src/routing/endpoint_selector.h
@@ -1,5 +1,5 @@
-// Endpoint selection: which replica of its shard gets a shard request. Owned by one router; not thread-safe.
-// It sends nothing; that a probe request was chosen is recorded here.
+// Endpoint selection: decides which replica of its shard gets a shard request. Owned by one router; not
+// thread-safe. Sends nothing, but records the probe requests that it chooses.
 #ifndef LIFTRUDDER_ROUTING_ENDPOINT_SELECTOR_H_
 #define LIFTRUDDER_ROUTING_ENDPOINT_SELECTOR_H_
 
@@ -18,20 +18,20 @@
 
 namespace liftrudder::routing {
 
-// What the best replica of a shard would take for one more request.
+// The expected latency of one more request at the best replica of a shard.
 struct ExpectedLatency {
   double latency_us = 0;  // 0: no usable replica
   EndpointId endpoint;
 };
 
 struct Selection {
-  EndpointState* endpoint = nullptr;  // null: none may get the request now
-  Choice choice;                      // what the replicas were, for people
+  EndpointState* endpoint = nullptr;  // null: no replica may get the request now
+  Choice choice;                      // the state of the replicas, for diagnostics
 };
 
 class EndpointSelector {
  public:
-  // All must outlive it.
+  // All arguments must outlive the selector.
   EndpointSelector(const Settings& settings, EndpointTable& endpoints, ZoneHealth& zones,
                    const OutlierDetector& outliers, const SlowStart& slow_start,
                    const LatencyTracker& latency, Random& random)
@@ -43,17 +43,17 @@
         latency_(latency),
         random_(random) {}
 
-  // Of a replica that is not ejected, where there is one. Considered for each shard: even
-  // when the load of the fleet is low, the only replica left of one shard may be overloaded.
-  ExpectedLatency Expect(int shard) const;
+  // Ejected replicas count only where no other is usable. Estimated for each shard, since the only replica
+  // left of one shard may be overloaded even when the load of the fleet is low.
+  ExpectedLatency EstimateLatency(int shard) const;
 
-  // Chooses, in this order of preference: an ejected endpoint that is due a probe request; untried healthy
-  // ones; those in slow start beyond their share; ejected ones; ones tried before. A hedged request
-  // goes only to untried healthy endpoints or those in slow start.
+  // Chooses in this order of preference: an ejected endpoint whose probe request is due; untried healthy
+  // endpoints; untried endpoints in slow start beyond their share; ejected endpoints; endpoints tried before.
+  // A hedged request goes only to untried endpoints that are healthy or in slow start.
   Selection Select(const ShardRequest& shard_request, bool is_hedge, Micros now);
 
  private:
-  // Replicas by preference. Kept between calls, as a round selects often.
+  // Replicas by preference. Kept between calls to reuse the memory, as a round makes many selections.
   struct Groups {
     std::vector<EndpointState*> healthy;
     std::vector<EndpointState*> over_slow_start_share;
@@ -64,15 +64,15 @@
     void Clear();
   };
 
-  // Puts the replica into its group and says why it stands where it does.
+  // Adds the replica to its group and returns its eligibility.
   Eligibility Classify(EndpointState& replica, const ShardRequest& shard_request, Micros now);
   Eligibility ClassifyAvoided(EndpointState& replica, const ShardRequest& shard_request, bool was_tried,
                               Micros now);
   const std::vector<EndpointState*>* PreferredGroup(const ShardRequest& shard_request, bool is_hedge,
                                                     Micros now) const;
   void RecordProbe(EndpointState& replica, Micros now);
-  EndpointState* FewestInFlight(const ShardRequest& shard_request, const std::vector<EndpointState*>& among,
-                                Micros now);
+  EndpointState* FewestInFlight(const ShardRequest& shard_request,
+                                const std::vector<EndpointState*>& candidates, Micros now);
   EndpointState* BreakTie(const ShardRequest& shard_request, const std::vector<EndpointState*>& tied);
   int CallsWithOneMore(const EndpointState& endpoint, Micros now) const;
   ProbeClock Clock(Micros now) const { return {now, slow_start_.WarmRequests()}; }
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -6,12 +6,12 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kLossMemoryObjectives = 4;  // latency objectives after which a loss counts 1/e
+constexpr double kLossDecayObjectives = 4;  // latency objectives after which a loss counts 1/e
 constexpr double kElevatedLosses = 0.5;
-constexpr double kMaxLosses = 2;  // more are not counted, lest the precautions outlast them
+constexpr double kMaxLosses = 2;  // more are not counted, so that the precautions end soon after the losses
 
-// Removed from the list, and nothing is in flight there any more.
-bool IsForgettable(const EndpointState& state) {
+// Removed from the endpoint list, and no attempt is in flight there.
+bool CanBeErased(const EndpointState& state) {
   return state.endpoint.availability == Availability::kRemoved && state.in_flight.empty();
 }
 
@@ -34,13 +34,13 @@
       state.usable = false;
     }
   }
-  for (const Endpoint& endpoint : update.endpoints) ApplyOne(endpoint, slow_start, random, now);
-  std::erase_if(endpoints_, [](const auto& entry) { return IsForgettable(entry.second); });
+  for (const Endpoint& endpoint : update.endpoints) ApplyEndpoint(endpoint, slow_start, random, now);
+  std::erase_if(endpoints_, [](const auto& entry) { return CanBeErased(entry.second); });
   IndexReplicas();
 }
 
-void EndpointTable::ApplyOne(const Endpoint& endpoint, const SlowStart& slow_start, Random& random,
-                             Micros now) {
+void EndpointTable::ApplyEndpoint(const Endpoint& endpoint, const SlowStart& slow_start, Random& random,
+                                  Micros now) {
   bool known = endpoints_.contains(endpoint.id);
   EndpointState& state = endpoints_[endpoint.id];
   bool restarted = endpoint.started_us != state.endpoint.started_us;
@@ -81,7 +81,7 @@
 }
 
 void EndpointTable::DecayLosses(double elapsed_us, double min_latency_objective_us) {
-  recent_losses_ *= std::exp(-elapsed_us / (kLossMemoryObjectives * min_latency_objective_us));
+  recent_losses_ *= std::exp(-elapsed_us / (kLossDecayObjectives * min_latency_objective_us));
 }
 
 bool EndpointTable::LossesElevated() const { return recent_losses_ > kElevatedLosses; }
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,6 +1,6 @@
-// The endpoints that the coordinator knows: the endpoint list as last notified, the replicas of each shard,
-// and recent losses of endpoints. Owned by one router; not thread-safe. It polls no list (see
-// endpoint_list_poller.h) and judges no endpoint's health.
+// The endpoints that the coordinator knows: the latest endpoint list, the replicas of each shard, and recent
+// losses of endpoints. Owned by one router; not thread-safe. Neither polls the list (see
+// endpoint_list_poller.h) nor judges the health of endpoints.
 #ifndef LIFTRUDDER_ROUTING_ENDPOINT_TABLE_H_
 #define LIFTRUDDER_ROUTING_ENDPOINT_TABLE_H_
 
@@ -27,14 +27,14 @@
   auto operator<=>(const AttemptKey&) const = default;
 };
 
-// One endpoint with what each decision module keeps of it.
+// An endpoint with the state that each decision module keeps for it.
 struct EndpointState {
-  Endpoint endpoint;  // as last notified
+  Endpoint endpoint;  // its latest entry in the endpoint list
   std::size_t zone = 0;
   bool usable = false;                     // listed and ready
-  bool loss_counted = false;               // its process was lost unannounced
+  bool loss_counted = false;               // the unannounced loss of its process is counted
   std::map<AttemptKey, Micros> in_flight;  // send times
-  double latency_per_request_us = 0;       // for each of this coordinator's requests in flight; 0: not seen
+  double latency_per_request_us = 0;       // per request in flight of this coordinator; 0: not measured yet
   SlowStartState slow_start;
   OutlierState outlier;
   ConnectionState connection;
@@ -48,14 +48,14 @@
   // `settings` must outlive the table.
   explicit EndpointTable(const Settings& settings) : settings_(settings) {}
 
-  // Takes over an endpoint list. An endpoint with a new start time is a new process.
+  // Applies an endpoint list. An endpoint with a new start time is a new process.
   void Apply(const EndpointListUpdate& update, const SlowStart& slow_start, Random& random, Micros now);
 
   // Null when unknown.
   EndpointState* Find(const EndpointId& id);
   const EndpointState* Find(const EndpointId& id) const;
 
-  // All endpoints by id, those that are not usable included.
+  // All endpoints by id, including those that are not usable.
   std::map<EndpointId, EndpointState>& All() { return endpoints_; }
   const std::map<EndpointId, EndpointState>& All() const { return endpoints_; }
 
@@ -69,14 +69,14 @@
     }
   }
 
-  // The endpoint's process was lost unannounced; counted once for each process.
+  // Records that the endpoint's process was lost unannounced. Counted once for each process.
   void RecordLoss(EndpointState& state);
   void DecayLosses(double elapsed_us, double min_latency_objective_us);
-  // Endpoints were lost of late: a query that crashes endpoints may be about.
+  // Whether endpoints were lost recently, so that a poison query may be in circulation.
   bool LossesElevated() const;
 
  private:
-  void ApplyOne(const Endpoint& endpoint, const SlowStart& slow_start, Random& random, Micros now);
+  void ApplyEndpoint(const Endpoint& endpoint, const SlowStart& slow_start, Random& random, Micros now);
   void IndexReplicas();
 
   const Settings& settings_;
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -1,4 +1,4 @@
-// What the router is notified of: endpoint lists, queries, outcomes, timers. Plain data; decides nothing.
+// The events that the router handles: endpoint lists, queries, outcomes and timers. Plain data without logic.
 #ifndef LIFTRUDDER_ROUTING_EVENTS_H_
 #define LIFTRUDDER_ROUTING_EVENTS_H_
 
@@ -13,9 +13,9 @@
 
 enum class EndpointListKind {
   kDelta,   // entries that changed
-  kFull,    // all entries; what is missing was removed
-  kCached,  // all entries as retained from before, not fresh from the list service
-  kFailed,  // the list service did not answer, or a subscription broke; no entries
+  kFull,    // all entries; an endpoint that is missing was removed
+  kCached,  // all entries of a list known in advance, not from the list service
+  kFailed,  // no entries: the list service did not answer, or a subscription broke
 };
 
 struct EndpointListUpdate {
@@ -24,14 +24,15 @@
   std::vector<Endpoint> endpoints;
 };
 
-// A query. Its shard requests follow among the same events; those of its fetch phase come later, alone.
+// A query arrived. Its shard requests follow in the same round; those of its fetch phase arrive in a later
+// round without another QueryReceived.
 struct QueryReceived {
   Id id = 0;
-  std::int64_t number = 0;  // its shard requests carry the same
-  int shard_requests = 0;   // how many follow
+  std::int64_t number = 0;  // its shard requests carry the same number
+  int shard_requests = 0;   // how many shard requests follow
   int class_index = 0;      // into Settings::classes
   int tenant = 0;           // into Settings::tenants
-  bool is_retry = false;    // the client marked it as one
+  bool is_retry = false;    // the client marked it as a retry
   std::uint64_t key = 0;    // 0: none
   Micros timeout_remaining_us = 0;
   Micros work_us = 0;  // the client's estimate; 0: unknown
@@ -41,7 +42,7 @@
   Id id = 0;
   std::int64_t number = 0;  // of its query
   int shard = 0;
-  double weight = 0;      // coverage that its answer adds, within 0 and 1
+  double weight = 0;      // coverage that its answer adds, between 0 and 1
   std::uint64_t key = 0;  // for key affinity; 0: none
   Micros work_us = 0;     // the client's estimate; 0: unknown
 };
@@ -50,9 +51,9 @@
   kOk,
   kError,
   kOverloaded,  // the endpoint rejected it before it ran
-  kTimeout,     // by this side's clock
+  kTimeout,     // by the coordinator's clock
   kConnectFailed,
-  kReset,  // the connection was lost under it
+  kReset,  // the connection was lost while it was in flight
   kCancelled,
   kNotSent,  // cancelled before its first byte
 };
@@ -64,11 +65,11 @@
   EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
   Micros spent_us = 0;              // since its Send
-  bool shard_request_done = false;  // it gets no more outcomes
+  bool shard_request_done = false;  // the shard request gets no more outcomes
   std::vector<double> load;         // load report of the endpoint; empty: none
 };
 
-// On the simulator's wire; the router ignores it.
+// Part of the simulator's protocol; the router ignores it.
 struct HealthCheckFinished {
   EndpointId endpoint;
   AttemptOutcome code = AttemptOutcome::kOk;
@@ -76,17 +77,17 @@
   std::vector<double> load;
 };
 
-// No answer to the query can be delivered any more.
+// The query's client disconnected, so no answer can be delivered.
 struct ClientDisconnected {
   Id id = 0;
 };
 
-// A SetTimer has run out.
+// The timer of a SetTimer expired.
 struct TimerFired {
   std::uint64_t label = 0;
 };
 
-// On the simulator's wire; the router ignores it.
+// Part of the simulator's protocol; the router ignores it.
 struct GossipMessage {
   std::uint32_t from = 0;
   std::string text;
--- a/src/routing/hedging_policy.cpp
+++ b/src/routing/hedging_policy.cpp
@@ -5,20 +5,22 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kSuspectMedians = 1.5;  // median latencies in flight at a suspect endpoint that suffice
-constexpr double kMaxLoad = 0.6;         // above this load only requests at suspect endpoints are hedged
-// Hedges for each request received. As long as kWinsForAll of them answer first; below kWinsForNone next to
-// none, as slow requests are then work that waits, and a hedge adds to it.
+// Median latencies after which a request at a suspect endpoint is hedged.
+constexpr double kSuspectMedians = 1.5;
+constexpr double kMaxHedgingLoad = 0.6;  // from this load on, the hedge delay alone causes no hedge
+// Hedges allowed for each request received, if a share of kWinShareForFullBudget of the hedges is answered
+// first. At kWinShareForNoBudget the ratio is 0: slow requests are then waiting in queues, and a hedge only
+// adds to these.
 constexpr double kBudgetRatio = 0.10;
-constexpr double kWinsForAll = 0.9;
-constexpr double kWinsForNone = 0.5;
-constexpr double kRetention = 0.9;       // what a hedge counts after each newer one
-constexpr double kAssumedWins = 2;       // hedges assumed to have won
+constexpr double kWinShareForFullBudget = 0.9;
+constexpr double kWinShareForNoBudget = 0.5;
+constexpr double kHedgeRetention = 0.9;  // factor on the weight of a hedge for each newer one
+constexpr double kAssumedWins = 2;       // won hedges added to both counts
 constexpr double kWindowObjectives = 2;  // latency objectives in the budget's window
-constexpr double kStragglerRatio = 1.4;  // age over what most requests of the query took
-constexpr double kStragglerP90sToObjective =
-    2;  // hedged when no more 0.9 quantiles are left to the objective
-// Up to this load: a fleet that is slow as a whole is slow for all of a query's requests.
+constexpr double kStragglerRatio = 1.4;  // age of a straggler over the time that most requests took
+// A straggler is hedged when fewer 0.9 latency quantiles than this are left to the objective.
+constexpr double kStragglerP90sToObjective = 2;
+// Stragglers are hedged below this load: a fleet that is slow as a whole is slow for all requests of a query.
 constexpr double kMaxStragglerLoad = 1.0;
 
 }  // namespace
@@ -36,18 +38,18 @@
   if (static_cast<double>(query.deadline_us - now) < latency_.MedianUs()) return false;
   auto age_us = static_cast<double>(now - attempt.sent_us);
   if (EndpointSuspect(attempt)) return age_us > kSuspectMedians * latency_.MedianUs();
-  if (load < kMaxLoad && age_us > latency_.HedgeDelayUs()) return true;
+  if (load < kMaxHedgingLoad && age_us > latency_.HedgeDelayUs()) return true;
   return load < kMaxStragglerLoad && IsStraggler(query, attempt, now);
 }
 
-// A query that needs all of its requests waits for the last one, be the fleet calm or not.
+// A query that needs all of its requests waits for the last one at any load.
 bool HedgingPolicy::IsStraggler(const Query& query, const Attempt& attempt, Micros now) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
   if (query.mostly_answered_us <= 0 || cls.min_coverage < cls.complete_coverage) return false;
   auto age_us = static_cast<double>(now - attempt.sent_us);
-  auto most_took_us = static_cast<double>(query.mostly_answered_us - attempt.sent_us);
+  auto majority_latency_us = static_cast<double>(query.mostly_answered_us - attempt.sent_us);
   auto left_us = static_cast<double>(query.objective_at_us - now);
-  return age_us > kStragglerRatio * most_took_us && age_us > latency_.MedianUs() &&
+  return age_us > kStragglerRatio * majority_latency_us && age_us > latency_.MedianUs() &&
          left_us < kStragglerP90sToObjective * latency_.P90Us();
 }
 
@@ -61,15 +63,16 @@
 bool HedgingPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
   straggler_hedges_.DropBefore(now - window_us_);
   double won_share = (won_ + kAssumedWins) / (sent_ + kAssumedWins);
-  double ratio =
-      kBudgetRatio * std::clamp((won_share - kWinsForNone) / (kWinsForAll - kWinsForNone), 0.0, 1.0);
+  double ratio = kBudgetRatio * std::clamp((won_share - kWinShareForNoBudget) /
+                                               (kWinShareForFullBudget - kWinShareForNoBudget),
+                                           0.0, 1.0);
   auto received = static_cast<double>(arrivals.CountFrom(now - window_us_));
   return static_cast<double>(straggler_hedges_.Size()) < 1 + ratio * received;
 }
 
 void HedgingPolicy::RecordHedge(bool endpoint_suspect, Micros now) {
-  sent_ = kRetention * sent_ + 1;
-  won_ *= kRetention;
+  sent_ = kHedgeRetention * sent_ + 1;
+  won_ *= kHedgeRetention;
   if (!endpoint_suspect) straggler_hedges_.Add(now);
 }
 
--- a/src/routing/hedging_policy.h
+++ b/src/routing/hedging_policy.h
@@ -1,6 +1,6 @@
-// Hedged requests: when a second attempt of a shard request is due while the first is in flight, and how many
-// there may be. Owned by one router; not thread-safe. Where two attempts at once are not permitted the router
-// cancels the first instead and retries.
+// Hedged requests: decides when a second attempt of a shard request is due while the first is in flight, and
+// how many there may be. Owned by one router; not thread-safe. Where hedging is not allowed, the router
+// cancels the first attempt and retries instead.
 #ifndef LIFTRUDDER_ROUTING_HEDGING_POLICY_H_
 #define LIFTRUDDER_ROUTING_HEDGING_POLICY_H_
 
@@ -16,7 +16,7 @@
 
 class HedgingPolicy {
  public:
-  // All must outlive it.
+  // All arguments must outlive the policy.
   HedgingPolicy(const Settings& settings, const EndpointTable& endpoints, const ZoneHealth& zones,
                 const LatencyTracker& latency);
 
@@ -24,17 +24,17 @@
   // LoadEstimator::Load().
   bool IsDue(const Query& query, const Attempt& attempt, double load, Micros now) const;
 
-  // The attempt's endpoint is removed, ejected, or has answered requests that were sent well after this one,
-  // which is then lost.
+  // Whether the attempt's endpoint is draining, removed or ejected, or has answered requests sent well after
+  // this one, which it has then lost.
   bool EndpointSuspect(const Attempt& attempt) const;
 
-  // Whether there may be one more hedge of a straggler. Hedges for suspect endpoints need no budget.
+  // Whether the budget has room for one more hedge of a straggler. Hedges for suspect endpoints need none.
   // `arrivals`: queries and shard requests received.
   bool WithinBudget(const SlidingWindow& arrivals, Micros now);
 
-  // A hedge is sent; `endpoint_suspect`: as EndpointSuspect said of the first attempt.
+  // Records that a hedge is sent. `endpoint_suspect`: EndpointSuspect of the first attempt.
   void RecordHedge(bool endpoint_suspect, Micros now);
-  // A hedge answered before the first attempt.
+  // Records that a hedge was answered before the first attempt.
   void RecordWin() { ++won_; }
 
   // Length of the budget's window.
--- a/src/routing/latency_tracker.cpp
+++ b/src/routing/latency_tracker.cpp
@@ -6,19 +6,19 @@
 namespace liftrudder::routing {
 namespace {
 
-// A latency taken for granted before anything was observed, and the observations that it counts as.
+// A latency assumed before anything is observed, and the number of observations that it counts as.
 struct AssumedLatency {
   double objective_share;
   double observations;
 };
 constexpr std::array kAssumedLatencies = {AssumedLatency{1.0 / 8, 6}, AssumedLatency{1.0 / 4, 3},
                                           AssumedLatency{1.0 / 2, 2}};
-constexpr double kMemoryObjectives = 4;  // latency objectives after which an observation counts 1/e
+constexpr double kDecayObjectives = 4;  // latency objectives after which an observation counts 1/e
 constexpr double kBucketGrowth = 1.15;
 constexpr double kFirstBucketUs = 1000.0;
 constexpr double kHedgeQuantile = 0.95;
-constexpr double kFleetGain = 0.03;     // weight of the newest observation in the fleet's estimate
-constexpr double kEndpointGain = 0.15;  // and in one endpoint's, which sees fewer
+constexpr double kFleetGain = 0.03;     // weight of the latest observation in the fleet's estimate
+constexpr double kEndpointGain = 0.15;  // the same for one endpoint, which has fewer observations
 
 }  // namespace
 
@@ -29,9 +29,9 @@
 }
 
 void LatencyTracker::Decay(double elapsed_us) {
-  double keep = std::exp(-elapsed_us / (kMemoryObjectives * min_latency_objective_us_));
-  for (double& count : histogram_) count *= keep;
-  AddAssumed(1 - keep);
+  double decay_factor = std::exp(-elapsed_us / (kDecayObjectives * min_latency_objective_us_));
+  for (double& count : histogram_) count *= decay_factor;
+  AddAssumed(1 - decay_factor);
   median_us_ = Quantile(0.5);
   p90_us_ = Quantile(0.9);
   hedge_delay_us_ = Quantile(kHedgeQuantile);
--- a/src/routing/latency_tracker.h
+++ b/src/routing/latency_tracker.h
@@ -1,5 +1,5 @@
-// How long shard requests take of late, over the whole fleet: a decaying histogram and its quantiles.
-// It records what it is given and decides nothing. Owned by one router; not thread-safe.
+// Recent latencies of shard requests over the whole fleet: a decaying histogram and its quantiles. Makes no
+// decisions. Owned by one router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_LATENCY_TRACKER_H_
 #define LIFTRUDDER_ROUTING_LATENCY_TRACKER_H_
 
@@ -13,19 +13,19 @@
 class LatencyTracker {
  public:
   // Starts with assumed latencies, as shares of the shortest latency objective: without them a restarted
-  // coordinator would hedge every request and take every endpoint for unresponsive.
+  // coordinator would hedge every request and treat every endpoint as unresponsive.
   explicit LatencyTracker(double min_latency_objective_us);
 
-  // Ages all observations by `elapsed_us`, back towards the assumed ones, and computes the quantiles anew.
+  // Decays all observations by `elapsed_us` towards the assumed ones and recomputes the quantiles.
   void Decay(double elapsed_us);
 
-  // A successful answer of an endpoint that is not ejected.
+  // Records the latency of a successful answer of an endpoint that is not ejected.
   void Record(double latency_us);
 
-  // The same as latency for each request that was in flight at the endpoint, for endpoints past slow start.
+  // Records the same latency over the number of requests in flight at the endpoint. Only for warm endpoints.
   void RecordPerRequest(double latency_per_request_us);
 
-  // Moves an endpoint's own estimate, 0 when it has none, by one observation.
+  // Returns an endpoint's own estimate (0: none yet) updated by one observation.
   double UpdatedEndpointEstimateUs(double estimate_us, double latency_per_request_us) const;
 
   // Quantiles as of the last Decay.
@@ -33,7 +33,7 @@
   double P90Us() const { return p90_us_; }
   double HedgeDelayUs() const { return hedge_delay_us_; }  // a request in flight longer than this is late
 
-  // Latency that each request in flight at an endpoint costs, over all endpoints.
+  // Latency per request in flight at an endpoint, over all endpoints.
   double PerRequestUs() const { return per_request_us_; }
 
   // Assumed median latency before anything was observed.
--- a/src/routing/load_estimator.cpp
+++ b/src/routing/load_estimator.cpp
@@ -8,15 +8,15 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kSlowestOverMedian = 3;   // a query's slowest shard request takes about so many medians
-constexpr double kMemoryObjectives = 0.5;  // latency objectives after which an observation counts 1/e,
-                                           // or the gap between queries, where that is longer
-constexpr double kAssumedAnswers = 3;  // of the assumed latency, so that the first ones do not decide alone
-constexpr double kLatencySlope = 0.5;  // share of the latency for each request that one more adds
-constexpr double kGapGain = 0.3;       // weight of the newest gap between queries
+constexpr double kSlowestOverMedian = 3;  // a query's slowest shard request takes about this many medians
+constexpr double kDecayObjectives = 0.5;  // latency objectives after which an observation counts 1/e,
+                                          // or the gap between queries, where that is longer
+constexpr double kAssumedAnswers = 3;  // with the assumed latency, so that the first ones do not decide alone
+constexpr double kLatencySlope = 0.5;  // share of the latency per request that one more request adds
+constexpr double kGapGain = 0.3;       // weight of the latest gap between queries
 constexpr double kCutoffStartLoad = 0.8;
 constexpr double kCutoffFullLoad = 1.4;
-constexpr double kSheddingFullLoad = 2.0;  // the class of least value density is shed whole
+constexpr double kSheddingFullLoad = 2.0;  // all queries of the class with the least value density are shed
 
 double Ramp(double value, double from, double to) {
   return std::clamp((value - from) / (to - from), 0.0, 1.0);
@@ -27,11 +27,11 @@
 FleetLoad MeasureFleet(const EndpointTable& endpoints, const ZoneHealth& zones, const SlowStart& slow_start,
                        Micros now) {
   FleetLoad fleet;
-  for (bool with_ejected : {false, true}) {
+  for (bool include_ejected : {false, true}) {
     for (const auto& [id, state] : endpoints.All()) {
-      if (!state.usable || (zones.IsAvoided(state) && !with_ejected)) continue;
+      if (!state.usable || (zones.IsAvoided(state) && !include_ejected)) continue;
       fleet.requests_in_flight += static_cast<double>(state.in_flight.size());
-      fleet.capacity += slow_start.Fraction(state.endpoint, now);
+      fleet.capacity += slow_start.CapacityFraction(state.endpoint, now);
     }
     if (fleet.capacity > 0) break;
   }
@@ -48,23 +48,23 @@
 
 void LoadEstimator::RecordOutcome(AttemptOutcome outcome, bool endpoint_ejected) {
   bool rejected = outcome == AttemptOutcome::kOverloaded;
-  // A full endpoint rejects at once, but what it holds takes longer than the objective.
+  // A full endpoint rejects at once, but the requests that it holds take longer than the objective.
   if (rejected) time_in_flight_us_ += min_latency_objective_us_;
   bool answered = outcome == AttemptOutcome::kOk && !endpoint_ejected;
   if (answered || rejected) answers_this_round_ += 1;
 }
 
 void LoadEstimator::Update(const FleetLoad& fleet, double elapsed_us, double latency_per_request_us) {
-  double memory_us = std::max(kMemoryObjectives * min_latency_objective_us_, query_gap_us_);
-  double keep = std::exp(-elapsed_us / memory_us);
-  time_in_flight_us_ = keep * time_in_flight_us_ + fleet.requests_in_flight * elapsed_us;
-  answers_ = keep * answers_ + answers_this_round_;
+  double decay_us = std::max(kDecayObjectives * min_latency_objective_us_, query_gap_us_);
+  double decay_factor = std::exp(-elapsed_us / decay_us);
+  time_in_flight_us_ = decay_factor * time_in_flight_us_ + fleet.requests_in_flight * elapsed_us;
+  answers_ = decay_factor * answers_ + answers_this_round_;
   answers_this_round_ = 0;
   double in_flight = fleet.capacity > 0 ? fleet.requests_in_flight / fleet.capacity : 0;
   double slope_us = kLatencySlope * latency_per_request_us;
-  mean_in_flight_ = keep * mean_in_flight_ + (1 - keep) * in_flight;
+  mean_in_flight_ = decay_factor * mean_in_flight_ + (1 - decay_factor) * in_flight;
   double assumed_us = kAssumedAnswers * LatencyTracker::AssumedMedianUs(min_latency_objective_us_);
-  // What was just sent is not yet in the decayed sums: it adds by the slope.
+  // Requests that were just sent are not in the decayed sums yet, so the slope accounts for them.
   double latency_us = (time_in_flight_us_ + assumed_us) / (answers_ + kAssumedAnswers) +
                       slope_us * (in_flight - mean_in_flight_);
   load_ = std::max(latency_us, slope_us * (1 + in_flight)) * kSlowestOverMedian / min_latency_objective_us_;
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -6,21 +6,22 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kNormalSamples = 1.5;       // samples of normal latency that an endpoint starts with
-constexpr double kSampleRetention = 0.8;     // what a sample counts after each newer one
-constexpr double kSilenceHedgeDelays = 2.0;  // no reply for so many hedge delays: unresponsive
+constexpr double kPriorSamples = 1.5;     // samples at the median latency that an endpoint starts with
+constexpr double kSampleRetention = 0.8;  // factor on the weight of a sample for each newer one
+constexpr double kUnresponsiveHedgeDelays = 2.0;  // unresponsive after this many without a reply
 // Page's cumulative-sum (CUSUM) test: `failure_evidence` is a running log-likelihood ratio, kept at 0 or
-// above. A coordinator of a large fleet meets an endpoint seldom, so each outcome adds the log of how much
-// likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from any other.
+// above. In a large fleet a coordinator sends few requests to each endpoint, so each outcome adds the log of
+// how much likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from a usual
+// one.
 constexpr double kFaultyFailureRate = 0.5;
 constexpr double kEjectEvidence = 4;  // about two failures among five outcomes where few fail
 constexpr double kMaxEvidence = 4.5;
 constexpr double kReadmitEvidence = 4;         // a successful probe readmits only below this
 constexpr double kMinFleetFailureRate = 0.02;  // so that a few failures do not eject a good endpoint
 constexpr double kFleetFailureGain = 0.01;
-constexpr double kFirstProbeObjectives = 0.25;  // first probe after this many of the least latency objective
-constexpr double kSlowProbeRequests =
-    1.5;  // requests that a healthy endpoint gets between two probes of a slow one
+constexpr double kFirstProbeObjectives = 0.25;  // shortest latency objectives before the first probe
+// Requests that a healthy endpoint gets between two probes of a slow one.
+constexpr double kSlowProbeRequests = 1.5;
 constexpr double kFailingProbeRequests = 2;  // the same between two probes of a failing one
 constexpr double kProbeBackoffGrowth = 3;
 constexpr double kMaxProbeBackoff = 8;
@@ -39,16 +40,16 @@
   } else if (state.ejected) {
     ScheduleProbe(state, kProbeBackoffGrowth, clock);
   }
-  // Without a connection the process, or the way to it, is gone, whatever the endpoint list says.
+  // Without a connection the process or the network path to it is lost, whatever the endpoint list says.
   bool unreachable = outcome.code == AttemptOutcome::kConnectFailed || outcome.code == AttemptOutcome::kReset;
   bool unresponsive = unreachable || state.failure_evidence >= kEjectEvidence;
   bool slow =
-      state.log_latency_ratio_sum / (state.latency_samples + kNormalSamples) > std::log(kSlowLatencyRatio);
+      state.log_latency_ratio_sum / (state.latency_samples + kPriorSamples) > std::log(kSlowLatencyRatio);
   if (unresponsive || slow) Eject(state, unresponsive, clock);
 }
 
 void OutlierDetector::RecordFailureEvidence(OutlierState& state, bool failed) {
-  // Never as high as kFaultyFailureRate itself, or a failure would prove nothing.
+  // Kept below kFaultyFailureRate: at that rate a failure would be no evidence.
   double usual =
       std::clamp(fleet_failure_rate_, kMinFleetFailureRate, kFaultyFailureRate * kFaultyFailureRate);
   double ratio = failed ? kFaultyFailureRate / usual : (1 - kFaultyFailureRate) / (1 - usual);
@@ -65,7 +66,7 @@
     state.ejected = state.unresponsive = false;
     state.log_latency_ratio_sum = state.latency_samples = 0;
   } else if (state.ejected) {
-    // An answer in time while the evidence of failure still stands does not readmit it, but resets the
+    // While the failure evidence is high, an answer in time does not readmit the endpoint, but it resets the
     // backoff so that the next probe comes soon.
     ScheduleProbe(state, in_time ? 1 / kMaxProbeBackoff : kProbeBackoffGrowth, clock);
   }
@@ -78,7 +79,7 @@
 bool OutlierDetector::CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
                                       const ProbeClock& clock) const {
   auto age_us = static_cast<double>(clock.now - oldest_sent_us);
-  if (state.replied_us > oldest_sent_us || age_us <= kSilenceHedgeDelays * hedge_delay_us) return true;
+  if (state.replied_us > oldest_sent_us || age_us <= kUnresponsiveHedgeDelays * hedge_delay_us) return true;
   if (!state.ejected) Eject(state, true, clock);
   return false;
 }
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -1,5 +1,6 @@
 // Outlier detection: ejects endpoints that are slow, fail or do not reply, and readmits them through probe
-// requests. Owned by one router; not thread-safe. Does not choose endpoints; whole zones: zone_health.h.
+// requests. Owned by one router; not thread-safe. Does not choose endpoints; zone_health.h ejects whole
+// zones.
 #ifndef LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
 #define LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
 
@@ -11,30 +12,30 @@
 // An answer that took longer than this multiple of the fleet's median is slow.
 constexpr double kSlowLatencyRatio = 2.5;
 
-// What was observed of one endpoint.
+// Observations of one endpoint.
 struct OutlierState {
-  double log_latency_ratio_sum = 0;  // log of latency over the fleet's median, decayed
+  double log_latency_ratio_sum = 0;  // decayed sum of log(latency / median latency of the fleet)
   double latency_samples = 0;        // decayed count
   double failure_evidence = 0;       // log-likelihood ratio that it is faulty, kept at 0 or above (CUSUM)
-  Micros replied_us = 0;   // when an attempt last ended there, but for timeouts; a failed connect counts too
+  Micros replied_us = 0;   // when an attempt there last ended without a timeout; failed connects count
   Micros answered_us = 0;  // send time of the newest request that it answered
   bool ejected = false;
-  bool unresponsive = false;  // ejected, and not for being slow: it answers nothing of use
+  bool unresponsive = false;  // ejected because it is unreachable, fails or does not reply
   // A probe request is due once both have been reached: a time, and a value of SlowStart::WarmRequests.
   Micros probe_at_us = 0;
   double probe_at_warm_requests = 0;
   double probe_backoff = 1;
 
-  // The endpoint's process is a new one: the observations of the old one are void. `probe_backoff` is reset
-  // when it is next ejected.
+  // Discards the observations of the previous process. `probe_backoff` is reset when the endpoint is next
+  // ejected.
   void Restart() {
     log_latency_ratio_sum = latency_samples = failure_evidence = 0;
     ejected = unresponsive = false;
   }
 };
 
-// What probe requests are spaced by: time, and the traffic of a healthy endpoint. In a large fleet the probes
-// of all coordinators add up, so time alone would not bound their share.
+// Probe requests are spaced by time and by the traffic of a healthy endpoint. In a large fleet the probes of
+// all coordinators add up, so time alone would not bound their share of the traffic.
 struct ProbeClock {
   Micros now = 0;
   double warm_requests = 0;  // SlowStart::WarmRequests()
@@ -44,7 +45,7 @@
 struct EndpointOutcome {
   AttemptOutcome code = AttemptOutcome::kOk;
   Micros latency_us = 0;
-  bool endpoint_warm = true;  // an endpoint in slow start is slow by nature
+  bool endpoint_warm = true;  // false: in slow start, when a high latency is expected
 };
 
 class OutlierDetector {
@@ -56,17 +57,17 @@
   void RecordOutcome(OutlierState& state, const EndpointOutcome& outcome, double median_latency_us,
                      const ProbeClock& clock);
 
-  // Whether the endpoint is still responsive. When it has sent no reply since its oldest request in flight,
-  // and that request is older than kSilenceHedgeDelays hedge delays, it is not: it is ejected, unless it was
-  // before.
+  // Whether the endpoint is responsive. If it has sent no reply since its oldest request in flight was sent,
+  // and that request is older than kUnresponsiveHedgeDelays hedge delays, it is not, and is ejected unless it
+  // already was.
   bool CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
                        const ProbeClock& clock) const;
 
-  // A probe request to the ejected endpoint may be sent.
+  // Whether a probe request to the ejected endpoint may be sent.
   static bool ProbeDue(const OutlierState& state, const ProbeClock& clock);
-  // A probe request is being sent: the next one waits as long as this one did.
+  // Records that a probe request is sent. The next one waits as long as this one did.
   void RecordProbe(OutlierState& state, const ProbeClock& clock) const { ScheduleProbe(state, 1, clock); }
-  // The next request to the endpoint may be a probe: only its connection is in doubt.
+  // Lets the next request to the endpoint be a probe, as only its connection is suspect.
   static void AllowProbeNow(OutlierState& state);
 
  private:
--- a/src/routing/query_table.h
+++ b/src/routing/query_table.h
@@ -1,4 +1,4 @@
-// Queries in flight with their shard requests and attempts. A container: it decides nothing.
+// The queries in flight with their shard requests and attempts. A container without decisions.
 // Owned by one router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_QUERY_TABLE_H_
 #define LIFTRUDDER_ROUTING_QUERY_TABLE_H_
@@ -19,24 +19,24 @@
 struct Attempt {
   EndpointId endpoint;
   Micros sent_us = 0;
-  int in_flight_at_endpoint = 1;  // this coordinator's requests there, this one included
+  int in_flight_at_endpoint = 1;  // this coordinator's requests there, including this one
   bool in_flight = true;
   bool never_ran = false;  // proved by its outcome
   bool cancellation_requested = false;
-  bool endpoint_lost = false;                    // the connection was reset under it
+  bool endpoint_lost = false;                    // the connection was reset while it was in flight
   AttemptOutcome outcome = AttemptOutcome::kOk;  // once it is not in flight
 };
 
 struct ShardRequest {
   Id id = 0;
-  Id query = 0;  // 0: the query has ended, attempts may still be in flight
+  Id query = 0;  // 0: the query has ended, but attempts may still be in flight
   int shard = 0;
   double weight = 0;  // coverage that its answer adds
   std::uint64_t key = 0;
   bool answered = false;
-  bool selected = false;                         // not cut off
+  bool selected = false;                         // not dropped by the coverage cutoff
   PendingReason pending = PendingReason::kNone;  // as last reported
-  Micros idle_since_us = 0;                      // nothing in flight since then
+  Micros idle_since_us = 0;                      // no attempt in flight since then
   std::vector<Attempt> attempts;
 
   int InFlight() const;
@@ -46,28 +46,28 @@
   Id id = 0;
   std::int64_t number = 0;
   std::size_t class_index = 0;
-  Micros objective_at_us = 0;  // the latency objective ends
-  Micros deadline_us = 0;      // the client's patience ends
+  Micros objective_at_us = 0;  // end of the latency objective
+  Micros deadline_us = 0;      // end of the client's timeout
   double value_factor = 1;     // below 1: late, or over its tenant's quota
   int phase = 1;               // 2: fetch phase
   bool first_phase_complete = true;
-  bool cleared = false;     // an endpoint answered one of its shard requests and lives: no poison query
-  int endpoint_losses = 0;  // shard requests that were in flight at an endpoint when it was lost
+  bool known_safe = false;  // an endpoint answered one of its shard requests, so it is no poison query
+  int endpoint_losses = 0;  // attempts that were in flight at an endpoint when it was lost
 
-  // Of this phase:
+  // State of the current phase:
   bool dispatched = false;
-  int sent = 0;                      // shard requests
-  int answered = 0;                  // shard requests
-  double coverage = 0;               // weight answered
-  Micros last_first_attempt_us = 0;  // 0: none sent
-  Micros mostly_answered_us = 0;     // 0: not yet
+  int sent = 0;                        // shard requests
+  int answered = 0;                    // shard requests
+  double coverage = 0;                 // total weight of the answered shard requests
+  Micros latest_first_attempt_us = 0;  // 0: none sent; not reset by the fetch phase
+  Micros mostly_answered_us = 0;       // 0: not yet
   std::vector<Id> shard_requests;
 };
 
 class QueryTable {
  public:
   Query& Add(Query query);
-  // Adds the request to its query (`query.id`).
+  // Adds the request, whose `query` must be `query.id`.
   void AddShardRequest(Query& query, ShardRequest shard_request);
 
   Query* Find(Id id);
@@ -78,11 +78,11 @@
   const ShardRequest& ShardRequestAt(Id id) const { return shard_requests_.at(id); }
   void EraseShardRequest(Id id) { shard_requests_.erase(id); }
 
-  // Queries by id, those that ended in this round included.
+  // Queries by id, including those that ended in this round.
   std::map<Id, Query>& All() { return queries_; }
   bool Empty() const { return queries_.empty(); }
 
-  // The query has ended. Its entry stays until EraseEnded, as callers still hold it.
+  // Marks the query as ended. Its entry stays until EraseEnded, as callers still refer to it.
   void MarkEnded(const Query& query);
   bool HasEnded(Id id) const { return ended_.contains(id); }
   void EraseEnded();
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -10,11 +10,11 @@
 }
 
 PendingReason RetryPolicy::Forbids(const QueryClassSettings& cls, const ShardRequest& shard_request,
-                                   bool query_cleared, Micros now) const {
-  // A request that was in flight at an endpoint that crashed may have crashed it. Sent again freely, a few
-  // such requests take down all replicas of their shards.
+                                   bool query_known_safe, Micros now) const {
+  // A request that was in flight at an endpoint when it crashed may have caused the crash. With unlimited
+  // retries, a few such requests take down all replicas of their shards.
   bool endpoint_lost = std::ranges::any_of(shard_request.attempts, &Attempt::endpoint_lost);
-  if (endpoint_lost && !query_cleared) return PendingReason::kPoisonQuery;
+  if (endpoint_lost && !query_known_safe) return PendingReason::kPoisonQuery;
   if (static_cast<int>(shard_request.attempts.size()) >= settings_.max_attempts) {
     return PendingReason::kAttemptLimit;
   }
@@ -34,8 +34,8 @@
 
 bool RetryPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
   if (!settings_.has_retry_budget) return true;
-  // One round more for retries and one less for arrivals, so that the budget holds wherever the window of
-  // whoever checks it begins.
+  // Retries are counted over one round more than the window and arrivals over one round less, so that the
+  // budget holds wherever the window of a checker begins.
   Micros window_us = settings_.retry_budget_window_us;
   retries_.DropBefore(now - (window_us + settings_.decision_interval_us));
   auto received = static_cast<double>(arrivals.CountFrom(now - window_us + settings_.decision_interval_us));
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,5 +1,5 @@
-// Whether a shard request may be sent once more: idempotency, attempt limit, retry budget, poison queries.
-// Owned by one router; not thread-safe. It chooses neither time nor endpoint.
+// Decides whether a shard request may be retried: idempotency, attempt limit, retry budget, poison queries.
+// Owned by one router; not thread-safe. Chooses neither the time nor the endpoint.
 #ifndef LIFTRUDDER_ROUTING_RETRY_POLICY_H_
 #define LIFTRUDDER_ROUTING_RETRY_POLICY_H_
 
@@ -12,7 +12,7 @@
 
 namespace liftrudder::routing {
 
-// The outcome proves that the endpoint did not begin to work on the attempt.
+// Whether the outcome proves that the endpoint did not start to work on the attempt.
 bool ProvesNotRun(AttemptOutcome outcome);
 
 class RetryPolicy {
@@ -21,15 +21,15 @@
   explicit RetryPolicy(const Settings& settings)
       : settings_(settings), answer_margin_us_(AnswerMarginUs(settings)) {}
 
-  // Why the request must not be sent again, be there budget or not: kPoisonQuery, kAttemptLimit or
-  // kNotRepeatable; else kNone. `query_cleared`: Query::cleared, false for a query that has ended.
-  PendingReason Forbids(const QueryClassSettings& cls, const ShardRequest& shard_request, bool query_cleared,
-                        Micros now) const;
+  // Why the request must not be retried, regardless of the budget: kPoisonQuery, kAttemptLimit or
+  // kNotRepeatable; kNone if it may be. `query_known_safe`: Query::known_safe.
+  PendingReason Forbids(const QueryClassSettings& cls, const ShardRequest& shard_request,
+                        bool query_known_safe, Micros now) const;
 
   // Whether the retry budget has room for one more attempt. `arrivals`: queries and shard requests received.
   bool WithinBudget(const SlidingWindow& arrivals, Micros now);
 
-  // A second or later attempt of a shard request is sent.
+  // Records that a second or later attempt of a shard request is sent.
   void RecordAttempt(Micros now) { retries_.Add(now); }
 
  private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -65,12 +65,12 @@
   endpoints.DecayLosses(elapsed_us, min_latency_objective_us);
   latency.Decay(elapsed_us);
   zones.Update(endpoints, elapsed_us, latency.MedianUs(), now);
-  SurveyEndpoints();
+  ReviewEndpoints();
   load.Update(MeasureFleet(endpoints, zones, slow_start, now), elapsed_us, latency.PerRequestUs());
   admission.RefillQuotas(elapsed_us);
 }
 
-void Router::State::SurveyEndpoints() {
+void Router::State::ReviewEndpoints() {
   double warm_weight = 0;
   usable_endpoints = 0;
   avoided_endpoints = 0;
@@ -86,8 +86,9 @@
   slow_start.SetWarmWeight(warm_weight);
 }
 
-// An endpoint that answers nothing shows only by the age of what is in flight there. Where its connection may
-// have been dropped, the requests are sent elsewhere, and the next one there tells which it was.
+// Only the age of its requests in flight shows that an endpoint does not reply. If its connection may have
+// been dropped, they are cancelled so that they can be sent elsewhere, and the next request to the endpoint
+// shows whether the endpoint or the connection was at fault.
 void Router::State::CheckResponsive(EndpointState& endpoint) {
   if (endpoint.in_flight.empty()) return;
   Micros oldest_sent_us = endpoint.OldestSentUs(now);
@@ -104,7 +105,7 @@
 void Router::State::operator()(const EndpointListUpdate& update) {
   if (update.kind != EndpointListKind::kFailed) {
     endpoints.Apply(update, slow_start, random, now);
-    zones.CoverZones(endpoints);
+    zones.AddMissingZones(endpoints);
   }
   PollDecision poll = list_poller.OnUpdate(update.kind, random);
   if (poll.subscribe_now) actions->push_back(Subscribe{});
@@ -196,7 +197,7 @@
   double per_request_us = latency_us / attempt.in_flight_at_endpoint;
   if (!was_ejected) latency.Record(latency_us);
   if (!was_ejected && warm) latency.RecordPerRequest(per_request_us);
-  // Of an ejected one too: it may be the last replica of a shard.
+  // Updated for ejected endpoints too, as one may be the last replica of a shard.
   endpoint.latency_per_request_us =
       latency.UpdatedEndpointEstimateUs(endpoint.latency_per_request_us, per_request_us);
 }
@@ -204,7 +205,7 @@
 void Router::State::RecordAnswer(Query& query, ShardRequest& shard_request, int attempt) {
   shard_request.answered = true;
   if (attempt > 0 && shard_request.InFlight() > 0) hedging.RecordWin();
-  query.cleared = true;
+  query.known_safe = true;
   ++query.answered;
   if (query.mostly_answered_us == 0 && CompletionPolicy::MostlyAnswered(query)) {
     query.mostly_answered_us = now;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,5 +1,6 @@
-// The decisions of a query coordinator in front of a sharded, replicated store: events in, actions out.
-// No I/O, no clock and no global state. Which module decides what: docs/design/routing.md.
+// Makes the decisions of a query coordinator in front of a sharded, replicated store: takes events and
+// returns actions. Does no I/O, reads no clock and has no global state. docs/design/routing.md lists the
+// modules and what each decides.
 #ifndef LIFTRUDDER_ROUTING_ROUTER_H_
 #define LIFTRUDDER_ROUTING_ROUTER_H_
 
@@ -16,9 +17,9 @@
 
 namespace liftrudder::routing {
 
-// The router of one coordinator. Not thread-safe; instances share nothing. The same settings, seed and events
-// give the same actions. With settings that CheckSettings finds impossible it fails every query at once and
-// does nothing else.
+// The router of one coordinator. Not thread-safe; instances share no state. The same settings, seed and
+// events give the same actions. With settings that CheckSettings finds invalid it fails every query at once
+// and does nothing else.
 class Router {
  public:
   Router(const Settings& settings, std::uint64_t seed);
@@ -26,14 +27,14 @@
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  // Runs one round. All events happen at `now`, which must not go backwards; the actions appended take effect
-  // at `now`, in order. `pending`, where given, gets an entry for each shard request that is not sent, or not
-  // sent again, whenever the reason changes.
+  // Runs one round. `now` is the time of all events and must not go backwards. Appends to `actions`, which
+  // take effect at `now`, in order. If `pending` is given, appends an entry for each shard request that is
+  // not sent, or not retried, whenever the reason changes.
   void Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
               std::vector<PendingShardRequest>* pending = nullptr);
 
-  // How many listed endpoints the last round avoided: draining, ejected, or in an ejected zone. An ejected
-  // one still gets probe requests, and others where no healthy replica is left.
+  // Number of listed endpoints that the last round avoided: draining, ejected, or in an ejected zone. An
+  // ejected endpoint still gets probe requests, and other requests where no healthy replica is left.
   int Avoided() const;
 
  private:
--- a/src/routing/router_dispatch.cpp
+++ b/src/routing/router_dispatch.cpp
@@ -1,4 +1,4 @@
-// Router::State: which shard requests of a query are sent, and the send itself.
+// Router::State: selects the shard requests of a query that are sent, and sends them.
 #include <algorithm>
 #include <cstddef>
 
@@ -18,8 +18,7 @@
       SetPending(shard_request, {PendingReason::kCutoff, load.CutoffLevel(), shard_request.weight});
     }
     if (candidate.skipped == PendingReason::kEndpointLoad) {
-      SetPending(shard_request,
-                 {PendingReason::kEndpointLoad, candidate.latency_ratio, kHopelessLatencyRatio});
+      SetPending(shard_request, {PendingReason::kEndpointLoad, candidate.latency_ratio, kMaxLatencyRatio});
     }
   }
   if (query.phase == 1) {
@@ -47,7 +46,7 @@
     CutoffCandidate candidate;
     candidate.shard_request = &shard_request;
     if (time_left_us > 0) {
-      ExpectedLatency expected = selector.Expect(shard_request.shard);
+      ExpectedLatency expected = selector.EstimateLatency(shard_request.shard);
       candidate.latency_ratio = expected.latency_us / time_left_us;
       candidate.endpoint = expected.endpoint;
     }
@@ -59,7 +58,7 @@
 }
 
 void Router::State::SendShardRequest(Query& query, ShardRequest& shard_request, HedgeCause hedge) {
-  if (auto obstacle = FindObstacle(query, shard_request)) return SetPending(shard_request, *obstacle);
+  if (auto cause = FindPendingCause(query, shard_request)) return SetPending(shard_request, *cause);
   bool is_hedge = shard_request.InFlight() > 0;
   bool is_first = shard_request.attempts.empty();
   if (is_hedge && (!settings.hedging_allowed || shard_request.InFlight() > 1)) return;
@@ -73,7 +72,7 @@
   }
   EndpointState& endpoint = *selection.endpoint;
   DispatchReason reason;
-  reason.kind = KindOfSend(query, shard_request, selection, hedge);
+  reason.kind = ClassifyDispatch(query, shard_request, selection, hedge);
   reason.after = is_first ? AttemptOutcome::kOk : shard_request.attempts.back().outcome;
   reason.choice = selection.choice;
   RecordSend(query, shard_request, endpoint, hedge);
@@ -89,22 +88,22 @@
   actions->push_back(Send{shard_request.id, endpoint.endpoint.id, timeout_us, reason});
 }
 
-std::optional<Obstacle> Router::State::FindObstacle(const Query& query,
-                                                    const ShardRequest& shard_request) const {
+std::optional<PendingCause> Router::State::FindPendingCause(const Query& query,
+                                                            const ShardRequest& shard_request) const {
   constexpr double kUsPerSecond = 1e6;
   Micros left_us = query.deadline_us - now;
   if (left_us <= answer_margin_us) {
-    return Obstacle{PendingReason::kDeadline, static_cast<double>(left_us) / kUsPerSecond,
-                    static_cast<double>(answer_margin_us) / kUsPerSecond};
+    return PendingCause{PendingReason::kDeadline, static_cast<double>(left_us) / kUsPerSecond,
+                        static_cast<double>(answer_margin_us) / kUsPerSecond};
   }
   const QueryClassSettings& cls = settings.classes[query.class_index];
-  PendingReason forbidden = retries.Forbids(cls, shard_request, query.cleared, now);
+  PendingReason forbidden = retries.Forbids(cls, shard_request, query.known_safe, now);
   if (forbidden != PendingReason::kNone) {
-    return Obstacle{forbidden, static_cast<double>(shard_request.attempts.size()),
-                    static_cast<double>(settings.max_attempts)};
+    return PendingCause{forbidden, static_cast<double>(shard_request.attempts.size()),
+                        static_cast<double>(settings.max_attempts)};
   }
   if (shard_request.attempts.empty() && WaitsForCanary(query, CanaryState())) {
-    return Obstacle{PendingReason::kCanary};
+    return PendingCause{PendingReason::kCanary};
   }
   return std::nullopt;
 }
@@ -113,8 +112,8 @@
   return retries.WithinBudget(arrivals, now) && (!needs_hedge_budget || hedging.WithinBudget(arrivals, now));
 }
 
-DispatchKind Router::State::KindOfSend(const Query& query, const ShardRequest& shard_request,
-                                       const Selection& selection, HedgeCause hedge) const {
+DispatchKind Router::State::ClassifyDispatch(const Query& query, const ShardRequest& shard_request,
+                                             const Selection& selection, HedgeCause hedge) const {
   if (shard_request.InFlight() > 0) {
     return hedge == HedgeCause::kEndpointSuspect ? DispatchKind::kOutlierHedge
                                                  : DispatchKind::kStragglerHedge;
@@ -125,11 +124,11 @@
   return SendsCanary(query, CanaryState()) ? DispatchKind::kCanary : DispatchKind::kFirst;
 }
 
-// Must precede the new attempt's entries in the tables.
+// Must be called before the new attempt is entered in the tables.
 void Router::State::RecordSend(Query& query, const ShardRequest& shard_request, EndpointState& endpoint,
                                HedgeCause hedge) {
   if (shard_request.attempts.empty()) {
-    query.last_first_attempt_us = now;
+    query.latest_first_attempt_us = now;
     ++query.sent;
   } else {
     retries.RecordAttempt(now);
@@ -143,13 +142,13 @@
   slow_start.RecordSend(endpoint.slow_start, counts_as_warm);
 }
 
-// Reported when the reason changes, of requests that have nothing in flight.
-void Router::State::SetPending(ShardRequest& shard_request, const Obstacle& obstacle, const Choice& choice) {
-  if (pending != nullptr && shard_request.pending != obstacle.reason && shard_request.InFlight() == 0) {
-    pending->push_back({shard_request.id, obstacle.reason, static_cast<float>(obstacle.observed),
-                        static_cast<float>(obstacle.threshold), choice});
+// Reports the reason if it has changed and no attempt of the request is in flight.
+void Router::State::SetPending(ShardRequest& shard_request, const PendingCause& cause, const Choice& choice) {
+  if (pending != nullptr && shard_request.pending != cause.reason && shard_request.InFlight() == 0) {
+    pending->push_back({shard_request.id, cause.reason, static_cast<float>(cause.observed),
+                        static_cast<float>(cause.threshold), choice});
   }
-  shard_request.pending = obstacle.reason;
+  shard_request.pending = cause.reason;
 }
 
 }  // namespace liftrudder::routing
--- a/src/routing/router_review.cpp
+++ b/src/routing/router_review.cpp
@@ -1,4 +1,4 @@
-// Router::State: the review of queries in flight, once a round: retries, hedged requests, and their end.
+// Router::State: reviews the queries in flight once a round: retries, hedged requests and completion.
 #include <algorithm>
 #include <cstddef>
 
@@ -45,8 +45,8 @@
     SendShardRequest(query, shard_request, suspect ? HedgeCause::kEndpointSuspect : HedgeCause::kStraggler);
     return;
   }
-  // Two attempts at once are not allowed, so the attempt is cancelled, and retried once the cancellation is
-  // confirmed. Only if its endpoint is suspect: cancelling a mere straggler would waste the work done.
+  // Hedging is not allowed, so the attempt is cancelled, and the request is retried once the cancellation is
+  // confirmed. Only for a suspect endpoint: cancelling a straggler would waste the work already done.
   if (!suspect || attempt.cancellation_requested || !RetryWithinBudget(false)) return;
   if (selector.Select(shard_request, true, now).endpoint == nullptr) return;
   attempt.cancellation_requested = true;
@@ -57,7 +57,7 @@
 bool Router::State::CanStillBeAnswered(const Query& query, const ShardRequest& shard_request) const {
   if (shard_request.InFlight() > 0) return true;
   const QueryClassSettings& cls = settings.classes[query.class_index];
-  return retries.Forbids(cls, shard_request, query.cleared, now) == PendingReason::kNone;
+  return retries.Forbids(cls, shard_request, query.known_safe, now) == PendingReason::kNone;
 }
 
 void Router::State::AnswerQuery(Query& query, const Completion& decision) {
--- a/src/routing/router_state.h
+++ b/src/routing/router_state.h
@@ -1,5 +1,5 @@
-// The inside of Router: the decision modules with their state, and the order in which a round calls them.
-// Included by the router's own source files only. Not thread-safe.
+// The implementation of Router: the decision modules with their state, and the order in which a round calls
+// them. Included only by the router's source files. Not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_ROUTER_STATE_H_
 #define LIFTRUDDER_ROUTING_ROUTER_STATE_H_
 
@@ -30,17 +30,17 @@
 
 namespace liftrudder::routing {
 
-// Why a shard request is not sent, with the compared figures of PendingReason.
-struct Obstacle {
+// Why a shard request is not sent, with the compared values that PendingReason lists.
+struct PendingCause {
   PendingReason reason = PendingReason::kNone;
   double observed = 0;
   double threshold = 0;
 };
 
-// Why a shard request gets a hedge. Without meaning when no attempt of it is in flight.
+// Why a shard request gets a hedge. Ignored when no attempt of it is in flight.
 enum class HedgeCause : std::uint8_t { kStraggler, kEndpointSuspect };
 
-// The modules with their state. Combines their answers; its own few decisions are listed under `router` in
+// Holds the modules and combines their decisions. Its own few decisions are listed under `router` in
 // docs/design/routing.md.
 struct Router::State {
   State(const Settings& router_settings, std::uint64_t seed);
@@ -61,21 +61,21 @@
   void operator()(const HealthCheckFinished&) {}
   void operator()(const GossipMessage&) {}
 
-  // Once a round: what is known of the fleet.
+  // Once a round: estimates of the fleet's state.
   void UpdateEstimates();
-  void SurveyEndpoints();
+  void ReviewEndpoints();
   void CheckResponsive(EndpointState& endpoint);
 
-  // Sending.
+  // Dispatch.
   void DispatchQuery(Query& query);
   std::vector<CutoffCandidate> CandidatesByWeight(const Query& query);
   void SendShardRequest(Query& query, ShardRequest& shard_request, HedgeCause hedge = HedgeCause::kStraggler);
-  std::optional<Obstacle> FindObstacle(const Query& query, const ShardRequest& shard_request) const;
+  std::optional<PendingCause> FindPendingCause(const Query& query, const ShardRequest& shard_request) const;
   bool RetryWithinBudget(bool needs_hedge_budget);
-  DispatchKind KindOfSend(const Query& query, const ShardRequest& shard_request, const Selection& selection,
-                          HedgeCause hedge) const;
+  DispatchKind ClassifyDispatch(const Query& query, const ShardRequest& shard_request,
+                                const Selection& selection, HedgeCause hedge) const;
   void RecordSend(Query& query, const ShardRequest& shard_request, EndpointState& endpoint, HedgeCause hedge);
-  void SetPending(ShardRequest& shard_request, const Obstacle& obstacle, const Choice& choice = {});
+  void SetPending(ShardRequest& shard_request, const PendingCause& cause, const Choice& choice = {});
 
   // Outcomes.
   void RecordEndpointOutcome(EndpointState& endpoint, const AttemptFinished& finished,
@@ -117,13 +117,13 @@
   CompletionPolicy completion;
   EndpointListPoller list_poller;
 
-  SlidingWindow arrivals;  // queries and shard requests; what budgets are shares of
+  SlidingWindow arrivals;  // queries and shard requests; the base of the budgets
   Micros estimates_updated_us = 0;
   double usable_endpoints = 0;
   int avoided_endpoints = 0;  // listed, and draining, ejected or in an ejected zone
   bool round_timer_set = false;
 
-  // Of the round that runs; the pointers are valid during Handle only.
+  // State of the current round; the pointers are valid only during Handle.
   Micros now = 0;
   std::vector<Action>* actions = nullptr;
   std::vector<PendingShardRequest>* pending = nullptr;
--- a/src/routing/settings.cpp
+++ b/src/routing/settings.cpp
@@ -5,18 +5,18 @@
 namespace liftrudder::routing {
 namespace {
 
-// Decision rounds kept back before a deadline, so that an answer decided in time also arrives in time.
+// Decision rounds reserved before a deadline, so that an answer decided in time also arrives in time.
 constexpr double kAnswerMarginRounds = 3;
 
 }  // namespace
 
 double MinLatencyObjectiveUs(const Settings& settings) {
-  auto least_us = static_cast<double>(settings.classes.at(0).latency_objective_us);
+  auto min_objective_us = static_cast<double>(settings.classes.at(0).latency_objective_us);
   for (const QueryClassSettings& cls : settings.classes) {
     int phases = cls.fetch_phase_requests > 0 ? 2 : 1;
-    least_us = std::min(least_us, static_cast<double>(cls.latency_objective_us) / phases);
+    min_objective_us = std::min(min_objective_us, static_cast<double>(cls.latency_objective_us) / phases);
   }
-  return least_us;
+  return min_objective_us;
 }
 
 Micros AnswerMarginUs(const Settings& settings) {
--- a/src/routing/settings_validation.cpp
+++ b/src/routing/settings_validation.cpp
@@ -26,7 +26,7 @@
   if (cls.client_timeout_us < cls.latency_objective_us) {
     return InvalidSetting{SettingsRule::kTimeoutCoversObjective, "client_timeout_us", timeout_us, index};
   }
-  // Written so that NaN breaks the rule.
+  // Negated so that NaN is invalid.
   if (!(cls.min_coverage >= 0 && cls.min_coverage <= 1)) {
     return InvalidSetting{SettingsRule::kFraction, "min_coverage", cls.min_coverage, index};
   }
@@ -43,17 +43,17 @@
 std::string_view RuleText(SettingsRule rule) {
   switch (rule) {
     case SettingsRule::kClassRequired:
-      return "there must be at least one query class";
+      return "must hold at least one query class";
     case SettingsRule::kPositive:
-      return "must be above 0";
+      return "must be greater than 0";
     case SettingsRule::kAtLeastOne:
       return "must be 1 or more";
     case SettingsRule::kNotNegative:
       return "must be 0 or more";
     case SettingsRule::kFraction:
-      return "must be within 0 and 1";
+      return "must be between 0 and 1";
     case SettingsRule::kPositiveFraction:
-      return "must be above 0 and at most 1";
+      return "must be greater than 0 and at most 1";
     case SettingsRule::kTimeoutCoversObjective:
       return "must be at least latency_objective_us";
     case SettingsRule::kReachWithinCells:
--- a/src/routing/settings_validation.h
+++ b/src/routing/settings_validation.h
@@ -1,4 +1,5 @@
-// Which settings are impossible. Says nothing on whether they are wise.
+// Validation of the settings: finds values that cannot be used, and does not judge whether others are
+// sensible.
 #ifndef LIFTRUDDER_ROUTING_SETTINGS_VALIDATION_H_
 #define LIFTRUDDER_ROUTING_SETTINGS_VALIDATION_H_
 
@@ -18,13 +19,13 @@
   kPositive,                // above 0
   kAtLeastOne,              // 1 or more
   kNotNegative,             // 0 or more
-  kFraction,                // within 0 and 1
+  kFraction,                // between 0 and 1
   kPositiveFraction,        // above 0, at most 1
   kTimeoutCoversObjective,  // client_timeout_us is at least latency_objective_us
   kReachWithinCells,        // reach is at most cells
 };
 
-// One impossible setting: the field of Settings (or of a class), its value and the rule.
+// An invalid setting: its field in Settings (or in a class), its value and the rule that it breaks.
 struct InvalidSetting {
   SettingsRule rule = SettingsRule::kClassRequired;
   std::string_view setting;  // the field's name; a string literal
@@ -32,10 +33,10 @@
   std::optional<std::size_t> class_index;  // for a field of QueryClassSettings
 };
 
-// The first impossible setting; none when all can be used.
+// Returns the first invalid setting, or none if all are valid.
 std::optional<InvalidSetting> CheckSettings(const Settings& settings);
 
-// The same in a sentence for an operator.
+// Describes an invalid setting in a sentence for an operator.
 std::string Describe(const InvalidSetting& invalid);
 
 }  // namespace liftrudder::routing
--- a/src/routing/sliding_window.h
+++ b/src/routing/sliding_window.h
@@ -1,4 +1,4 @@
-// The times of recent occurrences, oldest first. Not thread-safe; it decides nothing.
+// The times of recent events, oldest first. Not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_SLIDING_WINDOW_H_
 #define LIFTRUDDER_ROUTING_SLIDING_WINDOW_H_
 
@@ -15,12 +15,12 @@
   // Times must not go backwards.
   void Add(Micros at_us) { times_us_.push_back(at_us); }
 
-  // Forgets what is older than `from_us`, so that the window's memory stays bounded.
+  // Drops the times before `from_us`, so that memory use stays bounded.
   void DropBefore(Micros from_us) {
     while (!times_us_.empty() && times_us_.front() < from_us) times_us_.pop_front();
   }
 
-  // How many occurrences were at `from_us` or later.
+  // Number of events at `from_us` or later.
   std::size_t CountFrom(Micros from_us) const {
     return static_cast<std::size_t>(times_us_.end() -
                                     std::lower_bound(times_us_.begin(), times_us_.end(), from_us));
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -5,12 +5,12 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kCollapseShare = 0.5;       // share of the collapse multiple that is never exceeded
-constexpr double kMaxAllowanceRequests = 2;  // that an account may hold
+constexpr double kCollapseShare = 0.5;       // share of the collapse multiple that the load may reach
+constexpr double kMaxAllowanceRequests = 2;  // that a token bucket may hold
 
 }  // namespace
 
-double SlowStart::Fraction(const Endpoint& endpoint, Micros now) const {
+double SlowStart::CapacityFraction(const Endpoint& endpoint, Micros now) const {
   if (endpoint.started_us == 0 || settings_.slow_start_us <= 0) return 1;
   double age = static_cast<double>(now - endpoint.started_us) / static_cast<double>(settings_.slow_start_us);
   if (age >= 1) return 1;
@@ -20,24 +20,26 @@
 void SlowStart::Start(SlowStartState& state, double initial_allowance, Micros now) const {
   state.share_allowance = initial_allowance;
   state.collapse_allowance = initial_allowance;
-  state.filled_us = now;
-  state.filled_at_warm_requests = warm_requests_;
+  state.refilled_us = now;
+  state.refilled_at_warm_requests = warm_requests_;
 }
 
 SlowStartAllowance SlowStart::Refill(SlowStartState& state, const Endpoint& endpoint,
                                      double median_latency_us, Micros now) const {
-  double fraction = Fraction(endpoint, now);
+  double fraction = CapacityFraction(endpoint, now);
   if (fraction >= 1 || settings_.collapse_window_us <= 0) return {};
-  // Traffic may be low because endpoints are missing: one request at a time, shared by the fleet, is allowed.
-  double least = static_cast<double>(now - state.filled_us) / (median_latency_us * settings_.fleet_size);
-  double warm_requests = std::max(warm_requests_ - state.filled_at_warm_requests, least);
-  double more = warm_requests * endpoint.weight * fraction;
+  // Traffic may be low because endpoints are missing, so the fleet as a whole may always send one request per
+  // median latency.
+  double min_warm_requests =
+      static_cast<double>(now - state.refilled_us) / (median_latency_us * settings_.fleet_size);
+  double warm_requests = std::max(warm_requests_ - state.refilled_at_warm_requests, min_warm_requests);
+  double added_allowance = warm_requests * endpoint.weight * fraction;
   double collapse_multiple = std::max(1.0, kCollapseShare * settings_.collapse_load_multiple);
-  state.filled_us = now;
-  state.filled_at_warm_requests = warm_requests_;
-  state.share_allowance = std::min(state.share_allowance + more, kMaxAllowanceRequests);
+  state.refilled_us = now;
+  state.refilled_at_warm_requests = warm_requests_;
+  state.share_allowance = std::min(state.share_allowance + added_allowance, kMaxAllowanceRequests);
   state.collapse_allowance =
-      std::min(state.collapse_allowance + more * collapse_multiple, kMaxAllowanceRequests);
+      std::min(state.collapse_allowance + added_allowance * collapse_multiple, kMaxAllowanceRequests);
   return {.within_share = state.share_allowance >= 1, .within_collapse_limit = state.collapse_allowance >= 1};
 }
 
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -1,4 +1,4 @@
-// Identifiers, times and endpoints, as all of the routing module names them. Plain data; decides nothing.
+// Identifiers, times and endpoints used throughout the routing module. Plain data without logic.
 #ifndef LIFTRUDDER_ROUTING_TYPES_H_
 #define LIFTRUDDER_ROUTING_TYPES_H_
 
@@ -7,10 +7,10 @@
 
 namespace liftrudder::routing {
 
-// A point in time or a span, in microseconds. The clock has no particular origin and does not go backwards.
+// A point in time or a duration, in microseconds. The clock is monotonic and has an arbitrary origin.
 using Micros = std::int64_t;
 
-// Identifies a query or a shard request, each unique among those in flight.
+// Identifies a query or a shard request. Ids are unique among the queries, or shard requests, in flight.
 using Id = std::uint32_t;
 
 struct EndpointId {
@@ -21,9 +21,9 @@
 };
 
 enum class Availability {
-  kRemoved,  // from the endpoint list
+  kRemoved,  // no longer in the endpoint list
   kReady,
-  kDraining,  // gets nothing new
+  kDraining,  // gets no new requests
 };
 
 // An entry of the endpoint list.
@@ -31,10 +31,10 @@
   EndpointId id;
   int zone = 0;
   int kind = 0;
-  int cell = 0;  // the shards that it holds, see Settings::cells
+  int cell = 0;  // determines the shards that it holds, see Settings::cells
   Availability availability = Availability::kReady;
   double weight = 1;      // capacity relative to the other endpoints
-  Micros started_us = 0;  // start of its process; 0: long ago
+  Micros started_us = 0;  // start time of its process; 0: long ago
 };
 
 }  // namespace liftrudder::routing
--- a/src/routing/zone_health.cpp
+++ b/src/routing/zone_health.cpp
@@ -8,12 +8,12 @@
 
 constexpr double kEjectOutcomes = 4;  // bad outcomes beyond kEjectRatio times the good ones
 constexpr double kEjectRatio = 2;
-constexpr double kMemoryObjectives = 1;  // latency objectives after which an outcome counts 1/e
-constexpr double kProbeObjectives = 1;   // latency objectives between probe requests to an ejected zone
+constexpr double kDecayObjectives = 1;  // latency objectives after which an outcome counts 1/e
+constexpr double kProbeObjectives = 1;  // latency objectives between probe requests to an ejected zone
 
 }  // namespace
 
-void ZoneHealth::CoverZones(const EndpointTable& endpoints) {
+void ZoneHealth::AddMissingZones(const EndpointTable& endpoints) {
   for (const auto& [id, state] : endpoints.All()) {
     if (state.zone >= zones_.size()) zones_.resize(state.zone + 1);
   }
@@ -21,10 +21,10 @@
 
 void ZoneHealth::Update(const EndpointTable& endpoints, double elapsed_us, double median_latency_us,
                         Micros now) {
-  double keep = std::exp(-elapsed_us / (kMemoryObjectives * min_latency_objective_us_));
+  double decay_factor = std::exp(-elapsed_us / (kDecayObjectives * min_latency_objective_us_));
   for (Zone& zone : zones_) {
-    zone.in_time *= keep;
-    zone.late_or_failed *= keep;
+    zone.in_time *= decay_factor;
+    zone.late_or_failed *= decay_factor;
     zone.overdue = 0;
   }
   for (const auto& [id, state] : endpoints.All()) {
@@ -34,13 +34,13 @@
       }
     }
   }
-  bool any_well = std::ranges::any_of(
+  bool any_healthy = std::ranges::any_of(
       zones_, [](const Zone& zone) { return zone.in_time > zone.late_or_failed + zone.overdue; });
   for (Zone& zone : zones_) {
     double bad = zone.late_or_failed + zone.overdue;
     bool stays_ejected = zone.ejected && bad >= zone.in_time;
     bool becomes_ejected = !zone.ejected && bad > kEjectOutcomes + kEjectRatio * zone.in_time;
-    zone.ejected = any_well && (stays_ejected || becomes_ejected);
+    zone.ejected = any_healthy && (stays_ejected || becomes_ejected);
     if (!zone.ejected) zone.probe_at_us = NextProbeUs(now);
   }
 }
