--- a/tests/routing/admission_test.cpp
+++ b/tests/routing/admission_test.cpp
@@ -5,7 +5,7 @@
 namespace liftrudder::routing {
 namespace {
 
-// It is no sign of a retry by a client that has waited.
+// A short timeout does not mean that a client has waited already and retries.
 TEST(Admission, ServesAQueryWithAShortTimeout) {
   Settings settings = BaseSettings();
   settings.classes[0].late_value_fraction = 0;
@@ -28,8 +28,8 @@
 
 TEST(Admission, SheddingBeginsWithTheBacklogAndEndsWithIt) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
-  harness.FillFleet(60);
+  harness.RunSequentialQueries(40);
+  harness.ReceiveUnansweredQueries(60);
   harness.ReceiveQuery(1, kCompleteOnly, {0.5, 0.5});
   ASSERT_EQ(harness.LastActions<Reject>().size(), 1u);
   EXPECT_GT(harness.LastActions<Reject>()[0].retry_after_us, 0);
@@ -39,12 +39,12 @@
   EXPECT_EQ(harness.AttemptCount(200), 1);
 }
 
-// The fleet is well, but the only replica of a shard is overloaded.
+// The fleet has little load, but the only replica of a shard is overloaded.
 TEST(Admission, ShedsOnlyQueriesThatNeedAnOverloadedShard) {
   Settings settings = BaseSettings();
   settings.reach = 1;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   for (int i = 0; i < 30; ++i) {
     harness.ReceiveQuery(harness.next_id++, kCompleteOnly, {1}, 3 * kLatencyObjective);  // shard 0 only
   }
--- a/tests/routing/canary_policy_test.cpp
+++ b/tests/routing/canary_policy_test.cpp
@@ -7,10 +7,10 @@
 namespace liftrudder::routing {
 namespace {
 
-// Endpoints restarted unannounced: a query that crashes them may be about.
+// Endpoints restarted unannounced, so a poison query may be in circulation.
 TEST(CanaryPolicy, SendsOneRequestFirstAfterLosses) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   harness.Handle(
       EndpointListUpdate{EndpointListKind::kDelta,
                          2,
@@ -29,12 +29,12 @@
   EXPECT_EQ(harness.AttemptCount(201) + harness.AttemptCount(202), 0);
 }
 
-// The first query that crashes endpoints is not foreseen.
+// The first query that crashes endpoints cannot be foreseen.
 TEST(CanaryPolicy, SendsAWideQueryOneByOneUntilARequestIsAnswered) {
   Settings settings = BaseSettings();
   settings.cells = settings.shards = 10;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.ReceiveQuery(1, kPartialAllowed, std::vector<double>(10, 0.1));
   EXPECT_EQ(harness.sent.size(), 1u);
   for (int i = 0; i < 12; ++i) harness.Advance(5 * kMs);
@@ -48,7 +48,7 @@
   Settings settings = BaseSettings();
   settings.cells = settings.shards = 10;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.ReceiveQuery(1, kPartialAllowed, std::vector<double>(10, 0.1), 250 * kMs);
   EXPECT_EQ(harness.sent.size(), 10u);
 }
--- a/tests/routing/completion_policy_test.cpp
+++ b/tests/routing/completion_policy_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(ends, 1);
 }
 
-TEST(CompletionPolicy, AnswersInPartOnlyFromTheMinimumCoverageOn) {
+TEST(CompletionPolicy, AnswersPartiallyOnlyFromTheMinimumCoverageOn) {
   RouterHarness harness;
   harness.ReceiveQuery(1, kPartialAllowed, {0.5, 0.3, 0.2});
   harness.now += 50 * kMs;
@@ -54,22 +54,22 @@
   EXPECT_TRUE(harness.LastActions<Answer>()[0].complete);
 }
 
-TEST(CompletionPolicy, AnswersInPartWithTimeLeftForTheWayToTheClient) {
+TEST(CompletionPolicy, AnswersPartiallyWithTimeLeftForDelivery) {
   Settings settings = BaseSettings();
-  settings.decision_interval_us = 1 * kMs;  // a margin of some rounds alone would be 3 ms
+  settings.decision_interval_us = 1 * kMs;  // the margin of three rounds alone would be 3 ms
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
-  Micros asked = harness.now;
+  harness.RunSequentialQueries(60);
+  Micros received_at_us = harness.now;
   harness.ReceiveQuery(1, kPartialAllowed, {0.5, 0.5}, 2 * kLatencyObjective);
   harness.now += 100 * kMs;
   harness.Finish(100, 0);
-  while (harness.LastActions<Answer>().empty() && harness.now < asked + kLatencyObjective) {
+  while (harness.LastActions<Answer>().empty() && harness.now < received_at_us + kLatencyObjective) {
     harness.Advance(1 * kMs);
   }
   ASSERT_EQ(harness.LastActions<Answer>().size(), 1u);
-  EXPECT_LE(harness.now, asked + kLatencyObjective * 98 / 100);
+  EXPECT_LE(harness.now, received_at_us + kLatencyObjective * 98 / 100);
   EXPECT_GE(harness.now,
-            asked + kLatencyObjective * 95 / 100);  // a request answered before that still counts
+            received_at_us + kLatencyObjective * 95 / 100);  // a request answered before that still counts
 }
 
 }  // namespace
--- a/tests/routing/connection_reuse_test.cpp
+++ b/tests/routing/connection_reuse_test.cpp
@@ -5,9 +5,9 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(ConnectionReuse, ARequestWithoutReplyOnAnIdleConnectionIsMovedAndIdleOnesAreClosedFromThenOn) {
+TEST(ConnectionReuse, CancelsARequestWithoutReplyOnAnIdleConnectionAndClosesIdleOnesFromThenOn) {
   RouterHarness harness;
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.now += 2000 * kMs;
   harness.ReceiveQuery(1, kCompleteOnly, {1}, 3 * kLatencyObjective);
   EXPECT_TRUE(harness.LastActions<Close>().empty());
@@ -24,14 +24,14 @@
   EXPECT_EQ(harness.LastActions<Close>().size(), 1u);
 }
 
-TEST(ConnectionReuse, ConnectionsKnownToLiveLongerAreNotClosedForOneUnresponsiveEndpoint) {
+TEST(ConnectionReuse, KeepsConnectionsKnownToSurviveLongerDespiteAnUnresponsiveEndpoint) {
   RouterHarness harness;
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.now += 2000 * kMs;
   harness.ReceiveQuery(1, kCompleteOnly, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
   harness.now += 100 * kMs;
   for (Id shard_request : {100, 102, 103}) {
-    harness.Finish(shard_request, 0);  // idle for 2 s and well; the fourth endpoint pauses
+    harness.Finish(shard_request, 0);  // idle for 2 s and working; the fourth endpoint does not reply
   }
   for (int i = 0; i < 300; ++i) {
     harness.Advance(5 * kMs);
@@ -39,7 +39,7 @@
       EXPECT_NE(cancel.reason, CancelReason::kDeadConnection);
     }
   }
-  EXPECT_GT(harness.AttemptCount(101), 1);  // hedged, as any late request
+  EXPECT_GT(harness.AttemptCount(101), 1);  // hedged, like any late request
   harness.FinishAll();
   harness.now += 1500 * kMs;
   harness.ReceiveQuery(2, kCompleteOnly, {0.25, 0.25, 0.25, 0.25});
--- a/tests/routing/coverage_cutoff_test.cpp
+++ b/tests/routing/coverage_cutoff_test.cpp
@@ -5,7 +5,7 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(CoverageCutoff, RestsAtZeroSoOnlyWeightlessRequestsStayUnsent) {
+TEST(CoverageCutoff, AtLevelZeroOnlyRequestsOfZeroWeightAreNotSent) {
   RouterHarness harness;
   harness.ReceiveQuery(1, kPartialAllowed, {0.7, 0.25, 0.05, 0.0});
   EXPECT_EQ(harness.sent.size(), 3u);
@@ -14,8 +14,8 @@
 
 TEST(CoverageCutoff, DropsTheLightestUnderLoadAndKeepsTheMinimumCoverage) {
   RouterHarness harness;
-  harness.RunCalmQueries(30);
-  harness.FillFleet(15);
+  harness.RunSequentialQueries(30);
+  harness.ReceiveUnansweredQueries(15);
   std::size_t before = harness.sent.size();
   harness.ReceiveQuery(1, kPartialAllowed, {0.1, 0.5, 0.15, 0.25});
   ASSERT_GT(harness.sent.size(), before);
--- a/tests/routing/endpoint_list_poller_test.cpp
+++ b/tests/routing/endpoint_list_poller_test.cpp
@@ -5,7 +5,7 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(EndpointListPoller, BacksOffAfterFailuresAndNeverBeyondTheDeadline) {
+TEST(EndpointListPoller, BacksOffAfterFailuresWithinTheDeadline) {
   Settings settings = BaseSettings();
   settings.subscription_required = true;
   settings.poll_deadline_us = 10 * kLatencyObjective;
--- a/tests/routing/endpoint_selector_test.cpp
+++ b/tests/routing/endpoint_selector_test.cpp
@@ -51,7 +51,7 @@
         EndpointListKind::kFull, 2, {RouterHarness::EndpointInCell(0), RouterHarness::EndpointInCell(0)}};
     update.endpoints[1].id.address = 9;
     harness.Handle(update);
-    // One goes to each endpoint, one call each; the others join either of these calls.
+    // The first two go to one endpoint each, in a call each; the others join either of these calls.
     std::vector<Event> events{QueryReceived{1, 1, 5, kCompleteOnly, 0, false, 0, 3 * kLatencyObjective, 0}};
     for (Id shard_request = 100; shard_request < 105; ++shard_request) {
       events.emplace_back(ShardRequestReceived{shard_request, 1, 0, 0.2, 0, 0});
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -7,9 +7,9 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(EndpointTable, AnEndpointThatWasRemovedAndReturnsStartsAnew) {
+TEST(EndpointTable, AnEndpointListedAgainAfterRemovalHasNoHistory) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   for (int errors = 0; errors < 2;) {
     Id id = harness.next_id++;
     harness.ReceiveQuery(id, kCompleteOnly, {1});
@@ -29,9 +29,9 @@
   EXPECT_TRUE(used.contains(RouterHarness::EndpointInCell(2).id));
 }
 
-TEST(EndpointTable, AnnouncedRestartsAreNoLosses) {
+TEST(EndpointTable, AnnouncedRestartsDoNotCountAsLosses) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   for (int cell : {0, 1}) {
     harness.Handle(EndpointListUpdate{
         EndpointListKind::kDelta, 2, {RouterHarness::EndpointInCell(cell, Availability::kDraining)}});
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -1,5 +1,5 @@
-// The routers of a hundred coordinators in front of the same endpoints, in virtual time: what each does alone
-// adds up at an endpoint, and is counted there.
+// Runs the routers of a hundred coordinators in front of the same endpoints, in virtual time. Each router
+// decides alone, but their requests add up at an endpoint, so they are counted there.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -48,7 +48,7 @@
   double failure_rate = 0;  // of shard requests
   std::vector<Micros> slot_free_us = std::vector<Micros>(kSlots, 0);
   std::vector<Micros> arrivals_us;  // of every shard request, cancelled ones too
-  Micros lost_at_us = 0;
+  Micros stopped_at_us = 0;
 };
 
 // Coordinators and endpoints; each coordinator is notified of a change up to half a second after it.
@@ -57,7 +57,7 @@
   Fleet(int endpoints, double load, std::uint64_t seed)
       : settings(FleetSettings(endpoints)), random(seed), load_(load) {
     EndpointListUpdate all{EndpointListKind::kFull, 1, {}};
-    // Neighbours by id are none by cell, so that the first few share no shard.
+    // Endpoints with consecutive ids are in distant cells, so that the first few share no shard.
     for (int i = 0; i < endpoints; ++i) all.endpoints.push_back(Add(i * 7 % endpoints).listed);
     for (int coordinator = 0; coordinator < kCoordinators; ++coordinator) {
       routers_.emplace_back(settings, seed * 1000 + coordinator);
@@ -71,14 +71,14 @@
     endpoint.listed = {id, 0, 0, cell, Availability::kReady, 1, started_us};
     return endpoint;
   }
-  // The endpoint stops, and attempts to connect to it fail. Return: it starts anew.
-  void Lose(FakeEndpoint& endpoint) {
+  // Stops the endpoint, so that attempts to connect to it fail. Restart() starts a new process.
+  void Stop(FakeEndpoint& endpoint) {
     endpoint.running = false;
-    endpoint.lost_at_us = now;
+    endpoint.stopped_at_us = now;
     endpoint.listed.availability = Availability::kRemoved;
     AnnounceToAll(endpoint);
   }
-  void Return(FakeEndpoint& endpoint) {
+  void Restart(FakeEndpoint& endpoint) {
     endpoint.running = true;
     endpoint.listed.availability = Availability::kReady;
     endpoint.listed.started_us = now;
@@ -105,8 +105,8 @@
     for (; now < end; now += kRoundUs) {
       for (; next_query_ < now; next_query_ += static_cast<Micros>(arrival_gap(random)) + 1) ReceiveQuery();
       std::map<int, std::vector<Event>> round;
-      for (; !due_.empty() && due_.top().at <= now; due_.pop()) {
-        round[due_.top().coordinator].push_back(due_.top().event);
+      for (; !scheduled_.empty() && scheduled_.top().at <= now; scheduled_.pop()) {
+        round[scheduled_.top().coordinator].push_back(scheduled_.top().event);
       }
       for (auto& [coordinator, events] : round) {
         std::vector<Action> actions;
@@ -124,17 +124,19 @@
   std::function<void(const FakeEndpoint&)> on_send = [](const FakeEndpoint&) {};
 
  private:
-  struct Due {
+  struct ScheduledEvent {
     Micros at;
     std::uint64_t order;
     int coordinator;
     Event event;
-    bool operator<(const Due& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+    bool operator<(const ScheduledEvent& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
+    }
   };
 
   double Unit() { return std::uniform_real_distribution<double>(0, 1)(random); }
   void Schedule(int coordinator, Micros at, Event event) {
-    due_.push({at, ++schedule_order_, coordinator, std::move(event)});
+    scheduled_.push({at, ++schedule_order_, coordinator, std::move(event)});
   }
 
   void ReceiveQuery() {
@@ -181,15 +183,15 @@
 
   double load_;
   std::vector<Router> routers_;
-  std::priority_queue<Due> due_;
+  std::priority_queue<ScheduledEvent> scheduled_;
   std::map<Id, int> attempts_;
   std::uint64_t schedule_order_ = 0, version_ = 1;
   Id last_id_ = 0;
   Micros next_query_ = kSecond;
 };
 
-// The most that came to an endpoint in slow start within a collapse window, as a multiple of what it can do
-// at the end of it.
+// The highest number of requests that an endpoint in slow start got within a collapse window, as a multiple
+// of its capacity at the end of the window.
 double WorstOverload(const Fleet& fleet, const FakeEndpoint& endpoint) {
   double worst = 0;
   for (std::size_t last = 0, first = 0; last < endpoint.arrivals_us.size(); ++last) {
@@ -218,32 +220,32 @@
 }  // namespace
 
 TEST_CASE(
-    "a third of the endpoints lost together and restarted does not collapse, and gets its share once warm") {
+    "a third of the endpoints, lost and restarted together, do not collapse and get their share once warm") {
   Fleet fleet(30, 0.6, GENERATE(1, 2));
   fleet.RunUntil(4 * kSecond);
   std::vector<FakeEndpoint*> zone;
   for (auto& [id, endpoint] : fleet.endpoints) {
     if (endpoint.listed.cell % 3 == 0) zone.push_back(&endpoint);
   }
-  for (FakeEndpoint* endpoint : zone) fleet.Lose(*endpoint);
+  for (FakeEndpoint* endpoint : zone) fleet.Stop(*endpoint);
   fleet.RunUntil(7 * kSecond);
-  for (FakeEndpoint* endpoint : zone) fleet.Return(*endpoint);
+  for (FakeEndpoint* endpoint : zone) fleet.Restart(*endpoint);
   fleet.RunUntil(20 * kSecond);
-  double all = 0, back = 0;
+  double all = 0, to_restarted = 0;
   for (auto& [id, endpoint] : fleet.endpoints) all += ArrivalsSince(endpoint, 18 * kSecond);
   for (FakeEndpoint* endpoint : zone) {
-    back += ArrivalsSince(*endpoint, 18 * kSecond);
+    to_restarted += ArrivalsSince(*endpoint, 18 * kSecond);
     INFO("cell " << endpoint->listed.cell);
     CHECK(WorstOverload(fleet, *endpoint) < fleet.settings.collapse_load_multiple);
     CHECK(ArrivalsSince(*endpoint, 7 * kSecond) > 0);
   }
-  CHECK(back > 0.8 * all / 3);
+  CHECK(to_restarted > 0.8 * all / 3);
   CHECK(fleet.complete > 0.98 * fleet.queries);
 }
 
 TEST_CASE(
-    "six in ten endpoints replaced within seven seconds: nothing sent to removed ones, none collapses") {
-  // The least of 36 is a matter of chance, so it is judged over four seeds.
+    "with six in ten endpoints replaced in seven seconds, removed ones get nothing and none collapses") {
+  // The least over 36 endpoints varies by chance, so it is summed over four seeds.
   double least_sum = 0, mean_sum = 0;
   for (std::uint64_t seed : {1, 2, 3, 4}) {
     Fleet fleet(60, 0.5, seed);
@@ -255,15 +257,15 @@
     std::ranges::shuffle(replaced, fleet.random);
     int sent_to_removed = 0;
     fleet.on_send = [&](const FakeEndpoint& endpoint) {
-      sent_to_removed += !endpoint.running && fleet.now > endpoint.lost_at_us + kSecond;
+      sent_to_removed += !endpoint.running && fleet.now > endpoint.stopped_at_us + kSecond;
     };
     std::vector<FakeEndpoint*> replacements;
     for (std::size_t i = 0; i < replaced.size(); ++i) {
       fleet.RunUntil(4 * kSecond +
                      static_cast<Micros>(i) * 7 * kSecond / static_cast<Micros>(replaced.size()));
       replacements.push_back(&fleet.Add(fleet.endpoints.at(replaced[i]).listed.cell));
-      fleet.Return(*replacements.back());
-      fleet.Lose(fleet.endpoints.at(replaced[i]));
+      fleet.Restart(*replacements.back());
+      fleet.Stop(fleet.endpoints.at(replaced[i]));
     }
     fleet.RunUntil(22 * kSecond);
     CHECK(sent_to_removed == 0);
@@ -283,46 +285,47 @@
 
 namespace {
 
-constexpr std::uint32_t kFaulty = 3;  // the first endpoints fail; the others are healthy
+constexpr std::uint32_t kFaulty = 3;  // this many first endpoints fail; the others are healthy
 
-// Shard requests that came to each in the last ten seconds, against what a healthy one got in the mean.
+// Shard requests that each endpoint got in the last ten seconds, relative to the mean of the healthy ones.
 struct ArrivalShares {
   explicit ArrivalShares(const Fleet& fleet) {
     double healthy = 0, fewest = 1e9;
     for (const auto& [id, endpoint] : fleet.endpoints) {
-      arrivals_us[id.address] = ArrivalsSince(endpoint, fleet.now - 10 * kSecond);
+      relative_arrivals[id.address] = ArrivalsSince(endpoint, fleet.now - 10 * kSecond);
       if (id.address <= kFaulty) continue;
-      healthy += arrivals_us[id.address] / (fleet.settings.cells - kFaulty);
-      fewest = std::min(fewest, arrivals_us[id.address]);
+      healthy += relative_arrivals[id.address] / (fleet.settings.cells - kFaulty);
+      fewest = std::min(fewest, relative_arrivals[id.address]);
     }
-    for (auto& [address, shard_requests] : arrivals_us) shard_requests /= healthy;
+    for (auto& [address, shard_requests] : relative_arrivals) shard_requests /= healthy;
     least_healthy = fewest / healthy;
   }
-  std::map<std::uint32_t, double> arrivals_us;
+  std::map<std::uint32_t, double> relative_arrivals;
   double least_healthy;
 };
 
 }  // namespace
 
-// A coordinator meets each endpoint twice in five seconds.
-TEST_CASE("endpoints that fail are ejected by coordinators that meet them seldom, healthy ones are not") {
-  double usual = GENERATE(0.02, 0.12);
+// A coordinator sends about two requests to each endpoint in five seconds.
+TEST_CASE("coordinators with few requests per endpoint eject failing endpoints and no healthy ones") {
+  double baseline_rate = GENERATE(0.02, 0.12);
   const double faulty_rates[kFaulty] = {0.5, 0.9, 1.0};
   Fleet fleet(30, 0.4, 1);
   for (auto& [id, endpoint] : fleet.endpoints) {
-    endpoint.failure_rate = id.address <= kFaulty ? faulty_rates[id.address - 1] : usual;
+    endpoint.failure_rate = id.address <= kFaulty ? faulty_rates[id.address - 1] : baseline_rate;
   }
   fleet.RunUntil(31 * kSecond);
   ArrivalShares during(fleet);
-  INFO("usual " << usual << ": " << during.arrivals_us[1] << " " << during.arrivals_us[2] << " "
-                << during.arrivals_us[3]);
-  CHECK(during.arrivals_us[1] < 0.5);
-  CHECK(during.arrivals_us[2] < 0.3);
-  CHECK(during.arrivals_us[3] < 0.25);
+  INFO("baseline_rate " << baseline_rate << ": " << during.relative_arrivals[1] << " "
+                        << during.relative_arrivals[2] << " " << during.relative_arrivals[3]);
+  CHECK(during.relative_arrivals[1] < 0.5);
+  CHECK(during.relative_arrivals[2] < 0.3);
+  CHECK(during.relative_arrivals[3] < 0.25);
   CHECK(during.least_healthy > 0.6);
-  for (auto& [id, endpoint] : fleet.endpoints) endpoint.failure_rate = usual;
+  for (auto& [id, endpoint] : fleet.endpoints) endpoint.failure_rate = baseline_rate;
   fleet.RunUntil(76 * kSecond);
   ArrivalShares after(fleet);
-  INFO("after: " << after.arrivals_us[1] << " " << after.arrivals_us[2] << " " << after.arrivals_us[3]);
-  for (std::uint32_t i = 1; i <= kFaulty; ++i) CHECK(after.arrivals_us[i] > 0.75);
+  INFO("after: " << after.relative_arrivals[1] << " " << after.relative_arrivals[2] << " "
+                 << after.relative_arrivals[3]);
+  for (std::uint32_t i = 1; i <= kFaulty; ++i) CHECK(after.relative_arrivals[i] > 0.75);
 }
--- a/tests/routing/hedging_policy_test.cpp
+++ b/tests/routing/hedging_policy_test.cpp
@@ -9,17 +9,17 @@
 
 TEST(HedgingPolicy, HedgesARequestThatTakesFarLongerThanOthers) {
   RouterHarness harness;
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.ReceiveQuery(1, kCompleteOnly, {1});
   for (int i = 0; i < 150 && harness.AttemptCount(100) < 2; ++i) harness.Advance(5 * kMs);
   ASSERT_EQ(harness.AttemptCount(100), 2);
   EXPECT_NE(harness.EndpointOf(100, 0), harness.EndpointOf(100, 1));
 }
 
-// The endpoint took the request and lost it.
+// The endpoint accepted the request and lost it.
 TEST(HedgingPolicy, HedgesARequestWhoseEndpointAnsweredLaterOnes) {
   RouterHarness harness;
-  harness.RunCalmQueries(60, 250 * kMs);  // busy: only requests at suspect endpoints are hedged
+  harness.RunSequentialQueries(60, 250 * kMs);  // load at which only requests at suspect endpoints are hedged
   harness.ReceiveQuery(1, kCompleteOnly, {1}, 3 * kLatencyObjective);
   EndpointId lossy = harness.EndpointOf(100);
   // Later requests to the same endpoint are answered; the first is not.
@@ -42,8 +42,8 @@
   for (int cls : {kCompleteOnly, kPartialAllowed}) {
     RouterHarness harness;
     for (int i = 0; i < 12; ++i) {
-      harness.RunCalmQueries(4);
-      harness.RunCalmQueries(1, 900 * kMs);
+      harness.RunSequentialQueries(4);
+      harness.RunSequentialQueries(1, 900 * kMs);
     }
     harness.ReceiveQuery(1, cls, {0.2, 0.2, 0.2, 0.2, 0.2});
     harness.now += 100 * kMs;
@@ -53,11 +53,11 @@
   }
 }
 
-TEST(HedgingPolicy, WithoutHedgesCancelsAtASuspectEndpointFirstAndThenRetries) {
+TEST(HedgingPolicy, WithoutHedgingCancelsAtASuspectEndpointAndThenRetries) {
   Settings settings = BaseSettings();
   settings.hedging_allowed = false;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.ReceiveQuery(1, kCompleteOnly, {1}, 3 * kLatencyObjective);
   EndpointId unresponsive = harness.EndpointOf(100);
   std::vector<Cancel> cancels;
@@ -76,13 +76,13 @@
   EXPECT_NE(harness.EndpointOf(100, 1), unresponsive);
 }
 
-// Runs rounds of queries of which one shard request is slow; returns how many of these were hedged.
-// `hedge_wins`: the hedge answers before the first attempt.
+// Runs rounds of queries in which one shard request is slow, and returns how many of these were hedged.
+// `hedge_wins`: the hedge is answered before the first attempt.
 int CountHedges(bool hedge_wins) {
   Settings settings = BaseSettings();
   settings.cells = settings.reach = settings.shards = 20;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   int hedges = 0;
   for (int round = 0; round < 30; ++round) {
     Id slow = harness.next_id * 100;
@@ -103,8 +103,8 @@
   return hedges;
 }
 
-// Slow requests are then work that waits, and a hedge adds to it.
-TEST(HedgingPolicy, SendsFewHedgesWhereTheFirstAttemptsAnswerAllTheSame) {
+// Slow requests are then waiting in queues, and a hedge only adds to these.
+TEST(HedgingPolicy, SendsFewHedgesWhenFirstAttemptsAreAnsweredFirst) {
   EXPECT_GE(CountHedges(true), 25);
   EXPECT_LE(CountHedges(false), 10);
 }
--- a/tests/routing/load_estimator_test.cpp
+++ b/tests/routing/load_estimator_test.cpp
@@ -7,10 +7,10 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(LoadEstimator, AFewRequestsInFlightAtEachEndpointAreNoOverload) {
+TEST(LoadEstimator, AFewRequestsInFlightAtEachEndpointDoNotCountAsOverload) {
   RouterHarness harness;
-  harness.RunCalmQueries(60);
-  harness.FillFleet(3);
+  harness.RunSequentialQueries(60);
+  harness.ReceiveUnansweredQueries(3);
   harness.ReceiveQuery(1, kPartialAllowed, {0.1, 0.4, 0.25, 0.25});
   EXPECT_EQ(harness.AttemptCount(100), 1);
 }
@@ -33,11 +33,11 @@
   EXPECT_GT(unsent, 0);
 }
 
-// They end in a millisecond, and would make the fleet look fast.
+// Rejections arrive within a millisecond, and would make the fleet look fast.
 TEST(LoadEstimator, RequestsRejectedByFullEndpointsRaiseTheLoad) {
   for (AttemptOutcome code : {AttemptOutcome::kOverloaded, AttemptOutcome::kOk}) {
     RouterHarness harness;
-    harness.RunCalmQueries(10);
+    harness.RunSequentialQueries(10);
     for (Id id = 1; id <= 8; ++id) {
       harness.ReceiveQuery(id, kCompleteOnly, {1});
       for (int attempt = 0; attempt < harness.AttemptCount(id * 100); ++attempt) {
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -5,9 +5,9 @@
 namespace liftrudder::routing {
 namespace {
 
-TEST(OutlierDetector, EjectsAnUnresponsiveEndpointButForProbes) {
+TEST(OutlierDetector, SendsOnlyProbesToAnUnresponsiveEndpoint) {
   RouterHarness harness;
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   harness.ReceiveQuery(1, kCompleteOnly, {1});
   EndpointId unresponsive = harness.EndpointOf(100);
   auto stuck = harness.in_flight;
@@ -26,10 +26,10 @@
   EXPECT_LE(to_unresponsive, 10);  // a fair share is 50
 }
 
-// It has nothing in flight, so it would draw every request.
+// An endpoint that fails fast has nothing in flight, so it would attract every request.
 TEST(OutlierDetector, EjectsAnEndpointThatFailsFast) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   int to_faulty = 0;
   for (int i = 0; i < 60; ++i) {
     harness.ReceiveQuery(harness.next_id++, kCompleteOnly, {1});
@@ -44,9 +44,9 @@
   EXPECT_LE(to_faulty, 6);
 }
 
-TEST(OutlierDetector, OneAnswerAmongErrorsIsNoRecovery) {
+TEST(OutlierDetector, OneAnswerAmongErrorsDoesNotReadmit) {
   RouterHarness harness;
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   int to_faulty = 0;
   for (int i = 0; i < 200; ++i) {
     harness.ReceiveQuery(harness.next_id++, kCompleteOnly, {1});
@@ -67,7 +67,7 @@
   settings.cancellation_allowed = false;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     RouterHarness harness(settings, seed);
-    harness.RunCalmQueries(60);
+    harness.RunSequentialQueries(60);
     harness.ReceiveQuery(1, kCompleteOnly, {1}, 3 * kLatencyObjective);
     EndpointId unresponsive = harness.EndpointOf(100);
     for (int i = 0; i < 150; ++i) harness.Advance(5 * kMs);
@@ -79,13 +79,13 @@
   }
 }
 
-// It comes from the own clock and says nothing of the endpoint.
-TEST(OutlierDetector, ATimeoutIsNoSignOfLife) {
+// A timeout comes from the coordinator's own clock and says nothing about the endpoint.
+TEST(OutlierDetector, ATimeoutDoesNotCountAsAReply) {
   Settings settings = BaseSettings();
   settings.cells = settings.reach = settings.shards = 2;
   settings.hedging_allowed = settings.cancellation_allowed = false;
   RouterHarness harness(settings);
-  harness.RunCalmQueries(60);
+  harness.RunSequentialQueries(60);
   for (Id id = 1; id <= 6; ++id) harness.ReceiveQuery(id, kCompleteOnly, {1}, 3 * kLatencyObjective);
   harness.now += 100 * kMs;
   auto keys = harness.in_flight;
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(harness.sent.size(), 8u);
 }
 
-// It may have crashed the endpoint and would crash the next one.
+// The request may have crashed the endpoint and would crash the next one.
 TEST(RetryPolicy, DoesNotRepeatARequestThatWasInFlightAtALostEndpoint) {
   RouterHarness harness;
   harness.ReceiveQuery(1, kCompleteOnly, {1});
@@ -60,7 +60,7 @@
   EXPECT_EQ(harness.AttemptCount(100), 1);
 }
 
-TEST(RetryPolicy, RepeatsALostRequestOnceItsQueryIsCleared) {
+TEST(RetryPolicy, RepeatsALostRequestOnceItsQueryIsKnownSafe) {
   RouterHarness harness;
   harness.ReceiveQuery(1, kCompleteOnly, {0.5, 0.5});
   harness.now += 20 * kMs;
--- a/tests/routing/router_harness.h
+++ b/tests/routing/router_harness.h
@@ -1,4 +1,4 @@
-// Drives one router through its interface, in virtual time, and keeps what it sent. Shared by the tests of
+// Drives one router through its interface, in virtual time, and records what it sends. Shared by the tests of
 // the decision modules. Single-threaded.
 #ifndef LIFTRUDDER_TESTS_ROUTING_ROUTER_HARNESS_H_
 #define LIFTRUDDER_TESTS_ROUTING_ROUTER_HARNESS_H_
@@ -74,16 +74,16 @@
   }
 
   std::vector<Action> Handle(const std::vector<Event>& events) {
-    last.clear();
-    router.Handle(now, events, last);
-    for (const Action& action : last) {
+    round_actions.clear();
+    router.Handle(now, events, round_actions);
+    for (const Action& action : round_actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         int attempt = attempts[send->shard_request]++;
         sent.push_back({*send, attempt});
         in_flight[{send->shard_request, attempt}] = {send->endpoint, now};
       }
     }
-    return last;
+    return round_actions;
   }
   std::vector<Action> Handle(const Event& event) { return Handle(std::vector<Event>{event}); }
 
@@ -121,8 +121,9 @@
     for (const auto& [key, value] : attempts_now) Finish(key.shard_request, key.attempt, code);
   }
 
-  // A calm history: queries with one shard request, one after the other, each taking `latency_us`.
-  void RunCalmQueries(int queries, Micros latency_us = 100 * kMs) {
+  // Runs queries with one shard request one after another, each taking `latency_us`, as a history at low
+  // load.
+  void RunSequentialQueries(int queries, Micros latency_us = 100 * kMs) {
     for (int i = 0; i < queries; ++i) {
       ReceiveQuery(next_id, kCompleteOnly, {1});
       ++next_id;
@@ -132,26 +133,27 @@
     sent.clear();
   }
 
-  // Queries whose shard requests stay in flight.
-  void FillFleet(int queries) {
+  // Receives queries whose shard requests stay in flight.
+  void ReceiveUnansweredQueries(int queries) {
     for (int i = 0; i < queries; ++i) {
       ReceiveQuery(next_id++, kCompleteOnly, {0.25, 0.25, 0.25, 0.25}, 3 * kLatencyObjective);
     }
   }
 
-  // The actions of this type in the last round.
+  // Returns the actions of this type in the last round.
   template <typename T>
   std::vector<T> LastActions() const {
     std::vector<T> found;
-    for (const Action& action : last) {
+    for (const Action& action : round_actions) {
       if (const auto* match = std::get_if<T>(&action)) found.push_back(*match);
     }
     return found;
   }
 
   EndpointId EndpointOf(Id shard_request, int attempt = 0) const {
-    for (const SentAttempt& one : sent) {
-      if (one.send.shard_request == shard_request && one.attempt == attempt) return one.send.endpoint;
+    for (const SentAttempt& sent_attempt : sent) {
+      if (sent_attempt.send.shard_request == shard_request && sent_attempt.attempt == attempt)
+        return sent_attempt.send.endpoint;
     }
     ADD_FAILURE() << "attempt " << attempt << " of shard request " << shard_request << " was not sent";
     return {};
@@ -164,8 +166,8 @@
 
   Router router;
   Micros now = 100000 * kMs;
-  std::vector<Action> last;       // of the last round
-  std::vector<SentAttempt> sent;  // since the last calm history
+  std::vector<Action> round_actions;  // of the last round
+  std::vector<SentAttempt> sent;      // since the last RunSequentialQueries
   std::map<AttemptKey, InFlight> in_flight;
   std::map<Id, int> attempts;  // sent, by shard request
   Id next_id = 1000;
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -8,8 +8,8 @@
 TEST(Router, GivesTheSameActionsForTheSameEvents) {
   RouterHarness a, b;
   for (RouterHarness* harness : {&a, &b}) {
-    harness->RunCalmQueries(20);
-    harness->FillFleet(5);
+    harness->RunSequentialQueries(20);
+    harness->ReceiveUnansweredQueries(5);
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
   for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].send.endpoint, b.sent[i].send.endpoint);
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(SlowStart, AStartedEndpointGetsNoMoreThanItsSlowStartShare) {
   RouterHarness harness;
-  harness.RunCalmQueries(40, 20 * kMs);
+  harness.RunSequentialQueries(40, 20 * kMs);
   harness.Handle(EndpointListUpdate{
       EndpointListKind::kDelta, 2, {RouterHarness::EndpointInCell(0, Availability::kReady, harness.now)}});
   int to_starting = 0, to_others = 0;
@@ -21,7 +21,7 @@
   EXPECT_LE(to_starting, 0.5 * to_others / 3);
 }
 
-TEST(SlowStart, LimitsHoldWhereAllEndpointsStartTogether) {
+TEST(SlowStart, LimitsHoldWhenAllEndpointsStartTogether) {
   RouterHarness harness;
   EndpointListUpdate update{EndpointListKind::kDelta, 2, {}};
   for (int cell = 0; cell < 4; ++cell) {
@@ -32,21 +32,21 @@
   EXPECT_LE(harness.sent.size(), 4u);
 }
 
-// Its coordinators decide alone, and their first requests add up.
+// Each coordinator decides alone, but their first requests add up.
 TEST(SlowStart, LimitsHoldForALargeFleetTogether) {
   Settings settings = BaseSettings();
   settings.fleet_size = 30;
   int to_starting = 0;
   for (int instance = 0; instance < settings.fleet_size; ++instance) {
     RouterHarness harness(settings, static_cast<std::uint64_t>(instance + 1));
-    harness.RunCalmQueries(20);
+    harness.RunSequentialQueries(20);
     harness.Handle(EndpointListUpdate{
         EndpointListKind::kDelta, 2, {RouterHarness::EndpointInCell(0, Availability::kReady, harness.now)}});
     for (int i = 0; i < 4; ++i) harness.ReceiveQuery(harness.next_id++, kCompleteOnly, {1});
     for (const auto& [send, attempt] : harness.sent) to_starting += send.endpoint.address == 0;
   }
   EXPECT_GE(to_starting, 1);
-  EXPECT_LE(to_starting, 18);  // each at least one would be 30
+  EXPECT_LE(to_starting, 18);  // at least one from each would be 30
 }
 
 }  // namespace
--- a/tests/routing/zone_health_test.cpp
+++ b/tests/routing/zone_health_test.cpp
@@ -28,10 +28,10 @@
   return count;
 }
 
-TEST(ZoneHealth, EjectsAZoneAsAWholeButForProbes) {
+TEST(ZoneHealth, EjectsAZoneAsAWholeExceptForProbes) {
   RouterHarness harness(TwoZones());
   PutInTwoZones(harness);
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   for (Id id = 1; id <= 40; ++id) harness.ReceiveQuery(id, kCompleteOnly, {1}, 3 * kLatencyObjective);
   harness.now += 100 * kMs;
   auto keys = harness.in_flight;
@@ -44,7 +44,7 @@
   for (Id id = 120; id < 160; ++id) harness.ReceiveQuery(id, kPartialAllowed, {1}, 3 * kLatencyObjective);
   EXPECT_GT(harness.sent.size(), 24u);
   EXPECT_EQ(SentToZone1(harness), 0);
-  // It gets probe requests.
+  // The ejected zone gets probe requests.
   harness.now += 100 * kMs;
   keys = harness.in_flight;
   for (const auto& [key, value] : keys) {
@@ -58,10 +58,10 @@
   EXPECT_GE(probes, 1);
 }
 
-TEST(ZoneHealth, EjectsNoZoneWhereAllAreLate) {
+TEST(ZoneHealth, EjectsNoZoneWhenAllAreLate) {
   RouterHarness harness(TwoZones());
   PutInTwoZones(harness);
-  harness.RunCalmQueries(40);
+  harness.RunSequentialQueries(40);
   for (Id id = 1; id <= 12; ++id) harness.ReceiveQuery(id, kPartialAllowed, {1}, 3 * kLatencyObjective);
   for (int i = 0; i < 60; ++i) harness.Advance(5 * kMs);
   harness.sent.clear();
