--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -11,8 +11,7 @@
 constexpr double kRequestCountGain = 0.3;  // weight of the latest query in the average number of requests
 constexpr double kUsPerSecond = 1e6;
 // Expected latency of the slowest shard request, over the time to the objective, from which queries that need
-// the request are shed. From kMaxLatencyRatio on, all those of the class with the least value density are
-// shed.
+// it are shed. From kMaxLatencyRatio on, all those of the class with the least value density are shed.
 constexpr double kSheddingStartLatencyRatio = 0.6;
 
 }  // namespace
--- a/src/routing/connection_reuse.h
+++ b/src/routing/connection_reuse.h
@@ -1,7 +1,7 @@
 // Decides when an idle connection is too old to be used: a device on the network path may drop connections
 // that are unused for some time without notice to either end. The time is learnt from shard requests that got
-// no reply after they were sent on a long-idle connection. Owned by one router; not thread-safe. Closes
-// nothing itself.
+// no reply after they were sent on a long-idle connection. Owned by one router; not thread-safe. It closes
+// no connection itself.
 #ifndef LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 #define LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 
@@ -43,8 +43,7 @@
   void RecordOutcome(ConnectionState& state, AttemptOutcome outcome, Micros sent_us, Micros now);
 
   // Called when the endpoint has not replied since its oldest request in flight, sent at `oldest_sent_us`.
-  // True if a dropped connection rather than the endpoint is probably at fault: its attempts must be
-  // cancelled.
+  // True if probably a dropped connection is at fault, not the endpoint: its attempts must be cancelled.
   bool SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us);
 
  private:
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -8,11 +8,10 @@
 
 constexpr double kPriorSamples = 1.5;     // samples at the median latency that an endpoint starts with
 constexpr double kSampleRetention = 0.8;  // factor on the weight of a sample for each newer one
-constexpr double kUnresponsiveHedgeDelays = 2.0;  // unresponsive after this many without a reply
+constexpr double kUnresponsiveHedgeDelays = 2.0;  // unresponsive after this many delays without a reply
 // Page's cumulative-sum (CUSUM) test: `failure_evidence` is a running log-likelihood ratio, kept at 0 or
 // above. In a large fleet a coordinator sends few requests to each endpoint, so each outcome adds the log of
-// how much likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from a usual
-// one.
+// how much likelier it is from an endpoint that fails kFaultyFailureRate of its requests than from others.
 constexpr double kFaultyFailureRate = 0.5;
 constexpr double kEjectEvidence = 4;  // about two failures among five outcomes where few fail
 constexpr double kMaxEvidence = 4.5;
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -1,6 +1,5 @@
 // Outlier detection: ejects endpoints that are slow, fail or do not reply, and readmits them through probe
-// requests. Owned by one router; not thread-safe. Does not choose endpoints; zone_health.h ejects whole
-// zones.
+// requests. Owned by one router; not thread-safe. Does not choose endpoints; zone_health.h handles zones.
 #ifndef LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
 #define LIFTRUDDER_ROUTING_OUTLIER_DETECTOR_H_
 
@@ -26,8 +25,7 @@
   double probe_at_warm_requests = 0;
   double probe_backoff = 1;
 
-  // Discards the observations of the previous process. `probe_backoff` is reset when the endpoint is next
-  // ejected.
+  // Discards the observations of the previous process. The next ejection resets `probe_backoff`.
   void Restart() {
     log_latency_ratio_sum = latency_samples = failure_evidence = 0;
     ejected = unresponsive = false;
@@ -58,8 +56,7 @@
                      const ProbeClock& clock);
 
   // Whether the endpoint is responsive. If it has sent no reply since its oldest request in flight was sent,
-  // and that request is older than kUnresponsiveHedgeDelays hedge delays, it is not, and is ejected unless it
-  // already was.
+  // and that request is older than kUnresponsiveHedgeDelays hedge delays, it is not, and it is ejected.
   bool CheckResponsive(OutlierState& state, Micros oldest_sent_us, double hedge_delay_us,
                        const ProbeClock& clock) const;
 
--- a/src/routing/settings_validation.h
+++ b/src/routing/settings_validation.h
@@ -1,5 +1,4 @@
-// Validation of the settings: finds values that cannot be used, and does not judge whether others are
-// sensible.
+// Validation of the settings: finds values that cannot be used. Does not judge whether others are sensible.
 #ifndef LIFTRUDDER_ROUTING_SETTINGS_VALIDATION_H_
 #define LIFTRUDDER_ROUTING_SETTINGS_VALIDATION_H_
 
--- a/tests/routing/router_harness.h
+++ b/tests/routing/router_harness.h
@@ -121,8 +121,7 @@
     for (const auto& [key, value] : attempts_now) Finish(key.shard_request, key.attempt, code);
   }
 
-  // Runs queries with one shard request one after another, each taking `latency_us`, as a history at low
-  // load.
+  // Builds a history at low load: queries with one shard request, in sequence, each taking `latency_us`.
   void RunSequentialQueries(int queries, Micros latency_us = 100 * kMs) {
     for (int i = 0; i < queries; ++i) {
       ReceiveQuery(next_id, kCompleteOnly, {1});
