--- a/src/decision_log/attempt_result.h
+++ b/src/decision_log/attempt_result.h
@@ -1,5 +1,5 @@
-// How an attempt at a shard request ended: the values that the coordinator, the connection pools and the
-// decision record share. Plain data without behaviour; any thread.
+// How an attempt at a shard request ended: values shared by the coordinator, the connection pools and the
+// decision log. Plain data; usable from any thread.
 //
 // Both enumerations are written to the record file: enumerators may be renamed, never renumbered
 // (record_format_check.cpp).
@@ -10,8 +10,8 @@
 
 namespace liftrudder::decision_log {
 
-// How far an attempt had come when it ended. Together with Cause it decides whether the endpoint may have run
-// the request.
+// How far an attempt had progressed when it ended. Progress and Cause together determine whether the endpoint
+// may have run the request.
 enum class Progress : std::uint8_t { kNotConnected, kPartlyWritten, kWhollyWritten, kAnswering };
 
 // Why an attempt ended.
@@ -20,11 +20,11 @@
   kEndpointError,       // the endpoint reported that it failed
   kEndpointRejected,    // the endpoint rejected it without running it
   kInvalidResponse,     // the response could not be read
-  kConnectionLost,      // or no connection could be made
-  kCancelled,           // by the coordinator
+  kConnectionLost,      // the connection was lost or could not be established
+  kCancelled,           // the coordinator cancelled it
   kExpired,             // its attempt deadline passed
   kStale,               // not written: its deadline had passed, or the endpoint was draining
-  kClientDisconnected,  // not written: nobody waits for the answer any more
+  kClientDisconnected,  // not written: its client had disconnected
 };
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/counts.cpp
+++ b/src/decision_log/counts.cpp
@@ -10,8 +10,8 @@
 
 template <typename Value, std::size_t kCount>
 std::string_view NameIn(const std::array<std::string_view, kCount>& names, Value value) {
-  auto place = static_cast<std::size_t>(value);
-  return place < kCount ? names[place] : "unknown";
+  auto index = static_cast<std::size_t>(value);
+  return index < kCount ? names[index] : "unknown";
 }
 
 template <typename Value, std::size_t kCount>
--- a/src/decision_log/counts.h
+++ b/src/decision_log/counts.h
@@ -1,6 +1,6 @@
-// The values that the decision record has beside the reasons of the routing module: verdicts, intake results,
-// retention groups, losses; the name of each value on the wire; and where the counter of each value lies in
-// the record's tables. Plain values, any thread.
+// Enumerations of the decision log beyond the routing module's reasons (verdicts, intake results, retention
+// groups, losses), the wire name of each value, and the position of its counter in the record's tables. Plain
+// values; usable from any thread.
 //
 // All enumerations here are written to the record file: enumerators may be renamed, never renumbered
 // (record_format_check.cpp).
@@ -24,9 +24,9 @@
   kPartial,
   kRejected,
   kFailed,
-  kExpired,             // its front gave up waiting for the coordinator
+  kExpired,             // its front timed out waiting for the coordinator
   kClientDisconnected,  // ended without an answer
-  kRejectedAtIntake,    // never became a query
+  kRejectedAtIntake,    // rejected before it became a query
 };
 constexpr std::size_t kVerdicts = 8;
 
@@ -38,8 +38,8 @@
   kDuplicateId,         // a query with this id is open
   kTooManyOpen,         // observed: open queries and shard requests; threshold: the limit
   kTooManyConnections,  // rejected with its connection
-  kAnswerTimeout,       // the coordinator gave no answer in time, the front answered
-  kPipelined,           // the client sent more before it had its answer
+  kAnswerTimeout,       // the coordinator had no answer in time, so the front answered
+  kPipelined,           // the client sent more data before it had its answer
   kClientDisconnected,
 };
 constexpr std::size_t kIntakeResults = 9;
@@ -47,7 +47,7 @@
 // The class index of a request that names no known class.
 constexpr int kUnknownClass = 255;
 
-// What an ended query counts as when the record is full and something has to be evicted.
+// The group of an ended query when a full record has to evict queries.
 enum class RetentionGroup : std::uint8_t {
   kRejected,
   kPartial,
@@ -59,31 +59,31 @@
 };
 constexpr std::size_t kRetentionGroups = 7;
 
-// What was never written to the record, or no longer has its name there.
+// What the record lost: queries and events that were never written, and overwritten endpoint names.
 enum class RecordLoss : std::uint8_t {
   kNoSpace,                 // a query: the record was full and nothing could be evicted
-  kEventLimit,              // an event: its query had used its share of the record
-  kQueueFull,               // an event of a front: the queue to the coordinator was full
-  kIntakeRateLimit,         // a rejection at intake beyond the rate that is recorded
-  kEndpointNameOverwritten  // an endpoint's name: a newer endpoint has its slot
+  kEventLimit,              // an event: its query had used its share, or no block was free
+  kQueueFull,               // a front's event: the queue to the coordinator was full
+  kIntakeRateLimit,         // a rejection at intake above the rate that is recorded
+  kEndpointNameOverwritten  // an endpoint's name: a newer endpoint took its slot
 };
 constexpr std::size_t kRecordLosses = 5;
 
-// What is counted for each endpoint, in buckets of kBucketSeconds.
+// Counters kept for each endpoint, in buckets of kBucketSeconds.
 enum class EndpointCount : std::uint8_t { kSent, kRetriedAfter, kRejectedFor, kMissing };
 constexpr std::size_t kEndpointCountKinds = 4;
 
-// Which interface a query came through.
+// The interface through which a query arrived.
 enum class FrontKind : std::uint8_t { kPlatform, kSearch, kCount, kScroll, kMultiSearch };
 
-// Numbers of values of the routing module's reasons.
+// The number of values of each of the routing module's enumerations.
 constexpr std::size_t kCompletionCauses = 13;
 constexpr std::size_t kDispatchKinds = 6;
 constexpr std::size_t kAttemptOutcomes = 8;
 constexpr std::size_t kPendingReasons = 10;
 constexpr std::size_t kCloseReasons = 2;
 
-// Where each group of counters begins in a row of the record's tables. Part of the file format: the gaps
+// Offset of each group of counters in a row of the record's counter tables. Part of the file format; the gaps
 // leave room for new values.
 constexpr std::size_t kVerdictCounters = 0;
 constexpr std::size_t kCompletionCounters = 8;
@@ -106,14 +106,14 @@
 constexpr std::size_t CounterOf(routing::DispatchKind value) {
   return kDispatchCounters + static_cast<std::size_t>(value);
 }
-// Of retries, by the outcome of the attempt before.
+// Counts retries by the outcome of the preceding attempt.
 constexpr std::size_t CounterOf(routing::AttemptOutcome value) {
   return kRetryCounters + static_cast<std::size_t>(value);
 }
 constexpr std::size_t CounterOf(routing::PendingReason value) {
   return kPendingCounters + static_cast<std::size_t>(value);
 }
-// Of evicted queries.
+// Counts evicted queries.
 constexpr std::size_t CounterOf(RetentionGroup value) {
   return kEvictionCounters + static_cast<std::size_t>(value);
 }
@@ -122,8 +122,8 @@
   return kCloseCounters + static_cast<std::size_t>(value);
 }
 
-// The name of a value in JSON, in summaries and in filters; "unknown" for a value that a damaged record
-// holds.
+// The wire name of a value, as used in JSON, in summaries and in filters; "unknown" for a value out of range,
+// which a damaged record may hold.
 std::string_view Name(Verdict value);
 std::string_view Name(IntakeResult value);
 std::string_view Name(RetentionGroup value);
@@ -139,7 +139,7 @@
 std::string_view Name(routing::CloseReason value);
 std::string_view Name(routing::PendingReason value);
 
-// The value that has this name; none where no value has it.
+// The value with this name, or nullopt if there is none.
 std::optional<Verdict> VerdictOf(std::string_view name);
 std::optional<routing::CompletionCause> CompletionCauseOf(std::string_view name);
 std::optional<IntakeResult> IntakeResultOf(std::string_view name);
--- a/src/decision_log/event_decoding.cpp
+++ b/src/decision_log/event_decoding.cpp
@@ -10,10 +10,10 @@
 namespace liftrudder::decision_log {
 namespace {
 
-// More than any front takes in; a damaged record may name any number.
+// More than any front accepts. A damaged record may hold any number.
 constexpr std::uint32_t kMaxShardRequests = 4096;
 
-// The least words of each kind of event, by its number.
+// The minimum number of words of each kind of event, indexed by EventKind.
 constexpr std::array<std::size_t, 10> kMinWords = {1, 5, 2, 3, 2, 2, 3, 4, 2, 5};
 constexpr std::size_t kCandidatesWord = 3;  // of sent and pending events
 constexpr std::size_t kIdWord = 5;          // of opened and intake events
@@ -24,7 +24,7 @@
   return out;
 }
 
-// An event whose number of words has been checked.
+// An event whose number of words has been validated.
 struct Event {
   EventKind kind = EventKind::kNone;
   std::uint32_t operand = 0;
@@ -32,7 +32,7 @@
   std::span<const std::uint64_t> words;
 };
 
-bool IsOfShardRequest(EventKind kind) {
+bool BelongsToShardRequest(EventKind kind) {
   switch (kind) {
     case EventKind::kShardRequest:
     case EventKind::kSent:
@@ -45,7 +45,7 @@
   }
 }
 
-// The event that the words begin with; none where they begin with no event.
+// The event at the start of the words; nullopt if they do not start with a valid event.
 std::optional<Event> FirstEvent(std::span<const std::uint64_t> words) {
   Event event;
   event.kind = static_cast<EventKind>(ByteAt(words[0], 0));
@@ -54,7 +54,7 @@
   std::size_t size = ByteAt(words[0], 1);
   if (event.kind == EventKind::kNone || event.kind > EventKind::kIntake) return std::nullopt;
   if (size < kMinWords[static_cast<std::size_t>(event.kind)] || size > words.size()) return std::nullopt;
-  if (IsOfShardRequest(event.kind) && event.operand >= kMaxShardRequests) return std::nullopt;
+  if (BelongsToShardRequest(event.kind) && event.operand >= kMaxShardRequests) return std::nullopt;
   event.words = words.first(size);
   return event;
 }
@@ -63,7 +63,7 @@
  public:
   EventDecoder(const RecordFile& record_file, QueryTrace& trace) : record_file_(record_file), trace_(trace) {}
 
-  // False where the event contradicts itself.
+  // False if the event is inconsistent.
   bool Decode(const Event& event);
 
  private:
@@ -76,10 +76,10 @@
   void Intake(const Event& event);
 
   ShardRequestTrace& ShardRequestOf(const Event& event);
-  // Null where the attempt's start was not recorded.
+  // Null if the record has no sent event of the attempt.
   AttemptTrace* AttemptOf(const Event& event);
-  // As many candidates as the event states, and has words for.
-  std::vector<CandidateTrace> Candidates(const Event& event, std::size_t stated) const;
+  // The event's candidates: the declared number of them, or fewer if the event has fewer words.
+  std::vector<CandidateTrace> Candidates(const Event& event, std::size_t declared) const;
 
   const RecordFile& record_file_;
   QueryTrace& trace_;
@@ -97,9 +97,9 @@
   return found == attempts.end() ? nullptr : &*found;
 }
 
-std::vector<CandidateTrace> EventDecoder::Candidates(const Event& event, std::size_t stated) const {
+std::vector<CandidateTrace> EventDecoder::Candidates(const Event& event, std::size_t declared) const {
   std::vector<CandidateTrace> out;
-  std::size_t count = std::min(stated, event.words.size() - kCandidatesWord);
+  std::size_t count = std::min(declared, event.words.size() - kCandidatesWord);
   for (std::uint64_t word : event.words.subspan(kCandidatesWord, count)) {
     std::uint32_t state = HighHalf(word);
     out.push_back({ReadEndpointName(record_file_, LowHalf(word)), static_cast<int>(state & 0xffff),
@@ -127,16 +127,16 @@
 }
 
 void EventDecoder::Sent(const Event& event) {
-  std::uint32_t how = HighHalf(event.words[1]);
+  std::uint32_t dispatch_bits = HighHalf(event.words[1]);
   AttemptTrace attempt;
-  attempt.number = static_cast<int>(how & 0xff);
-  attempt.kind = static_cast<routing::DispatchKind>(how >> 8 & 0xff);
-  attempt.after = static_cast<routing::AttemptOutcome>(how >> 16 & 0xff);
+  attempt.number = static_cast<int>(dispatch_bits & 0xff);
+  attempt.kind = static_cast<routing::DispatchKind>(dispatch_bits >> 8 & 0xff);
+  attempt.after = static_cast<routing::AttemptOutcome>(dispatch_bits >> 16 & 0xff);
   attempt.endpoint = ReadEndpointName(record_file_, LowHalf(event.words[1]));
   attempt.at_us = event.time_us;
   attempt.timeout_us = LowHalf(event.words[2]);
   attempt.unlisted = static_cast<int>(HighHalf(event.words[2]));
-  attempt.candidates = Candidates(event, how >> 24);
+  attempt.candidates = Candidates(event, dispatch_bits >> 24);
   ShardRequestOf(event).attempts.push_back(std::move(attempt));
 }
 
@@ -202,7 +202,7 @@
       return Opened(event);
     case EventKind::kShardRequest: {
       ShardRequestTrace& shard_request = ShardRequestOf(event);
-      shard_request.shard = static_cast<int>(event.time_us);  // this event has the shard in the time's place
+      shard_request.shard = static_cast<int>(event.time_us);  // this event has the shard in place of the time
       shard_request.weight = FloatOf(LowHalf(event.words[1]));
       shard_request.work_us = HighHalf(event.words[1]);
       break;
--- a/src/decision_log/event_encoding.h
+++ b/src/decision_log/event_encoding.h
@@ -1,5 +1,5 @@
-// Puts what happened to a query into the words of an event, as record_format.h and docs/design/why.md lay
-// them out; event_decoding.h reads them back. Pure functions, any thread; nothing is allocated.
+// Encodes what happened to a query as events of the record; event_decoding.h decodes them. record_format.h
+// and docs/design/why.md describe the layout. Pure functions that allocate nothing; usable from any thread.
 #ifndef LIFTRUDDER_DECISION_LOG_EVENT_ENCODING_H_
 #define LIFTRUDDER_DECISION_LOG_EVENT_ENCODING_H_
 
@@ -15,14 +15,14 @@
 
 namespace liftrudder::decision_log {
 
-// A query when it is taken in.
+// A query at its arrival.
 struct RecordedQuery {
   std::uint32_t query = 0;  // its number; its shard requests are numbered from 0
   std::int64_t arrived_us = 0, deadline_us = 0;
   int class_index = 0;
   FrontKind front = FrontKind::kPlatform;
   bool is_retry = false;
-  std::string_view call_id, label;  // label: the client's own name for it, where the front has such a thing
+  std::string_view call_id, label;  // label: the client's own name for it, where the front supports one
 };
 
 struct RecordedShardRequest {
@@ -35,28 +35,28 @@
 struct RecordedCompletion {
   Verdict verdict = Verdict::kOpen;
   routing::CompletionReason reason;
-  IntakeResult intake = IntakeResult::kNone;  // where a front ended it by itself
+  IntakeResult intake = IntakeResult::kNone;  // set if a front ended the query by itself
   std::int64_t retry_after_us = 0;
   int shard_responses = 0;
 };
 
-// The hashes under which a query is found. `label`: 0 for none.
+// The hashes by which a query is looked up. `label` is 0 for a query without a label.
 struct IdHashes {
   std::uint64_t id = 0;
   std::uint64_t label = 0;
 };
 
 struct EncodedEvent {
-  std::array<std::uint64_t, kMaxEventWords> words;  // the first `size` of them
+  std::array<std::uint64_t, kMaxEventWords> words;  // only the first `size` are set
   std::size_t size = 0;
 
   std::span<const std::uint64_t> Words() const { return {words.data(), size}; }
 };
 
-// Times are microseconds since the query's arrival.
+// `time_us` is the time since the query's arrival.
 EncodedEvent EncodeOpened(const RecordedQuery& query, std::uint8_t class_index, std::size_t shard_requests,
                           const IdHashes& hashes);
-// Whether the call id is longer than what an event keeps of it.
+// Whether the call id is longer than the kMaxIdBytes that an event stores.
 bool IsIdCut(std::string_view call_id);
 EncodedEvent EncodeShardRequest(std::size_t number, const RecordedShardRequest& shard_request);
 EncodedEvent EncodeSent(int shard_request, int attempt, const routing::Send& send, std::uint32_t time_us);
@@ -66,11 +66,11 @@
 EncodedEvent EncodePending(int shard_request, const routing::PendingShardRequest& pending,
                            std::uint32_t time_us);
 EncodedEvent EncodeCompleted(const RecordedCompletion& completion, std::uint32_t time_us);
-// Of a response that a front sent, and of a request that it rejected at intake.
+// A response that a front sent, and a request that it rejected at intake.
 EncodedEvent EncodeResponse(const FrontEvent& event, std::uint32_t time_us);
 EncodedEvent EncodeIntake(const FrontEvent& event);
 
-// A span of time as an event holds it: from 0 to some 71 minutes.
+// Clamps a duration to what an event can hold: 0 to about 71 minutes.
 std::uint32_t ClampMicros(std::int64_t us);
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/explain.cpp
+++ b/src/decision_log/explain.cpp
@@ -1,4 +1,4 @@
-// Answers about several queries.
+// Renders replies about several queries.
 #include "decision_log/explain.h"
 
 #include <fmt/format.h>
@@ -22,17 +22,17 @@
   return Name(static_cast<routing::CompletionCause>(occurrence.cause));
 }
 
-std::string ClassOf(int class_index, const RecordOrigin& origin) {
-  auto place = static_cast<std::size_t>(class_index);
-  return place < origin.classes.size() ? Escaped(origin.classes[place])
+std::string ClassNameOf(int class_index, const RecordOrigin& origin) {
+  auto index = static_cast<std::size_t>(class_index);
+  return index < origin.classes.size() ? Escaped(origin.classes[index])
                                        : fmt::format("class {}", class_index);
 }
 
 std::string OccurrenceText(const QueryOccurrence& occurrence, const std::string& id,
                            const RecordOrigin& origin) {
   std::string at = WallTime(occurrence.second * 1'000'000);
-  std::string class_name = ClassOf(occurrence.class_index, origin);
-  // The end of a query that found no space even at its arrival is not known.
+  std::string class_name = ClassNameOf(occurrence.class_index, origin);
+  // For a query that found no space at its arrival, the record does not know the end.
   if (occurrence.verdict == Verdict::kOpen) {
     return fmt::format("{} came at {} as {}, when the record had no space for it.\n", Escaped(id), at,
                        class_name);
@@ -41,7 +41,7 @@
                      Name(occurrence.verdict), at, ReasonOf(occurrence), class_name);
 }
 
-// What is known where no query in the record fits the filter.
+// What is known if no query in the record fits the filter.
 std::string AbsenceText(const SearchResult& result, const Filter& filter, const RecordOrigin& origin) {
   if (!filter.id) return "No query in the record fits the filter.\n";
   std::string out;
@@ -86,7 +86,7 @@
   return std::move(out_);
 }
 
-// The members behind the queries, and the closing brace.
+// The members after the queries, and the closing brace.
 std::string TraceRenderer::JsonTail(const SearchResult& result) const {
   Json tail = {{wire::kMore, result.more},
                {wire::kBusyBlocks, result.busy_blocks},
@@ -97,7 +97,7 @@
       occurrences.push_back({{wire::kAt, WallTime(occurrence.second * 1'000'000)},
                              {wire::kVerdict, Name(occurrence.verdict)},
                              {wire::kReason, ReasonOf(occurrence)},
-                             {wire::kClass, ClassOf(occurrence.class_index, origin_)}});
+                             {wire::kClass, ClassNameOf(occurrence.class_index, origin_)}});
     }
     if (result.occurrences_since_s > 0) {
       tail[wire::kOccurrencesSince] = WallTime(result.occurrences_since_s * 1'000'000);
--- a/src/decision_log/explain.h
+++ b/src/decision_log/explain.h
@@ -1,6 +1,6 @@
-// Renders what the record holds: as text that an operator understands, or as JSON. Decides nothing, does no
-// I/O. Any thread. Names that clients chose are escaped wherever they are not plain ASCII, and answers are
-// bounded in bytes.
+// Renders the contents of the record as text for operators or as JSON. Does no I/O; usable from any thread.
+// Names that clients chose are escaped unless they are printable ASCII, and replies about queries are bounded
+// in size.
 #ifndef LIFTRUDDER_DECISION_LOG_EXPLAIN_H_
 #define LIFTRUDDER_DECISION_LOG_EXPLAIN_H_
 
@@ -12,20 +12,20 @@
 
 namespace liftrudder::decision_log {
 
-constexpr std::size_t kMaxReplyBytes = 512 * 1024;  // queries beyond are left out, and the answer says so
+constexpr std::size_t kMaxReplyBytes = 512 * 1024;  // further queries are left out, and the reply says so
 
-// One query, in sentences or as a JSON object.
+// Renders one query as text or as a JSON object.
 std::string TextOf(const QueryTrace& trace);
 std::string JsonOf(const QueryTrace& trace);
 
-// The answer to a question, query by query, so that one at a time is in memory. Never empty: where no query
-// is in the record, it says what is known. One thread.
+// Renders the reply to a question query by query, so that only one is in memory at a time. Without any query,
+// the reply says what is known of the id, or that no query fits. Not thread-safe.
 class TraceRenderer {
  public:
-  // `filter` and `origin` must outlive it.
+  // `filter` and `origin` must outlive the renderer.
   TraceRenderer(const Filter& filter, const RecordOrigin& origin, bool json);
 
-  // False when the answer is full: this query and those after it are left out.
+  // False if the reply is full: this query is left out, and further ones should not be added.
   bool Add(const QueryTrace& trace);
   std::string Finish(const SearchResult& result) &&;
 
@@ -42,13 +42,13 @@
 std::string TextOf(const Summary& summary, const RecordOrigin& origin);
 std::string JsonOf(const Summary& summary, const RecordOrigin& origin);
 
-// Printable ASCII as it is, all else as \xNN.
+// Printable ASCII unchanged, except for the backslash; the backslash and all other bytes as \xNN.
 std::string Escaped(std::string_view text);
-// As 2026-12-01T09:30:00.000Z.
+// In UTC, formatted like 2026-12-01T09:30:00.000Z.
 std::string WallTime(std::int64_t us);
-// As 0.250 s.
+// Formatted like 0.250 s.
 std::string Seconds(std::int64_t us);
-// Whether the endpoint may have run the request.
+// Whether the endpoint may have run an attempt with this outcome.
 bool MayHaveRun(routing::AttemptOutcome outcome);
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -1,4 +1,4 @@
-// One query as JSON.
+// Renders one query as JSON.
 #include <cmath>
 #include <nlohmann/json.hpp>
 
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::ordered_json;
 
-Json Number(double value) { return std::isfinite(value) ? Json(value) : Json(nullptr); }
+Json NumberOrNull(double value) { return std::isfinite(value) ? Json(value) : Json(nullptr); }
 Json Milliseconds(std::int64_t us) { return Json(static_cast<double>(us) / 1000); }
 
 Json JsonOf(const std::vector<CandidateTrace>& candidates) {
@@ -51,14 +51,14 @@
 Json JsonOf(const PendingTrace& pending) {
   Json out = {{wire::kAtMs, Milliseconds(pending.at_us)},
               {wire::kWhy, Name(pending.reason)},
-              {wire::kObserved, Number(pending.observed)},
-              {wire::kThreshold, Number(pending.threshold)}};
+              {wire::kObserved, NumberOrNull(pending.observed)},
+              {wire::kThreshold, NumberOrNull(pending.threshold)}};
   if (!pending.candidates.empty()) out[wire::kCandidates] = JsonOf(pending.candidates);
   return out;
 }
 
 Json JsonOf(const ShardRequestTrace& shard_request) {
-  Json out = {{wire::kShard, shard_request.shard}, {wire::kWeight, Number(shard_request.weight)}};
+  Json out = {{wire::kShard, shard_request.shard}, {wire::kWeight, NumberOrNull(shard_request.weight)}};
   if (shard_request.work_us > 0) out[wire::kWorkUs] = shard_request.work_us;
   out[wire::kAttempts] = Json::array();
   for (const AttemptTrace& attempt : shard_request.attempts) out[wire::kAttempts].push_back(JsonOf(attempt));
@@ -70,10 +70,10 @@
   return {{wire::kAtMs, Milliseconds(response.at_us)},
           {wire::kStatus, response.status},
           {wire::kBytes, response.bytes},
-          {wire::kFullyWritten, response.whole}};
+          {wire::kFullyWritten, response.fully_written}};
 }
 
-// What the query was, and what is known of the record of it.
+// The properties of the query, and whether its record is complete.
 Json ArrivalJson(const QueryTrace& trace) {
   Json out = {{wire::kId, Escaped(trace.call_id)}, {wire::kVerdict, Name(trace.verdict)}};
   if (!trace.label.empty()) out[wire::kLabel] = Escaped(trace.label);
@@ -93,8 +93,8 @@
   bool by_front = trace.intake != IntakeResult::kNone;
   out[wire::kReason] = by_front ? Name(trace.intake) : Name(trace.cause);
   if (trace.verdict != Verdict::kOpen) {
-    out[wire::kObserved] = Number(trace.observed);
-    out[wire::kThreshold] = Number(trace.threshold);
+    out[wire::kObserved] = NumberOrNull(trace.observed);
+    out[wire::kThreshold] = NumberOrNull(trace.threshold);
     out[wire::kEndedMs] = Milliseconds(trace.ended_us);
   }
   if (trace.overloaded_endpoint.number != 0) out[wire::kEndpoint] = Escaped(trace.overloaded_endpoint.id);
--- a/src/decision_log/explain_service.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -13,11 +13,11 @@
 constexpr int kNotFound = 404;
 constexpr int kTooManyRequests = 429;
 constexpr std::int64_t kBusyRetryUs = 500'000;
-// A reading of 50 queries as JSON takes some 15 ms of a core.
+// Reading 50 queries as JSON takes about 15 ms of CPU time.
 constexpr double kReadsPerSecond = 2;
 constexpr double kReadBurst = 10;
-// Between pieces of a scan the processor is left to the coordinator: a scan has some 30 ms of pauses a MiB,
-// and no query waits for it.
+// The pause between pieces of a scan, which leaves the CPU to the coordinator. A scan has about 30 ms of
+// pauses per MiB, and no query waits for it.
 constexpr auto kScanPause = std::chrono::milliseconds(2);
 
 Reply AnswerWith(const Reader& reader, const Question& question) {
@@ -49,8 +49,8 @@
 }
 
 Reply ExplainService::Ask(const Parameters& parameters) {
-  std::unique_lock asking(asking_, std::try_to_lock);
-  if (!asking) return {kTooManyRequests, false, "another question is being answered\n", kBusyRetryUs};
+  std::unique_lock lock(mutex_, std::try_to_lock);
+  if (!lock) return {kTooManyRequests, false, "another question is being answered\n", kBusyRetryUs};
   std::int64_t now_us = now_();
   RefillTokens(now_us);
   if (tokens_ < 1) {
--- a/src/decision_log/explain_service.h
+++ b/src/decision_log/explain_service.h
@@ -1,6 +1,6 @@
-// Answers questions about the record, for the fronts' `/-/why` page and for the command line: bounds how
-// often and how much is read, and renders the answer. Knows no socket. Any thread; one question at a time,
-// others are rejected.
+// Answers questions about the record for the fronts' `/-/why` page and for the command line: limits how often
+// and how much is read, and renders the reply. Uses no sockets. Any thread; one question is answered at a
+// time, and concurrent ones are rejected.
 #ifndef LIFTRUDDER_DECISION_LOG_EXPLAIN_SERVICE_H_
 #define LIFTRUDDER_DECISION_LOG_EXPLAIN_SERVICE_H_
 
@@ -15,19 +15,20 @@
 namespace liftrudder::decision_log {
 
 struct Reply {
-  int status = 200;  // as HTTP has them: 400, 404, 429
+  int status = 200;  // HTTP status: 200, 400, 404 or 429
   bool json = false;
   std::string body;
   std::int64_t retry_after_us = 0;  // 0: none
 };
 
-// The answer from a record that needs no bounds, such as a file.
+// Answers from a record that needs no rate limit, such as a file.
 Reply AnswerFrom(const RecordFile& record_file, const Question& question);
 
 class ExplainService {
  public:
-  // `refresh` has the writer make all readable that it knows; called before each reading, bounded in time by
-  // whoever gives it. `now` is the program's clock. The record must outlive the service.
+  // `refresh` has the writer make everything readable that it has recorded. It is called before each read and
+  // must return within a bounded time. `now` is the program's clock, in microseconds. `record_file` must
+  // outlive the service.
   ExplainService(const RecordFile& record_file, std::function<void()> refresh,
                  std::function<std::int64_t()> now)
       : record_file_(record_file), refresh_(std::move(refresh)), now_(std::move(now)) {}
@@ -40,7 +41,7 @@
   const RecordFile& record_file_;
   std::function<void()> refresh_;
   std::function<std::int64_t()> now_;
-  std::mutex asking_;  // held while a question is answered; guards the two below
+  std::mutex mutex_;  // held while a question is answered; guards the members below
   double tokens_ = 0;
   std::int64_t refilled_us_ = 0;
 };
--- a/src/decision_log/explain_summary.cpp
+++ b/src/decision_log/explain_summary.cpp
@@ -1,4 +1,4 @@
-// The summary, as a table or as JSON.
+// Renders the summary as a table or as JSON.
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
@@ -31,9 +31,9 @@
 };
 
 template <typename Value>
-std::vector<Row> RowsOf(std::size_t values) {
+std::vector<Row> RowsOf(std::size_t value_count) {
   std::vector<Row> rows;
-  for (std::size_t i = 0; i < values; ++i) {
+  for (std::size_t i = 0; i < value_count; ++i) {
     auto value = static_cast<Value>(i);
     rows.push_back({Name(value), CounterOf(value)});
   }
@@ -116,8 +116,8 @@
   for (const Section& section : Sections()) out[section.wire_name] = SectionJson(section, summary);
   out[wire::kEndpoints] = EndpointsJson(summary.endpoints);
   Json& not_kept = out[wire::kNotKeptBySecond] = Json::array();
-  for (const Summary::SecondCount& one : summary.not_kept) {
-    not_kept.push_back({{wire::kAt, WallTime(one.second * 1'000'000)}, {wire::kCount, one.count}});
+  for (const Summary::SecondCount& entry : summary.not_kept) {
+    not_kept.push_back({{wire::kAt, WallTime(entry.second * 1'000'000)}, {wire::kCount, entry.count}});
   }
   out[wire::kRecord] = {{wire::kBytes, summary.bytes},
                         {wire::kBlocks, summary.blocks},
--- a/src/decision_log/explain_text.cpp
+++ b/src/decision_log/explain_text.cpp
@@ -1,4 +1,4 @@
-// One query in sentences.
+// Renders one query as text.
 #include <fmt/format.h>
 
 #include <cstdint>
@@ -52,7 +52,7 @@
   return out + (trace.is_retry ? ", marked as a retry.\n" : ".\n");
 }
 
-// An attempt's lines, in the order in which they happened.
+// The lines of an attempt, in chronological order.
 std::string AttemptLines(const AttemptTrace& attempt, const QueryTrace& trace) {
   std::string endpoint = Escaped(attempt.endpoint.id);
   std::string out = fmt::format("    {} it {} {}, {}.\n", Seconds(attempt.at_us), DispatchText(attempt),
@@ -62,9 +62,9 @@
                        CancelText(attempt.cancel_reason));
   }
   if (attempt.ended_us) {
-    bool late = trace.verdict != Verdict::kOpen && *attempt.ended_us > trace.ended_us;
+    bool after_query_end = trace.verdict != Verdict::kOpen && *attempt.ended_us > trace.ended_us;
     out += fmt::format("    {} at {}: {}{}.\n", Seconds(*attempt.ended_us), endpoint, AttemptEndText(attempt),
-                       late ? " (after the query's end)" : "");
+                       after_query_end ? " (after the query's end)" : "");
   }
   return out;
 }
@@ -75,7 +75,7 @@
                                 shard_request.weight);
   if (shard_request.attempts.empty() && shard_request.pending.empty()) out += " was not sent.";
   out += '\n';
-  // Attempts and pending states in the order of their times.
+  // Attempts and pending states in chronological order.
   auto pending = shard_request.pending.begin();
   auto add_pending = [&](std::int64_t until_us) {
     for (; pending != shard_request.pending.end() && pending->at_us <= until_us; ++pending) {
@@ -95,7 +95,7 @@
     return fmt::format("The client was sent status {}.\n", response.status);
   }
   return fmt::format("The client was sent status {} and {} bytes by {}{}.\n", response.status, response.bytes,
-                     Seconds(response.at_us), response.whole ? "" : ", but could not be written to");
+                     Seconds(response.at_us), response.fully_written ? "" : ", but could not be written to");
 }
 
 }  // namespace
--- a/src/decision_log/query_index.cpp
+++ b/src/decision_log/query_index.cpp
@@ -13,20 +13,24 @@
 
 std::size_t QueryIndex::BytesFor(std::size_t queries) { return SlotsFor(queries) * sizeof(Slot); }
 
-void QueryIndex::Put(std::uint32_t query, std::uint32_t place) { slots_[SlotOf(query)] = {query, place}; }
+void QueryIndex::Insert(std::uint32_t query, std::uint32_t position) {
+  slots_[SlotOf(query)] = {query, position};
+}
 
 void QueryIndex::Erase(std::uint32_t query) {
-  std::size_t at = SlotOf(query);
-  if (slots_[at].place == kNotFound) return;
-  // Backward shift: the slots behind it move up, as far as their own home allows.
-  for (std::size_t next = (at + 1) & Mask(); slots_[next].place != kNotFound; next = (next + 1) & Mask()) {
-    std::size_t home = Home(slots_[next].query);
-    if (((next - home) & Mask()) >= ((next - at) & Mask())) {
-      slots_[at] = slots_[next];
-      at = next;
+  std::size_t gap = SlotOf(query);
+  if (slots_[gap].position == kNotFound) return;
+  // Backward-shift deletion: later entries move into the gap unless that would put them before their home
+  // slot.
+  for (std::size_t next = (gap + 1) & Mask(); slots_[next].position != kNotFound;
+       next = (next + 1) & Mask()) {
+    std::size_t home = HomeSlot(slots_[next].query);
+    if (((next - home) & Mask()) >= ((next - gap) & Mask())) {
+      slots_[gap] = slots_[next];
+      gap = next;
     }
   }
-  slots_[at] = {};
+  slots_[gap] = {};
 }
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/query_store.cpp
+++ b/src/decision_log/query_store.cpp
@@ -5,14 +5,14 @@
 namespace liftrudder::decision_log {
 namespace {
 
-// One query may hold this part of all blocks at most, and no more than kMaxBlocksPerQuery, since a reader
-// holds a whole query in memory.
-constexpr std::uint32_t kBlockShare = 16;
+// A query may hold at most 1 / kBlockShareDivisor of all blocks and at most kMaxBlocksPerQuery, since a
+// reader holds a whole query in memory.
+constexpr std::uint32_t kBlockShareDivisor = 16;
 constexpr std::uint32_t kMinBlocksPerQuery = 4;
 constexpr std::uint32_t kMaxBlocksPerQuery = 256;
 
 constexpr std::uint64_t kNextBlockMask = 0xffffffff;
-constexpr std::uint64_t kUseMask = 0xffffffffffff;  // of a use word, all but the words used
+constexpr std::uint64_t kUseMask = 0xffffffffffff;  // of a use word: all but the number of words used
 
 }  // namespace
 
@@ -31,14 +31,14 @@
     queries_[block - 1].next_free = free_query_;
     free_query_ = block - 1;
   }
-  max_blocks_per_query_ = std::clamp(blocks / kBlockShare, kMinBlocksPerQuery, kMaxBlocksPerQuery);
+  max_blocks_per_query_ = std::clamp(blocks / kBlockShareDivisor, kMinBlocksPerQuery, kMaxBlocksPerQuery);
 }
 
 std::size_t QueryStore::BytesFor(std::size_t blocks) {
-  // A query, its place in the retention policy, a place in two lists of blocks, and a mark.
-  std::size_t each = sizeof(StoredQuery) + RetentionPolicy::BytesPerQuery() + 2 * sizeof(std::uint32_t) +
-                     sizeof(std::uint8_t);
-  return blocks * each + QueryIndex::BytesFor(blocks);
+  // A query, its entry in the retention policy, an entry in each of two lists of blocks, and a dirty flag.
+  std::size_t bytes_per_block = sizeof(StoredQuery) + RetentionPolicy::BytesPerQuery() +
+                                2 * sizeof(std::uint32_t) + sizeof(std::uint8_t);
+  return blocks * bytes_per_block + QueryIndex::BytesFor(blocks);
 }
 
 std::size_t QueryStore::BytesHeld() const {
@@ -54,8 +54,8 @@
     counters_.Add(CounterOf(RecordLoss::kNoSpace));
     return nullptr;
   }
-  std::uint32_t place = free_query_;
-  StoredQuery& added = queries_[place];
+  std::uint32_t position = free_query_;
+  StoredQuery& added = queries_[position];
   free_query_ = added.next_free;
   added = {};
   added.serial = next_serial_++;
@@ -64,10 +64,10 @@
   added.arrived_us = arrived_us;
   added.head = added.tail = block;
   added.blocks = 1;
-  Touch(block);
+  MarkDirty(block);
   record_file_.Store(WordOf(block) + kUseWord, added.serial);
   record_file_.Store(WordOf(block) + kLinkWord, kNoBlock);
-  if (query != 0) index_.Put(query, place);
+  if (query != 0) index_.Insert(query, position);
   return &added;
 }
 
@@ -77,34 +77,34 @@
 }
 
 bool QueryStore::Append(StoredQuery& query, const EncodedEvent& event) {
-  std::size_t at = WordOf(query.tail);
-  std::uint64_t use = record_file_.Load(at + kUseWord);
+  std::size_t block_word = WordOf(query.tail);
+  std::uint64_t use = record_file_.Load(block_word + kUseWord);
   std::size_t used = use >> kUsedShift;
   if (used + event.size > kMaxEventWords) {
     std::uint32_t serial = query.serial;
     if (!AddBlock(query)) {
       counters_.Add(CounterOf(RecordLoss::kEventLimit));
       if (query.serial != serial) return false;
-      Touch(query.head);
+      MarkDirty(query.head);
       record_file_.Store(WordOf(query.head) + kLinkWord,
                          LinkWord(query.head) | std::uint64_t{kEventsDroppedFlag} << kFlagsShift);
       return true;
     }
-    at = WordOf(query.tail);
-    use = record_file_.Load(at + kUseWord);
+    block_word = WordOf(query.tail);
+    use = record_file_.Load(block_word + kUseWord);
     used = 0;
   }
-  Touch(query.tail);
-  const std::size_t first = at + kBlockHeadWords + used;
+  MarkDirty(query.tail);
+  const std::size_t first = block_word + kBlockHeadWords + used;
   const std::size_t size = event.size;
   for (std::size_t i = 0; i < size; ++i) record_file_.Store(first + i, event.words[i]);
-  record_file_.Store(at + kUseWord, (use & kUseMask) | std::uint64_t{used + size} << kUsedShift);
+  record_file_.Store(block_word + kUseWord, (use & kUseMask) | std::uint64_t{used + size} << kUsedShift);
   return true;
 }
 
 void QueryStore::SetVerdict(const StoredQuery& query, Verdict verdict, std::uint8_t cause,
                             std::uint8_t flags) {
-  Touch(query.head);
+  MarkDirty(query.head);
   std::uint64_t link = LinkWord(query.head);
   std::uint64_t all_flags = ByteAt(link, kFlagsShift / 8) | flags;
   record_file_.Store(WordOf(query.head) + kLinkWord,
@@ -118,7 +118,8 @@
                      LinkWord(query.head) | std::uint64_t{static_cast<std::uint8_t>(group)} << kGroupShift);
   query.ended = true;
   query.retained = true;
-  retention_.Keep(PlaceOf(query), RetentionPolicy::Stratum(group, query.class_index), now_us_, query.blocks);
+  retention_.Keep(PositionOf(query), RetentionPolicy::Stratum(group, query.class_index), now_us_,
+                  query.blocks);
 }
 
 IdHashes QueryStore::HashesOf(const StoredQuery& query) const {
@@ -134,7 +135,7 @@
   dirty_blocks_.clear();
 }
 
-void QueryStore::BeginBlock(std::uint32_t block) {
+void QueryStore::BeginBlockWrite(std::uint32_t block) {
   is_dirty_[block] = 1;
   dirty_blocks_.push_back(block);
   record_file_.BeginCell(WordOf(block));
@@ -151,10 +152,11 @@
   return block;
 }
 
-// False where the query has its share of blocks, or no block can be had.
+// False if the query has used its share of blocks, if no block can be freed, or if the query itself was
+// evicted for the block.
 bool QueryStore::AddBlock(StoredQuery& query) {
   if (query.blocks >= max_blocks_per_query_) return false;
-  // An ended query may itself be the one that is evicted for the block.
+  // TakeBlock may evict this query itself if it has ended.
   std::uint32_t serial = query.serial;
   std::uint32_t block = TakeBlock();
   if (block == kNoBlock) return false;
@@ -162,23 +164,23 @@
     free_blocks_.push_back(block);
     return false;
   }
-  Touch(block);
-  record_file_.Store(WordOf(block) + kUseWord, Join(query.serial, query.blocks));
+  MarkDirty(block);
+  record_file_.Store(WordOf(block) + kUseWord, JoinHalves(query.serial, query.blocks));
   record_file_.Store(WordOf(block) + kLinkWord, kNoBlock);
-  Touch(query.tail);
+  MarkDirty(query.tail);
   record_file_.Store(WordOf(query.tail) + kLinkWord, (LinkWord(query.tail) & ~kNextBlockMask) | block);
   query.tail = block;
   ++query.blocks;
-  if (query.retained) retention_.Grow(PlaceOf(query));
+  if (query.retained) retention_.Grow(PositionOf(query));
   return true;
 }
 
-void QueryStore::Evict(std::uint32_t place) {
-  StoredQuery& query = queries_[place];
+void QueryStore::Evict(std::uint32_t position) {
+  StoredQuery& query = queries_[position];
   counters_.Add(CounterOf(static_cast<RetentionGroup>(LinkWord(query.head) >> kGroupShift)));
-  retention_.Drop(place);
+  retention_.Drop(position);
   for (std::uint32_t block = query.head; block != kNoBlock;) {
-    // One word frees the block; its other words are overwritten when it is taken again.
+    // Clearing the use word frees the block; its other words are overwritten when it is reused.
     std::uint32_t next = LowHalf(LinkWord(block));
     record_file_.Store(WordOf(block) + kUseWord, 0);
     free_blocks_.push_back(block);
@@ -187,7 +189,7 @@
   if (query.query != 0) index_.Erase(query.query);
   query = {};
   query.next_free = free_query_;
-  free_query_ = place;
+  free_query_ = position;
 }
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/question.cpp
+++ b/src/decision_log/question.cpp
@@ -20,15 +20,15 @@
 constexpr std::size_t kMaxTraces = 500;
 constexpr double kMaxUnixSeconds = 1e11;
 
-std::optional<double> ReadReal(std::string_view text) {
+std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-// As 2026-12-01T09:30:00.5Z.
-std::optional<std::int64_t> ReadDateTime(const std::string& text) {
+// Parses a UTC time like 2026-12-01T09:30:00.5Z.
+std::optional<std::int64_t> ParseDateTime(const std::string& text) {
   std::tm utc{};
   const char* rest = ::strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &utc);
   if (rest == nullptr) return std::nullopt;
@@ -43,14 +43,14 @@
   return std::int64_t{::timegm(&utc)} * 1'000'000 + static_cast<std::int64_t>(fraction * 1e6);
 }
 
-std::optional<std::int64_t> ReadTime(const std::string& text, std::int64_t now_us) {
-  std::optional<double> seconds = ReadReal(text);
-  if (!seconds) return ReadDateTime(text);
+std::optional<std::int64_t> ParseTime(const std::string& text, std::int64_t now_us) {
+  std::optional<double> seconds = ParseNumber(text);
+  if (!seconds) return ParseDateTime(text);
   if (std::abs(*seconds) > kMaxUnixSeconds) return std::nullopt;
   return static_cast<std::int64_t>(*seconds * 1e6) + (text.starts_with('-') ? now_us : 0);
 }
 
-// What is wrong with a parameter's value, without the parameter's name; none where it was taken.
+// Why a parameter's value is invalid, without the parameter's name; nullopt if it was accepted.
 using Problem = std::optional<std::string>;
 
 Problem ReadId(const std::string& value, std::int64_t /*now_us*/, Question& question) {
@@ -83,22 +83,22 @@
   return std::nullopt;
 }
 
-Problem NoTime(const std::string& value) {
+Problem InvalidTime(const std::string& value) {
   return fmt::format("'{}' is no time such as 2026-12-01T09:30:00Z, 1796117400 or -90", Escaped(value));
 }
 
 Problem ReadSince(const std::string& value, std::int64_t now_us, Question& question) {
-  question.filter.from_us = ReadTime(value, now_us);
-  return question.filter.from_us ? std::nullopt : NoTime(value);
+  question.filter.from_us = ParseTime(value, now_us);
+  return question.filter.from_us ? std::nullopt : InvalidTime(value);
 }
 
 Problem ReadUntil(const std::string& value, std::int64_t now_us, Question& question) {
-  question.filter.to_us = ReadTime(value, now_us);
-  return question.filter.to_us ? std::nullopt : NoTime(value);
+  question.filter.to_us = ParseTime(value, now_us);
+  return question.filter.to_us ? std::nullopt : InvalidTime(value);
 }
 
 Problem ReadLimit(const std::string& value, std::int64_t /*now_us*/, Question& question) {
-  std::optional<double> limit = ReadReal(value);
+  std::optional<double> limit = ParseNumber(value);
   if (!limit || *limit < 1 || *limit > kMaxTraces || *limit != std::floor(*limit)) {
     return fmt::format("'{}' is no whole number from 1 to {}", Escaped(value), kMaxTraces);
   }
--- a/src/decision_log/question.h
+++ b/src/decision_log/question.h
@@ -1,4 +1,5 @@
-// A question about the record, as a page's or a command line's parameters ask it. Pure functions, any thread.
+// Parses questions about the record from the parameters of the `/-/why` page or of the command line. Pure
+// functions; usable from any thread.
 #ifndef LIFTRUDDER_DECISION_LOG_QUESTION_H_
 #define LIFTRUDDER_DECISION_LOG_QUESTION_H_
 
@@ -12,7 +13,7 @@
 
 namespace liftrudder::decision_log {
 
-using Parameters = std::vector<std::pair<std::string, std::string>>;  // names and values, unescaped
+using Parameters = std::vector<std::pair<std::string, std::string>>;  // decoded names and values
 
 struct Question {
   Filter filter;
@@ -20,13 +21,13 @@
   bool json = false;
 };
 
-// What is wrong with a question.
+// Why a question is invalid.
 struct QuestionError {
-  std::string parameter;  // which
-  std::string message;    // for whoever asked: names the parameter and the value
+  std::string parameter;  // the name of the invalid parameter
+  std::string message;    // for the user; names the parameter
 };
 
-// Times are Unix seconds with decimals, 2026-12-01T09:30:00Z, or -90 (seconds before `now_us`).
+// Accepts times as Unix seconds with decimals, as 2026-12-01T09:30:00Z, or as -90 (seconds before `now_us`).
 tl::expected<Question, QuestionError> ReadQuestion(const Parameters& parameters, std::int64_t now_us);
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kBlocksPerPause = 256;
 constexpr std::size_t kQueriesPerPause = 64;
 constexpr std::size_t kMaxChainBlocks = 65536;
-constexpr std::uint32_t kNever = 0xffffffff;  // a second
+constexpr std::uint32_t kNoSecond = 0xffffffff;  // not a second that occurs
 
 using BlockWords = std::array<std::uint64_t, kBlockWords>;
 
@@ -28,17 +28,19 @@
   std::uint64_t hash = HashId(id);
   std::uint64_t label_hash = HashLabel(id);
   if (!trace.label.empty() && trace.label_hash == label_hash) return true;
-  // An id that was kept whole is compared itself.
+  // An id that was stored in full is also compared itself.
   if (trace.id_hash == hash && (trace.id_cut || trace.call_id == id)) return true;
-  // Of a rejection at intake the id may be a label that its front had cut.
+  // For a rejection at intake, the id may be a label that its front truncated.
   return trace.verdict == Verdict::kRejectedAtIntake && trace.id_hash == label_hash;
 }
 
 bool MatchesEndpoint(const QueryTrace& trace, const std::string& endpoint) {
-  auto is_it = [&endpoint](const EndpointName& name) { return name.id == endpoint || name.addr == endpoint; };
-  if (is_it(trace.overloaded_endpoint)) return true;
-  return std::ranges::any_of(trace.shard_requests, [&is_it](const ShardRequestTrace& shard_request) {
-    return std::ranges::any_of(shard_request.attempts, is_it, &AttemptTrace::endpoint);
+  auto is_named = [&endpoint](const EndpointName& name) {
+    return name.id == endpoint || name.addr == endpoint;
+  };
+  if (is_named(trace.overloaded_endpoint)) return true;
+  return std::ranges::any_of(trace.shard_requests, [&is_named](const ShardRequestTrace& shard_request) {
+    return std::ranges::any_of(shard_request.attempts, is_named, &AttemptTrace::endpoint);
   });
 }
 
@@ -52,7 +54,7 @@
   return !filter.endpoint || MatchesEndpoint(trace, *filter.endpoint);
 }
 
-bool IsHead(std::uint64_t use_word) { return LowHalf(use_word) != 0 && ChainPlace(use_word) == 0; }
+bool IsHead(std::uint64_t use_word) { return LowHalf(use_word) != 0 && ChainPosition(use_word) == 0; }
 
 void ReadHeadWord(std::uint64_t link_word, QueryTrace& trace) {
   std::uint8_t flags = ByteAt(link_word, kFlagsShift / 8);
@@ -67,7 +69,8 @@
 Reader::Reader(const RecordFile& record_file, std::function<void()> pause)
     : record_file_(record_file), pause_(std::move(pause)), origin_(record_file.ReadOrigin()) {}
 
-// A look at the unguarded words first: most blocks begin no query, or one that the filter rules out here.
+// Pre-checks a block without copying its cell: most blocks do not begin a query, or begin one that the filter
+// excludes here.
 bool Reader::MayMatch(std::size_t block, const Filter& filter, const IdHashes& wanted) const {
   std::size_t at = record_file_.layout().BlockWord(block);
   std::uint64_t use = record_file_.Load(at + kUseWord);
@@ -77,14 +80,14 @@
     return false;
   }
   if (!filter.id) return true;
-  auto names_it = [&](std::size_t word) {
+  auto matches_hash = [&](std::size_t word) {
     std::uint64_t hash = record_file_.Load(at + kBlockHeadWords + word);
     return hash == wanted.id || hash == wanted.label;
   };
-  return names_it(kIdHashWord) || names_it(kLabelHashWord);
+  return matches_hash(kIdHashWord) || matches_hash(kLabelHashWord);
 }
 
-// Newest first.
+// Returns the newest query first.
 std::vector<Reader::QueryHead> Reader::FindHeads(const Filter& filter, SearchResult& result) const {
   const Layout& layout = record_file_.layout();
   IdHashes wanted;
@@ -108,37 +111,38 @@
         break;
     }
   }
-  // Serial numbers wrap around after 2^32 queries; the difference still says which is newer.
+  // Serial numbers wrap around after 2^32 queries; their difference still tells which query is newer.
   std::ranges::sort(heads, [](const QueryHead& a, const QueryHead& b) {
     return static_cast<std::int32_t>(a.serial - b.serial) > 0;
   });
   return heads;
 }
 
-// None where the query was evicted meanwhile.
+// Nullopt if the query was evicted in the meantime or its first block cannot be read.
 std::optional<QueryTrace> Reader::ReadQuery(QueryHead head, SearchResult& result) const {
   const Layout& layout = record_file_.layout();
   QueryTrace trace;
   trace.serial = head.serial;
   BlockWords words;
   std::uint32_t block = head.block;
-  for (std::size_t place = 0; block != kNoBlock && place < kMaxChainBlocks; ++place) {
+  for (std::size_t position = 0; block != kNoBlock && position < kMaxChainBlocks; ++position) {
     bool exists = block < layout.blocks;
     auto state =
         exists ? record_file_.ReadCell(layout.BlockWord(block), words) : RecordFile::CellState::kTorn;
-    // A block that was freed while it was read is no damage.
+    // A block that was freed during the read is not damaged.
     bool freed = exists && LowHalf(record_file_.Load(layout.BlockWord(block) + kUseWord)) == 0;
     if (state == RecordFile::CellState::kBusy) ++result.busy_blocks;
     if (state == RecordFile::CellState::kTorn && !freed) ++result.torn_blocks;
-    // Where it was evicted while it was read, the block is another query's now.
-    bool is_its_own = state == RecordFile::CellState::kGood && LowHalf(words[kUseWord]) == head.serial &&
-                      ChainPlace(words[kUseWord]) == (place & 0xffff);
-    if (!is_its_own && place == 0) return std::nullopt;
-    if (!is_its_own) {
+    // If the query was evicted during the read, the block may belong to another query now.
+    bool belongs_to_query = state == RecordFile::CellState::kGood &&
+                            LowHalf(words[kUseWord]) == head.serial &&
+                            ChainPosition(words[kUseWord]) == (position & 0xffff);
+    if (!belongs_to_query && position == 0) return std::nullopt;
+    if (!belongs_to_query) {
       trace.torn = true;
       break;
     }
-    if (place == 0) ReadHeadWord(words[kLinkWord], trace);
+    if (position == 0) ReadHeadWord(words[kLinkWord], trace);
     std::size_t used = std::min<std::size_t>(words[kUseWord] >> kUsedShift, kMaxEventWords);
     if (!DecodeEvents(record_file_, std::span(words).subspan(kBlockHeadWords, used), trace)) {
       ++result.torn_blocks;
@@ -155,22 +159,22 @@
   const Layout& layout = record_file_.layout();
   std::uint64_t id_hash = HashId(id);
   std::uint64_t label_hash = HashLabel(id);
-  std::uint32_t oldest = kNever;
+  std::uint32_t oldest = kNoSecond;
   bool full = true;
   for (std::size_t i = 0; i < layout.occurrences; ++i) {
     std::uint64_t hash = record_file_.Load(layout.occurrence_start + 2 * i);
-    std::uint64_t what = record_file_.Load(layout.occurrence_start + 2 * i + 1);
-    if (what == 0) {
+    std::uint64_t details = record_file_.Load(layout.occurrence_start + 2 * i + 1);
+    if (details == 0) {
       full = full && hash != 0;
       continue;
     }
-    oldest = std::min(oldest, LowHalf(what));
-    bool torn = ByteAt(what, 7) != (hash & 0xff);
+    oldest = std::min(oldest, LowHalf(details));
+    bool torn = ByteAt(details, 7) != (hash & 0xff);
     if (torn || (hash != id_hash && hash != label_hash)) continue;
     result.occurrences.push_back(
-        {LowHalf(what), static_cast<Verdict>(ByteAt(what, 4)), ByteAt(what, 5), ByteAt(what, 6)});
+        {LowHalf(details), static_cast<Verdict>(ByteAt(details, 4)), ByteAt(details, 5), ByteAt(details, 6)});
   }
-  result.occurrences_since_s = full && oldest != kNever ? oldest : 0;
+  result.occurrences_since_s = full && oldest != kNoSecond ? oldest : 0;
   auto& occurrences = result.occurrences;
   std::ranges::sort(occurrences, {}, &QueryOccurrence::second);
   if (occurrences.size() > kMaxOccurrences) {
--- a/src/decision_log/reader.h
+++ b/src/decision_log/reader.h
@@ -1,7 +1,7 @@
-// Reads the record, of this program while it runs or from a file that a dead one left: finds queries by id or
-// filter, and puts their traces together from blocks that may be changing under it. Never waits for the
-// writer and holds nothing that it wants. Any thread; each call allocates what it returns and an index of the
-// queries, bounded by the record's size.
+// Reads the record of the running program, or a file that an earlier one left: finds queries by id or filter
+// and assembles their traces from blocks that may change during the read. Never waits for the writer and
+// holds no lock. Usable from any thread; each call allocates its result and a list of the queries, bounded by
+// the size of the record.
 #ifndef LIFTRUDDER_DECISION_LOG_READER_H_
 #define LIFTRUDDER_DECISION_LOG_READER_H_
 
@@ -25,36 +25,37 @@
   std::optional<std::string> endpoint;  // id or address
   std::optional<Verdict> verdict;
   std::optional<std::string> reason;           // the name of a CompletionCause or an IntakeResult
-  std::optional<std::int64_t> from_us, to_us;  // of arrival, by the program's clock
+  std::optional<std::int64_t> from_us, to_us;  // time of arrival, by the program's clock
   std::size_t limit = 20;
 };
 
-// That a query with some id was seen, whether it is still in the record or not.
+// A query with some id was seen, whether or not it is still in the record.
 struct QueryOccurrence {
-  std::int64_t second = 0;  // when it ended or was rejected
+  std::int64_t second = 0;  // when it ended, was rejected or found no space
   Verdict verdict = Verdict::kOpen;
   int class_index = 0;
-  std::uint8_t cause = 0;  // a CompletionCause, or an IntakeResult where it was rejected at intake
+  std::uint8_t cause = 0;  // a CompletionCause, or an IntakeResult for a rejection at intake
 };
 
-constexpr std::size_t kMaxOccurrences = 16;  // given of one id: a client may use it for ever
+constexpr std::size_t kMaxOccurrences = 16;  // reported per id, since a client may reuse an id without limit
 
 struct SearchResult {
-  std::size_t visited = 0;      // queries given to the visitor
-  bool more = false;            // the limit was met, or the visitor had enough
-  std::size_t busy_blocks = 0;  // that were being written
-  std::size_t torn_blocks = 0;  // that do not fit their checksum
-  // Where an id was asked for: the newest kMaxOccurrences, oldest first.
+  std::size_t visited = 0;      // queries passed to the visitor
+  bool more = false;            // the limit was reached, or the visitor stopped
+  std::size_t busy_blocks = 0;  // skipped: being written
+  std::size_t torn_blocks = 0;  // damaged: wrong checksum or invalid events
+  // For a filter by id: the newest kMaxOccurrences, oldest first.
   std::vector<QueryOccurrence> occurrences;
-  std::int64_t occurrences_since_s = 0;  // older ones have been overwritten; 0: none have
+  std::int64_t occurrences_since_s = 0;  // older ones have been overwritten; 0: none has
 };
 
 class Reader {
  public:
-  // `pause` is called now and then during a scan, so that a caller can leave the processor to others.
+  // `pause` is called at intervals during a scan, so that the caller can yield the CPU.
   explicit Reader(const RecordFile& record_file, std::function<void()> pause = {});
 
-  // Gives what fits to `visit`, newest first and one at a time, so that only one is in memory; false: enough.
+  // Passes the queries that match the filter to `visit`, newest first and with one in memory at a time.
+  // `visit` returns false to stop.
   SearchResult Find(const Filter& filter, const std::function<bool(const QueryTrace&)>& visit) const;
   Summary Summarize() const { return decision_log::Summarize(record_file_); }
   const RecordOrigin& origin() const { return origin_; }
--- a/src/decision_log/reason_text.cpp
+++ b/src/decision_log/reason_text.cpp
@@ -103,7 +103,7 @@
   return "";
 }
 
-// The candidates that were, or were not, eligible, but for the endpoint that was chosen.
+// Lists the candidates that were eligible, or those that were not, without the chosen endpoint.
 std::string ListCandidates(const std::vector<CandidateTrace>& candidates, bool eligible,
                            std::string_view chosen_id) {
   std::string out;
@@ -118,13 +118,13 @@
   return out;
 }
 
-// What the choice of an endpoint was made from.
+// The facts on which the choice of an endpoint was based.
 struct ChoiceSummary {
   int in_flight = -1;  // at the chosen endpoint
-  int fewest = -1;     // at any eligible one
+  int fewest = -1;     // at any eligible endpoint
   int with_fewest = 0;
   int eligible = 0;
-  Eligibility eligibility = Eligibility::kEligible;  // of the chosen one
+  Eligibility eligibility = Eligibility::kEligible;  // of the chosen endpoint
 };
 
 ChoiceSummary SummarizeChoice(const AttemptTrace& attempt) {
@@ -175,9 +175,8 @@
     case CompletionCause::kEndpointLoad: {
       const EndpointName& endpoint = trace.overloaded_endpoint;
       return fmt::format(
-          "its slowest shard request was expected to take {:.2f} times the latency objective{}, queries are "
-          "shed "
-          "from {:.2f}",
+          "its slowest shard request was expected to take {:.2f} times the latency objective{}, "
+          "queries are shed from {:.2f}",
           observed, endpoint.number != 0 ? " (at " + Escaped(endpoint.id) + ")" : "", threshold);
     }
     case CompletionCause::kNoRemainingValue:
@@ -257,13 +256,13 @@
       out += fmt::format(" ({})", EligibilityText(choice.eligibility));
     }
   } else if (choice.in_flight > choice.fewest) {
-    // Chosen by key affinity, or counted by call, where the settings say so.
+    // Happens with settings that choose by key affinity or that count by call.
     out = fmt::format("with {} of our shard requests in flight there", choice.in_flight);
   } else {
     out = FewestText(attempt, choice);
   }
-  std::string rest = ListCandidates(attempt.candidates, false, attempt.endpoint.id);
-  return rest.empty() ? out : out + "; not eligible: " + rest;
+  std::string ineligible = ListCandidates(attempt.candidates, false, attempt.endpoint.id);
+  return ineligible.empty() ? out : out + "; not eligible: " + ineligible;
 }
 
 const char* CancelText(CancelReason reason) {
@@ -293,15 +292,15 @@
                          pending.threshold, pending.observed);
     case PendingReason::kEndpointLoad:
       return fmt::format(
-          "was dropped: the best endpoint would have taken {:.2f} times the latency objective, {:.2f} at "
-          "most is "
-          "tried",
+          "was dropped: the best endpoint would have taken {:.2f} times the latency objective, "
+          "{:.2f} at most is tried",
           pending.observed, pending.threshold);
     case PendingReason::kCanary:
       return "waited for the shard request of its query that was sent ahead";
     case PendingReason::kNoEndpoint: {
-      std::string rest = ListCandidates(pending.candidates, false, "");
-      return "had no eligible endpoint: " + (rest.empty() ? "no endpoint of its shard is known" : rest);
+      std::string ineligible = ListCandidates(pending.candidates, false, "");
+      return "had no eligible endpoint: " +
+             (ineligible.empty() ? "no endpoint of its shard is known" : ineligible);
     }
     case PendingReason::kRetryBudget:
       return "was not retried: the retry budget is used up";
@@ -311,9 +310,8 @@
     case PendingReason::kNotRepeatable:
       return "was not retried: it may have run, and this class must not run twice (any more)";
     case PendingReason::kPoisonQuery:
-      return "was not retried: a suspected poison query, since its endpoint was lost with it and no shard "
-             "request "
-             "of it had been answered";
+      return "was not retried: a suspected poison query, since its endpoint was lost with it and "
+             "no shard request of it had been answered";
     case PendingReason::kDeadline:
       return fmt::format("was not sent: only {:.3f} s were left, and {:.3f} s are reserved", pending.observed,
                          pending.threshold);
--- a/src/decision_log/record_counters.h
+++ b/src/decision_log/record_counters.h
@@ -1,5 +1,6 @@
-// The record's tables of numbers: counters by second and in total, counts of endpoints, and occurrences
-// (which ids were seen, kept or not). Writes to the record and allocates nothing. The writer's thread.
+// Writes the record's tables: counters per second and in total, names and counts of endpoints, and
+// occurrences (the ids that were seen, whether or not their queries were kept). Allocates nothing. Used by
+// the writer's thread only.
 #ifndef LIFTRUDDER_DECISION_LOG_RECORD_COUNTERS_H_
 #define LIFTRUDDER_DECISION_LOG_RECORD_COUNTERS_H_
 
@@ -14,7 +15,7 @@
 namespace liftrudder::decision_log {
 
 constexpr std::int64_t kCounterSecondUs = 1'000'000;
-constexpr int kBucketShift = 48;  // where a word of an endpoint's counts has its bucket's number
+constexpr int kBucketShift = 48;  // position of the bucket's number in a word of an endpoint's counts
 constexpr std::uint64_t kBucketMask = 0xffff;
 constexpr std::uint64_t kMaxCounter = 0xffffffff;
 
@@ -25,13 +26,13 @@
 
   void SetTime(std::int64_t now_us) { now_us_ = now_us; }
 
-  // `counter`: one of CounterOf.
+  // `counter` is a result of CounterOf.
   void Add(std::size_t counter, std::uint64_t count = 1);
   void AddEndpoint(std::uint32_t endpoint, EndpointCount kind);
-  // Writes the endpoint's name; where its slot had another's, that one's counts are dropped.
+  // Writes the endpoint's id and address. If its slot held another endpoint, that one's counts are cleared.
   void SetEndpointName(std::uint32_t number, std::string_view id, std::string_view address);
-  // That a query with this id was seen; `cause` is a CompletionCause, or an IntakeResult of one rejected at
-  // intake.
+  // Records that a query with this id was seen. `cause` is a CompletionCause, or an IntakeResult for a
+  // rejection at intake.
   void AddOccurrence(std::uint64_t id_hash, Verdict verdict, std::uint8_t class_index, std::uint8_t cause);
 
  private:
@@ -40,9 +41,10 @@
   std::uint64_t next_occurrence_ = 0;
 };
 
-// Counted on the hot path: each event adds to several counters.
+// Inline, since they are on the hot path: each event adds to several counters.
 
-// A word holds a second and a count, so it is never torn; a slot with an older second begins anew.
+// A word holds both the second and the count, so that a reader never sees one without the other. A slot with
+// an older second is restarted.
 inline void RecordCounters::Add(std::size_t counter, std::uint64_t count) {
   const Layout& layout = record_file_.layout();
   record_file_.Store(layout.total_start + counter, record_file_.Load(layout.total_start + counter) + count);
@@ -57,8 +59,8 @@
   auto bucket = static_cast<std::uint32_t>(now_us_ / kCounterSecondUs / kBucketSeconds);
   std::size_t at = record_file_.layout().EndpointCountWord(endpoint) + bucket % kCountBuckets;
   std::uint64_t word = record_file_.Load(at);
-  std::uint64_t mark = bucket & kBucketMask;
-  if (word >> kBucketShift != mark) word = mark << kBucketShift;
+  std::uint64_t bucket_number = bucket & kBucketMask;
+  if (word >> kBucketShift != bucket_number) word = bucket_number << kBucketShift;
   int shift = static_cast<int>(kind) * kEndpointCountBits;
   if ((word >> shift & kMaxEndpointCount) < kMaxEndpointCount) word += std::uint64_t{1} << shift;
   record_file_.Store(at, word);
--- a/src/decision_log/record_file.cpp
+++ b/src/decision_log/record_file.cpp
@@ -18,14 +18,14 @@
 
 constexpr std::size_t kPageBytes = 4096;
 constexpr std::size_t kWordBytes = 8;
-constexpr std::uint64_t kMagic = 0x0a79685772724c89ULL;  // 0x89 "Lrr" "Why" and a newline, least first
-constexpr int kReadAttempts = 4;                         // at a cell that is being written
+constexpr std::uint64_t kMagic = 0x0a79685772724c89ULL;  // the bytes 0x89 "LrrWhy\n", little-endian
+constexpr int kReadAttempts = 4;                         // of a cell that is being written
 constexpr mode_t kFileMode = 0640;
 
 // The header's words.
 constexpr std::size_t kMagicWord = 0;
 constexpr std::size_t kVersionWord = 1;  // low half: version; high half: bytes of a block
-constexpr std::size_t kSizeWord = 2;     // bytes of the whole
+constexpr std::size_t kSizeWord = 2;     // total size in bytes
 constexpr std::size_t kStartWord = 3;
 constexpr std::size_t kNameWord = 4;
 constexpr std::size_t kNameBytes = 64;
@@ -38,12 +38,12 @@
 
 std::string ErrnoText(int error) { return std::strerror(error); }
 
-class Descriptor {
+class FileDescriptor {
  public:
-  explicit Descriptor(int fd) : fd_(fd) {}
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
-  ~Descriptor() {
+  explicit FileDescriptor(int fd) : fd_(fd) {}
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  ~FileDescriptor() {
     if (fd_ >= 0) ::close(fd_);
   }
   int fd() const { return fd_; }
@@ -56,29 +56,30 @@
   return static_cast<std::uint32_t>(XXH3_64bits(words, count * kWordBytes));
 }
 
-// Text in a field of so many bytes, the last of which is always 0.
-std::string TextIn(const char* field, std::size_t field_bytes) {
+// The text in a field of `field_bytes` bytes, the last of which is always 0.
+std::string ReadTextField(const char* field, std::size_t field_bytes) {
   return {field, ::strnlen(field, field_bytes - 1)};
 }
 
-void PutTextIn(char* field, std::size_t field_bytes, const std::string& text) {
+void WriteTextField(char* field, std::size_t field_bytes, const std::string& text) {
   // NOLINTNEXTLINE(bugprone-not-null-terminated-result): the field's last byte stays 0, as it was mapped.
   std::memcpy(field, text.data(), std::min(text.size(), field_bytes - 1));
 }
 
-// Null where there is no memory.
+// Null if the mapping fails.
 std::uint64_t* MapMemory(std::size_t bytes, int flags, int fd) {
   void* memory = ::mmap(nullptr, bytes, PROT_READ | PROT_WRITE, flags, fd, 0);
   return memory == MAP_FAILED ? nullptr : static_cast<std::uint64_t*>(memory);
 }
 
-void ReadWhole(const Descriptor& file, const std::string& path, std::uint64_t* words, std::size_t size) {
+void ReadFully(const FileDescriptor& file, const std::string& path, std::uint64_t* words, std::size_t size) {
   std::size_t done = 0;
   while (done < size) {
     ssize_t count =
         ::pread(file.fd(), reinterpret_cast<char*>(words) + done, size - done, static_cast<off_t>(done));
     if (count <= 0) {
-      throw RecordFileError(path, "cut short while it was read, at byte " + std::to_string(done));
+      throw RecordFileError(path,
+                            "the read failed or the file was truncated, at byte " + std::to_string(done));
     }
     done += static_cast<std::size_t>(count);
   }
@@ -87,7 +88,8 @@
 }  // namespace
 
 RecordFileError::RecordFileError(const std::string& path, const std::string& problem)
-    : std::runtime_error(path.empty() ? "record: " + problem : fmt::format("record {}: {}", path, problem)) {}
+    : std::runtime_error(path.empty() ? "decision log: " + problem
+                                      : fmt::format("record file {}: {}", path, problem)) {}
 
 Layout Layout::Of(std::size_t bytes) {
   constexpr std::size_t kBytesPerOccurrence = 128;
@@ -110,7 +112,7 @@
 RecordFile RecordFile::InMemory(std::size_t bytes, const RecordOrigin& origin) {
   Layout layout = Layout::Of(bytes);
   std::uint64_t* words = MapMemory(layout.bytes, MAP_PRIVATE | MAP_ANONYMOUS | MAP_POPULATE, -1);
-  if (words == nullptr) throw RecordFileError("", fmt::format("no memory for {} bytes", layout.bytes));
+  if (words == nullptr) throw RecordFileError("", fmt::format("cannot allocate {} bytes", layout.bytes));
   RecordFile record_file(words, layout, false);
   record_file.WriteHeader(origin);
   return record_file;
@@ -118,16 +120,17 @@
 
 RecordFile RecordFile::InFile(const std::string& path, std::size_t bytes, const RecordOrigin& origin) {
   Layout layout = Layout::Of(bytes);
-  std::string old = path + ".old";
-  if (::rename(path.c_str(), old.c_str()) != 0 && errno != ENOENT) {
-    throw RecordFileError(path, fmt::format("cannot be kept as {}: {}", old, ErrnoText(errno)));
+  std::string old_path = path + ".old";
+  if (::rename(path.c_str(), old_path.c_str()) != 0 && errno != ENOENT) {
+    throw RecordFileError(path, fmt::format("cannot be renamed to {}: {}", old_path, ErrnoText(errno)));
   }
-  Descriptor file(::open(path.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode));
-  if (file.fd() < 0) throw RecordFileError(path, "cannot be made: " + ErrnoText(errno));
-  // Claimed on the disk now: writing to a mapped page without space there would end the program.
+  FileDescriptor file(::open(path.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode));
+  if (file.fd() < 0) throw RecordFileError(path, "cannot be created: " + ErrnoText(errno));
+  // Allocates the disk space now: a write to a mapped page without disk space would raise SIGBUS.
   if (int error = ::posix_fallocate(file.fd(), 0, static_cast<off_t>(layout.bytes)); error != 0) {
     ::unlink(path.c_str());
-    throw RecordFileError(path, fmt::format("no room for {} bytes: {}", layout.bytes, ErrnoText(error)));
+    throw RecordFileError(
+        path, fmt::format("cannot allocate {} bytes of disk space: {}", layout.bytes, ErrnoText(error)));
   }
   std::uint64_t* words = MapMemory(layout.bytes, MAP_SHARED | MAP_POPULATE, file.fd());
   if (words == nullptr) throw RecordFileError(path, "cannot be mapped: " + ErrnoText(errno));
@@ -137,49 +140,49 @@
 }
 
 RecordFile RecordFile::Open(const std::string& path) {
-  Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+  FileDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.fd() < 0) throw RecordFileError(path, "cannot be opened: " + ErrnoText(errno));
-  struct stat status {};
-  if (::fstat(file.fd(), &status) != 0 || !S_ISREG(status.st_mode)) throw RecordFileError(path, "not a file");
-  auto size = static_cast<std::size_t>(status.st_size);
+  struct stat st {};
+  if (::fstat(file.fd(), &st) != 0 || !S_ISREG(st.st_mode)) throw RecordFileError(path, "not a regular file");
+  auto size = static_cast<std::size_t>(st.st_size);
   if (size < kHeaderBytes) {
     throw RecordFileError(
-        path, fmt::format("cut short: {} bytes, and the header alone has {}", size, kHeaderBytes));
+        path, fmt::format("truncated: {} bytes, but the header alone has {} bytes", size, kHeaderBytes));
   }
-  // A copy, not a mapping: a file that shrinks while it is read must not end this program.
+  // Reads a copy instead of mapping the file: if the file shrank while mapped, a read would kill the program.
   std::uint64_t* words = MapMemory(size, MAP_PRIVATE | MAP_ANONYMOUS, -1);
-  if (words == nullptr) throw RecordFileError(path, "no memory to read it");
+  if (words == nullptr) throw RecordFileError(path, "not enough memory to read it");
   Layout unchecked;
   unchecked.bytes = size;
   RecordFile record_file(words, unchecked, true);
-  ReadWhole(file, path, words, size);
+  ReadFully(file, path, words, size);
   record_file.layout_ = record_file.CheckedLayout(path);
   return record_file;
 }
 
-// The layout that the header gives, once the header is known to be a record's; layout_.bytes is the file's
-// size. Throws RecordFileError.
+// Validates the header and returns the layout that it states. layout_.bytes is the size of the file. Throws
+// RecordFileError.
 Layout RecordFile::CheckedLayout(const std::string& path) const {
   const std::size_t size = layout_.bytes;
   const std::uint64_t stated_size = words_[kSizeWord];
   if (words_[kMagicWord] != kMagic) {
-    throw RecordFileError(path, "not a record of decisions (its first bytes are others)");
+    throw RecordFileError(path, "not a decision log (the magic number does not match)");
   }
   auto version = static_cast<std::uint32_t>(words_[kVersionWord]);
   if (version != kFormatVersion) {
     throw RecordFileError(
-        path, fmt::format("of version {}; this program reads version {}", version, kFormatVersion));
+        path, fmt::format("format version {}; this program reads version {}", version, kFormatVersion));
   }
   if (stated_size > size) {
-    throw RecordFileError(path, fmt::format("cut short: {} of {} bytes", size, stated_size));
+    throw RecordFileError(path, fmt::format("truncated: {} of {} bytes", size, stated_size));
   }
   if (Checksum(words_, kHeaderWords) != words_[kChecksumWord]) {
-    throw RecordFileError(path, "its header does not fit its checksum");
+    throw RecordFileError(path, "the header does not match its checksum");
   }
   Layout layout = Layout::Of(stated_size);
   if (stated_size != size || layout.bytes != size || words_[kVersionWord] >> 32 != kBlockBytes) {
     throw RecordFileError(path,
-                          fmt::format("of another size: {} bytes, its header says {}", size, stated_size));
+                          fmt::format("wrong size: {} bytes, but the header states {}", size, stated_size));
   }
   return layout;
 }
@@ -196,9 +199,10 @@
   words_[kVersionWord] = kBlockBytes << 32 | kFormatVersion;
   words_[kSizeWord] = layout_.bytes;
   words_[kStartWord] = static_cast<std::uint64_t>(origin.started_us);
-  PutTextIn(bytes + kNameWord * kWordBytes, kNameBytes, origin.name);
+  WriteTextField(bytes + kNameWord * kWordBytes, kNameBytes, origin.name);
   for (std::size_t i = 0; i < std::min(origin.classes.size(), kMaxClasses); ++i) {
-    PutTextIn(bytes + kClassesWord * kWordBytes + i * kClassNameBytes, kClassNameBytes, origin.classes[i]);
+    WriteTextField(bytes + kClassesWord * kWordBytes + i * kClassNameBytes, kClassNameBytes,
+                   origin.classes[i]);
   }
   words_[kMagicWord] = kMagic;
   words_[kChecksumWord] = Checksum(words_, kHeaderWords);
@@ -208,9 +212,10 @@
   const char* bytes = reinterpret_cast<const char*>(words_);
   RecordOrigin out;
   out.started_us = static_cast<std::int64_t>(words_[kStartWord]);
-  out.name = TextIn(bytes + kNameWord * kWordBytes, kNameBytes);
+  out.name = ReadTextField(bytes + kNameWord * kWordBytes, kNameBytes);
   for (std::size_t i = 0; i < kMaxClasses; ++i) {
-    std::string name = TextIn(bytes + kClassesWord * kWordBytes + i * kClassNameBytes, kClassNameBytes);
+    std::string name =
+        ReadTextField(bytes + kClassesWord * kWordBytes + i * kClassNameBytes, kClassNameBytes);
     if (name.empty()) break;
     out.classes.push_back(std::move(name));
   }
@@ -218,7 +223,7 @@
 }
 
 void RecordFile::BeginCell(std::size_t cell_word) {
-  // The release of each word that follows keeps it behind this one for whoever acquires it.
+  // Each later word is stored with release order, so that a reader that acquires it also sees this store.
   Store(cell_word, (Load(cell_word) & kSequenceMask) | 1);
 }
 
@@ -236,8 +241,8 @@
     out[0] = before;
     for (std::size_t i = 1; i < out.size(); ++i) out[i] = Load(cell_word + i);
     if (Load(cell_word) != before) continue;
-    bool fits = !checksums_ || Checksum(out.data() + 1, out.size() - 1) == before >> 32;
-    return fits ? CellState::kGood : CellState::kTorn;
+    bool checksum_matches = !checksums_ || Checksum(out.data() + 1, out.size() - 1) == before >> 32;
+    return checksum_matches ? CellState::kGood : CellState::kTorn;
   }
   return CellState::kBusy;
 }
--- a/src/decision_log/record_file.h
+++ b/src/decision_log/record_file.h
@@ -1,9 +1,8 @@
-// The bytes of the decision record: a fixed size, claimed once, laid out as docs/design/why.md says byte by
-// byte. Either plain memory or a mapped file that outlives the process. It never grows and knows nothing of
-// what the words mean.
+// The bytes of the decision log: allocated once with a fixed size, either in plain memory or in a mapped file
+// that outlives the process. docs/design/why.md describes the layout byte by byte. Does not interpret blocks.
 //
-// One writer and any number of readers may use it at once: words are stored with release and loaded with
-// acquire order, and cells tell a reader whether the writer came in between.
+// One writer and any number of readers may use it concurrently: words are stored with release and loaded with
+// acquire order, and cells tell a reader whether the writer changed them during the read.
 #ifndef LIFTRUDDER_DECISION_LOG_RECORD_FILE_H_
 #define LIFTRUDDER_DECISION_LOG_RECORD_FILE_H_
 
@@ -23,28 +22,28 @@
 constexpr std::size_t kBlockWords = 32;      // 256 bytes
 constexpr std::size_t kBlockHeadWords = 3;   // see record_format.h
 constexpr std::size_t kEndpointWords = 16;   // an endpoint's id and address
-constexpr std::size_t kMaxEndpoints = 1024;  // whose names and counts are kept at a time
+constexpr std::size_t kMaxEndpoints = 1024;  // with names and counts kept at a time
 // An endpoint's counts: a word for each bucket of kBucketSeconds, with the bucket's number and a count for
 // each EndpointCount.
 constexpr std::size_t kCountBuckets = 8;
 constexpr std::uint32_t kBucketSeconds = 8;
 constexpr int kEndpointCountBits = 12;
-constexpr std::uint64_t kMaxEndpointCount = (1u << kEndpointCountBits) - 1;  // it counts no further
-constexpr std::size_t kCounterSeconds = 64;  // counters are kept second by second for so long
+constexpr std::uint64_t kMaxEndpointCount = (1u << kEndpointCountBits) - 1;  // counts saturate here
+constexpr std::size_t kCounterSeconds = 64;  // for which counters are kept second by second
 constexpr std::size_t kCounters = 96;        // see counts.h
 constexpr std::size_t kMaxClasses = 16;
 constexpr std::size_t kClassNameBytes = 32;
 constexpr std::size_t kMinRecordBytes = 512 * 1024;
-constexpr std::size_t kMaxRecordBytes = 64 * 1024 * 1024;  // a scan, with its pauses, ends within some 2 s
+constexpr std::size_t kMaxRecordBytes = 64 * 1024 * 1024;  // a scan, with its pauses, ends within about 2 s
 
-// Where everything lies. All follows from the size alone, so that a reader can check it.
+// The positions of all tables. They follow from the size alone, so that a reader can verify them.
 struct Layout {
-  std::size_t bytes = 0;  // of the whole, a multiple of 4,096
+  std::size_t bytes = 0;  // total size, a multiple of 4,096
   // Numbers of slots.
   std::size_t endpoints = 0;
   std::size_t occurrences = 0;
   std::size_t blocks = 0;
-  // Where each table begins, in words from the file's beginning.
+  // The start of each table, in words from the start of the file.
   std::size_t endpoint_start = 0;
   std::size_t endpoint_count_start = 0;
   std::size_t total_start = 0;
@@ -52,7 +51,7 @@
   std::size_t occurrence_start = 0;
   std::size_t block_start = 0;
 
-  // `bytes` is brought within kMinRecordBytes and kMaxRecordBytes, and rounded down to whole pages.
+  // The layout for `bytes`, clamped to kMinRecordBytes and kMaxRecordBytes and rounded down to whole pages.
   static Layout Of(std::size_t bytes);
 
   std::size_t BlockWord(std::size_t block) const { return block_start + block * kBlockWords; }
@@ -64,14 +63,14 @@
   }
 };
 
-// Who wrote a record, as its header says.
+// The writer of a record, as stated in the header.
 struct RecordOrigin {
-  std::string name;                  // of the coordinator, cut at 63 bytes
+  std::string name;                  // of the coordinator, truncated to 63 bytes
   std::int64_t started_us = 0;       // by the program's clock, which starts at wall time
-  std::vector<std::string> classes;  // at most kMaxClasses, each cut at 31 bytes
+  std::vector<std::string> classes;  // at most kMaxClasses, each truncated to 31 bytes
 };
 
-// A record that cannot be made or read; what() names the file and the reason.
+// Thrown if a record cannot be created or read; what() names the file and the reason.
 class RecordFileError : public std::runtime_error {
  public:
   RecordFileError(const std::string& path, const std::string& problem);
@@ -79,13 +78,13 @@
 
 class RecordFile {
  public:
-  // Claims and touches the memory now, so that no page is missing later. Throws RecordFileError.
+  // Allocates and populates the memory at once, so that no page is missing later. Throws RecordFileError.
   static RecordFile InMemory(std::size_t bytes, const RecordOrigin& origin);
-  // The same in a file, whose space on the disk is claimed too. A file that is there already is kept as
-  // PATH.old, since a killed process may just have left it. Throws RecordFileError.
+  // The same in a file, with its disk space allocated too. An existing file is renamed to PATH.old, since a
+  // killed process may have left it. Throws RecordFileError.
   static RecordFile InFile(const std::string& path, std::size_t bytes, const RecordOrigin& origin);
-  // Reads a copy of what a running or a dead program wrote. Throws RecordFileError: not a record, of another
-  // version, cut short, or with a header that does not fit its checksum.
+  // Reads a copy of the file of a running or ended program. Throws RecordFileError if the file is not a
+  // record, has another version, is truncated, or its header does not match its checksum.
   static RecordFile Open(const std::string& path);
 
   RecordFile(RecordFile&& other) noexcept;
@@ -102,12 +101,14 @@
     std::atomic_ref<std::uint64_t>(words_[word]).store(value, std::memory_order_release);
   }
 
-  // A cell is a run of words guarded by its first: a sequence number, odd while the cell is being written,
-  // and in a file the checksum of the others. In memory the sequence alone shows every overlap.
+  // A cell is a run of words guarded by the first one: a sequence number, odd while the cell is being
+  // written, and in a file also the checksum of the other words. In memory the sequence number alone reveals
+  // every overlapping write.
   void BeginCell(std::size_t cell_word);
   void EndCell(std::size_t cell_word, std::size_t words);
   enum class CellState { kGood, kBusy, kTorn };
-  // Copies the cell into `out`. kBusy: it was being written all the while; kTorn: its checksum does not fit.
+  // Copies the cell into `out`. kBusy: it was being written during every attempt; kTorn: the checksum does
+  // not match.
   CellState ReadCell(std::size_t cell_word, std::span<std::uint64_t> out) const;
 
  private:
--- a/src/decision_log/record_format.h
+++ b/src/decision_log/record_format.h
@@ -1,9 +1,9 @@
-// The words of a block in the record file: kinds of events, flags, and how values are packed into words of 64
-// bits. docs/design/why.md has the words of each event. Plain functions, any thread.
+// The format of a block in the record file: kinds of events, flags, and how values are packed into 64-bit
+// words. docs/design/why.md describes the words of each event. Pure functions; usable from any thread.
 //
-// A block has kBlockHeadWords words of head, then events:
+// A block has a head of kBlockHeadWords words, followed by events:
 //   word 0   the cell's sequence and checksum (RecordFile)
-//   word 1   serial number of the query (32 bits; 0: a free block), place in its chain (16), words used (16)
+//   word 1   serial number of the query (32 bits; 0: free block), position in its chain (16), words used (16)
 //   word 2   next block (32 bits); in a query's first block also verdict (8), cause (8), flags (8) and, from
 //            bit 58, retention group
 #ifndef LIFTRUDDER_DECISION_LOG_RECORD_FORMAT_H_
@@ -20,7 +20,7 @@
 namespace liftrudder::decision_log {
 
 // An event's first word: kind (8 bits), number of words (8), an operand (16) and the time since the query's
-// arrival in microseconds (32). Written to the record file: renamed, never renumbered.
+// arrival in microseconds (32). Written to the record file: enumerators may be renamed, never renumbered.
 enum class EventKind : std::uint8_t {
   kNone,
   kOpened,
@@ -37,45 +37,46 @@
 constexpr std::uint32_t kNoBlock = ~std::uint32_t{0};
 constexpr std::size_t kMaxEventWords = kBlockWords - kBlockHeadWords;
 
-// Places in a block's head.
+// Positions of words and of their fields in a block's head.
 constexpr std::size_t kUseWord = 1;
 constexpr std::size_t kLinkWord = 2;
 constexpr int kUsedShift = 48;     // in kUseWord
-constexpr int kVerdictShift = 32;  // in kLinkWord, as are those below
+constexpr int kVerdictShift = 32;  // in kLinkWord, like those below
 constexpr int kCauseShift = 40;
 constexpr int kFlagsShift = 48;
 constexpr int kGroupShift = 58;
 
 // Flags of a query.
-constexpr std::uint8_t kEventsDroppedFlag = 1;  // its share of the record was full
-constexpr std::uint8_t kIdCutFlag = 2;          // its call id was longer than what is kept of it
+constexpr std::uint8_t kEventsDroppedFlag = 1;  // its share of the record was used up, or no block was free
+constexpr std::uint8_t kIdCutFlag = 2;          // its call id was too long to be stored in full
 constexpr std::uint8_t kRetryFlag = 4;          // the client marked it as a retry
 
-// In the first event of a query, opened or intake: the words of the id's and the label's hash.
+// In a query's first event: the word with the id's hash and, in an opened event, the word with the label's
+// hash.
 constexpr std::size_t kIdHashWord = 3;
 constexpr std::size_t kLabelHashWord = 4;
 
-// The endpoint table: where id and address begin in an endpoint's cell, and their greatest lengths.
+// A cell of the endpoint table: the first words of the id and the address, and their maximum lengths.
 constexpr std::size_t kEndpointIdWord = 2;
 constexpr std::size_t kEndpointAddressWord = 11;
 constexpr std::size_t kMaxEndpointIdBytes = 72;
 constexpr std::size_t kMaxEndpointAddressBytes = 40;
 
-constexpr std::uint64_t Join(std::uint32_t low, std::uint32_t high) {
+constexpr std::uint64_t JoinHalves(std::uint32_t low, std::uint32_t high) {
   return std::uint64_t{high} << 32 | low;
 }
 constexpr std::uint32_t LowHalf(std::uint64_t word) { return static_cast<std::uint32_t>(word); }
 constexpr std::uint32_t HighHalf(std::uint64_t word) { return static_cast<std::uint32_t>(word >> 32); }
-constexpr std::uint8_t ByteAt(std::uint64_t word, int place) {
-  return static_cast<std::uint8_t>(word >> (8 * place));
+constexpr std::uint8_t ByteAt(std::uint64_t word, int index) {
+  return static_cast<std::uint8_t>(word >> (8 * index));
 }
-// Real numbers are written as floats.
+// Floating-point values are stored as 32-bit floats.
 constexpr std::uint32_t FloatBits(double value) {
   return std::bit_cast<std::uint32_t>(static_cast<float>(value));
 }
 constexpr double FloatOf(std::uint32_t bits) { return std::bit_cast<float>(bits); }
 
-// Writes text into whole words, padded with zeros; how many words that took.
+// Writes text into whole words, padded with zeros, and returns their number.
 inline std::size_t PutText(std::string_view text, std::uint64_t* words) {
   std::size_t count = (text.size() + 7) / 8;
   std::memset(words, 0, count * 8);
@@ -83,8 +84,8 @@
   return count;
 }
 
-// Of a block's head: the block's place in its query's chain of blocks, modulo 2^16.
-constexpr std::uint32_t ChainPlace(std::uint64_t use_word) { return use_word >> 32 & 0xffff; }
+// From a block's use word: the position of the block in its query's chain, modulo 2^16.
+constexpr std::uint32_t ChainPosition(std::uint64_t use_word) { return use_word >> 32 & 0xffff; }
 
 }  // namespace liftrudder::decision_log
 
--- a/src/decision_log/record_format_check.cpp
+++ b/src/decision_log/record_format_check.cpp
@@ -1,6 +1,5 @@
-// Holds the numbers of everything that is written to the record file. A failing assertion here means that
-// records of earlier versions would be read wrongly: give a new enumerator a new number at the end, or raise
-// kFormatVersion.
+// Checks the numbers of all values that are written to the record file. If an assertion fails, records of
+// earlier versions would be misread: give a new enumerator a new number at the end, or raise kFormatVersion.
 #include <initializer_list>
 
 #include "decision_log/counts.h"
@@ -9,7 +8,7 @@
 namespace liftrudder::decision_log {
 namespace {
 
-// Whether these are the values 0, 1, 2 and so on.
+// Whether the values are numbered 0, 1, 2 and so on.
 template <typename Value>
 consteval bool Numbered(std::initializer_list<Value> values) {
   std::size_t number = 0;
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -8,18 +8,19 @@
 namespace liftrudder::decision_log {
 namespace {
 
-constexpr std::size_t kQueueCapacity = 256;         // events of fronts
-constexpr int kWakeThreshold = kQueueCapacity / 2;  // from here on the coordinator is woken for them
-constexpr double kIntakeRate = 20;                  // rejections at intake recorded a second, in the long run
+constexpr std::size_t kQueueCapacity = 256;         // events from the fronts
+constexpr int kWakeThreshold = kQueueCapacity / 2;  // queued events from which on the coordinator is woken
+constexpr double kIntakeRate = 20;                  // rejections at intake recorded per second on average
 constexpr double kIntakeBurst = 40;
 constexpr int kMaxClassIndex = 255;
 
-// What is claimed beside a record of so many blocks.
+// Bytes allocated in addition to a record of `blocks` blocks.
 std::size_t BytesBesideRecord(std::size_t blocks) {
   return QueryStore::BytesFor(blocks) + kQueueCapacity * EventQueue::BytesPerEvent();
 }
 
-// The largest record that, with what lies beside it, stays within `bytes`; at least the smallest there is.
+// The size of the largest record that fits into `bytes` together with the memory beside it; at least
+// kMinRecordBytes.
 std::size_t RecordBytesWithin(std::size_t bytes) {
   constexpr std::size_t kStep = 4096;
   std::size_t low = kMinRecordBytes / kStep;
@@ -75,8 +76,8 @@
 }
 
 bool Recorder::IntakeRateLimiter::Admit(std::int64_t now_us) {
-  double passed_s = static_cast<double>(now_us - refilled_us_) / 1e6;
-  tokens_ = std::min(kIntakeBurst, tokens_ + std::max(passed_s, 0.0) * kIntakeRate);
+  double elapsed_s = static_cast<double>(now_us - refilled_us_) / 1e6;
+  tokens_ = std::min(kIntakeBurst, tokens_ + std::max(elapsed_s, 0.0) * kIntakeRate);
   refilled_us_ = now_us;
   if (tokens_ < 1) return false;
   tokens_ -= 1;
@@ -87,13 +88,13 @@
     : record_file_(MakeRecordFile(bytes, path, origin)),
       counters_(record_file_),
       store_(record_file_, counters_, seed),
-      event_queue_(kQueueCapacity) {
-  claimed_bytes_ = record_file_.layout().bytes + store_.BytesHeld() +
-                   event_queue_.Capacity() * EventQueue::BytesPerEvent();
+      queue_(kQueueCapacity) {
+  claimed_bytes_ =
+      record_file_.layout().bytes + store_.BytesHeld() + queue_.Capacity() * EventQueue::BytesPerEvent();
 }
 
 bool Recorder::Post(const FrontEvent& event) {
-  if (!event_queue_.Push(event)) return true;
+  if (!queue_.Push(event)) return true;
   return posted_events_.fetch_add(1, std::memory_order_relaxed) + 1 >= kWakeThreshold;
 }
 
@@ -103,7 +104,7 @@
   store_.SetTime(now_us);
 }
 
-std::uint32_t Recorder::TimeSinceArrival(const StoredQuery& query) const {
+std::uint32_t Recorder::MicrosSinceArrival(const StoredQuery& query) const {
   return ClampMicros(now_us_ - query.arrived_us);
 }
 
@@ -112,7 +113,7 @@
 }
 
 void Recorder::Opened(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests) {
-  // Query numbers wrap around after 2^32: an old query with this one is no longer found by it.
+  // Query numbers wrap around after 2^32: an old query with the same number is no longer found by it.
   if (StoredQuery* old = store_.Find(query.query)) store_.Unindex(*old);
   IdHashes hashes{HashId(query.call_id), query.label.empty() ? 0 : HashLabel(query.label)};
   auto class_index = static_cast<std::uint8_t>(std::clamp(query.class_index, 0, kMaxClassIndex));
@@ -141,11 +142,11 @@
   if (stored == nullptr) return;
   if (attempt > 0) {
     stored->eventful = true;
-    if (stored->failed_endpoint != 0 && is_retry) {
-      counters_.AddEndpoint(stored->failed_endpoint, EndpointCount::kRetriedAfter);
+    if (stored->last_failed_endpoint != 0 && is_retry) {
+      counters_.AddEndpoint(stored->last_failed_endpoint, EndpointCount::kRetriedAfter);
     }
   }
-  store_.Append(*stored, EncodeSent(shard_request, attempt, send, TimeSinceArrival(*stored)));
+  store_.Append(*stored, EncodeSent(shard_request, attempt, send, MicrosSinceArrival(*stored)));
 }
 
 void Recorder::Ended(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
@@ -155,9 +156,9 @@
   if (stored == nullptr) return;
   bool failed = outcome != AttemptOutcome::kOk && outcome != AttemptOutcome::kCancelled &&
                 outcome != AttemptOutcome::kNotSent;
-  if (failed) stored->failed_endpoint = endpoint;
+  if (failed) stored->last_failed_endpoint = endpoint;
   store_.Append(*stored,
-                EncodeEnded(shard_request, attempt, outcome, progress, cause, TimeSinceArrival(*stored)));
+                EncodeEnded(shard_request, attempt, outcome, progress, cause, MicrosSinceArrival(*stored)));
 }
 
 void Recorder::Cancelled(std::uint32_t query, int shard_request, const routing::Cancel& cancel) {
@@ -166,7 +167,7 @@
   if (stored == nullptr) return;
   stored->eventful |=
       cancel.reason == CancelReason::kEndpointOutlier || cancel.reason == CancelReason::kDeadConnection;
-  store_.Append(*stored, EncodeCancelled(shard_request, cancel, TimeSinceArrival(*stored)));
+  store_.Append(*stored, EncodeCancelled(shard_request, cancel, MicrosSinceArrival(*stored)));
 }
 
 void Recorder::Closed(const routing::Close& close) { counters_.Add(CounterOf(close.reason)); }
@@ -177,7 +178,7 @@
   StoredQuery* stored = store_.Find(query);
   if (stored == nullptr) return;
   stored->eventful |= pending.reason != PendingReason::kCutoff && pending.reason != PendingReason::kCanary;
-  store_.Append(*stored, EncodePending(shard_request, pending, TimeSinceArrival(*stored)));
+  store_.Append(*stored, EncodePending(shard_request, pending, MicrosSinceArrival(*stored)));
 }
 
 void Recorder::Completed(std::uint32_t query, const RecordedCompletion& completion) {
@@ -188,7 +189,7 @@
   if (stored == nullptr || stored->ended) return;
   stored->ended = true;
   CountEndpointsAtFault(*stored, completion);
-  if (!store_.Append(*stored, EncodeCompleted(completion, TimeSinceArrival(*stored)))) return;
+  if (!store_.Append(*stored, EncodeCompleted(completion, MicrosSinceArrival(*stored)))) return;
   auto cause = static_cast<std::uint8_t>(completion.reason.cause);
   store_.SetVerdict(*stored, completion.verdict, cause, 0);
   store_.Retain(*stored, GroupOf(*stored, completion.verdict));
@@ -203,28 +204,28 @@
   Verdict verdict = completion.verdict;
   bool unanswered =
       verdict == Verdict::kRejected || verdict == Verdict::kFailed || verdict == Verdict::kExpired;
-  std::uint32_t named = completion.reason.endpoint.address;
-  std::uint32_t at_fault = named != 0 ? named : query.failed_endpoint;
+  std::uint32_t reason_endpoint = completion.reason.endpoint.address;
+  std::uint32_t at_fault = reason_endpoint != 0 ? reason_endpoint : query.last_failed_endpoint;
   if (unanswered && at_fault != 0 && completion.reason.cause != routing::CompletionCause::kLoad) {
     counters_.AddEndpoint(at_fault, EndpointCount::kRejectedFor);
   }
-  if (verdict == Verdict::kPartial && query.failed_endpoint != 0) {
-    counters_.AddEndpoint(query.failed_endpoint, EndpointCount::kMissing);
+  if (verdict == Verdict::kPartial && query.last_failed_endpoint != 0) {
+    counters_.AddEndpoint(query.last_failed_endpoint, EndpointCount::kMissing);
   }
 }
 
 void Recorder::Flush() {
   posted_events_.store(0, std::memory_order_relaxed);
   FrontEvent event;
-  for (std::size_t i = 0; i < event_queue_.Capacity() && event_queue_.Pop(event); ++i) TakeIn(event);
-  if (std::uint64_t lost = event_queue_.TakeLost()) counters_.Add(CounterOf(RecordLoss::kQueueFull), lost);
+  for (std::size_t i = 0; i < queue_.Capacity() && queue_.Pop(event); ++i) ProcessFrontEvent(event);
+  if (std::uint64_t lost = queue_.TakeLostCount()) counters_.Add(CounterOf(RecordLoss::kQueueFull), lost);
   store_.Flush();
   flush_count_.fetch_add(1, std::memory_order_release);
 }
 
-void Recorder::TakeIn(const FrontEvent& event) {
+void Recorder::ProcessFrontEvent(const FrontEvent& event) {
   if (event.intake != IntakeResult::kNone) {
-    TakeInRejection(event);
+    ProcessIntakeRejection(event);
     return;
   }
   StoredQuery* stored = store_.Find(event.query);
@@ -232,7 +233,7 @@
   store_.Append(*stored, EncodeResponse(event, ClampMicros(event.at_us - stored->arrived_us)));
 }
 
-void Recorder::TakeInRejection(const FrontEvent& event) {
+void Recorder::ProcessIntakeRejection(const FrontEvent& event) {
   auto cause = static_cast<std::uint8_t>(event.intake);
   counters_.Add(CounterOf(event.intake));
   counters_.Add(CounterOf(Verdict::kRejectedAtIntake));
--- a/src/decision_log/retention_policy.cpp
+++ b/src/decision_log/retention_policy.cpp
@@ -6,21 +6,22 @@
 namespace liftrudder::decision_log {
 namespace {
 
-// Shares of the groups, in the order of RetentionGroup, relative to each other: what operators ask about
-// before what is ordinary.
+// Relative shares of the groups, in the order of RetentionGroup. Groups that operators ask about get more
+// than ordinary queries.
 constexpr std::array<double, kRetentionGroups> kShares = {4, 4, 4, 1, 1, 2, 3};
-constexpr std::uint64_t kMaxStep = 8;  // along a slice between two evictions
+// Fewer queries than this are skipped between two evictions from a slice.
+constexpr std::uint64_t kMaxStep = 8;
 
 }  // namespace
 
 RetentionPolicy::RetentionPolicy(std::size_t queries, std::uint64_t seed)
-    : places_(queries), random_(seed | 1) {}
+    : entries_(queries), random_(seed | 1) {}
 
 std::size_t RetentionPolicy::Stratum(RetentionGroup group, std::size_t class_index) {
   return static_cast<std::size_t>(group) * kClassStrata + std::min(class_index, kClassStrata - 1);
 }
 
-// xorshift64 (G. Marsaglia): spreads evictions, guards nothing.
+// xorshift64 (G. Marsaglia): spreads evictions and has no security purpose.
 std::uint64_t RetentionPolicy::Random() {
   random_ ^= random_ << 13;
   random_ ^= random_ >> 7;
@@ -32,40 +33,40 @@
                            std::uint32_t blocks) {
   StratumState& stratum = strata_[stratum_index];
   TimeSlice& slice = SliceFor(stratum, now_us);
-  Place& place = places_[query];
-  place.stratum = static_cast<std::uint16_t>(stratum_index);
-  place.slice = static_cast<std::uint16_t>(&slice - stratum.slices.data());
-  place.blocks = blocks;
+  Entry& entry = entries_[query];
+  entry.stratum = static_cast<std::uint16_t>(stratum_index);
+  entry.slice = static_cast<std::uint16_t>(&slice - stratum.slices.data());
+  entry.blocks = blocks;
   Link(slice, query);
   slice.blocks += blocks;
   stratum.blocks += blocks;
 }
 
 void RetentionPolicy::Grow(std::uint32_t query) {
-  Place& place = places_[query];
-  ++place.blocks;
-  ++strata_[place.stratum].blocks;
-  ++strata_[place.stratum].slices[place.slice].blocks;
+  Entry& entry = entries_[query];
+  ++entry.blocks;
+  ++strata_[entry.stratum].blocks;
+  ++strata_[entry.stratum].slices[entry.slice].blocks;
 }
 
 void RetentionPolicy::Drop(std::uint32_t query) {
-  Place& place = places_[query];
-  StratumState& stratum = strata_[place.stratum];
-  TimeSlice& slice = stratum.slices[place.slice];
+  Entry& entry = entries_[query];
+  StratumState& stratum = strata_[entry.stratum];
+  TimeSlice& slice = stratum.slices[entry.slice];
   Unlink(slice, query);
-  slice.blocks -= place.blocks;
-  stratum.blocks -= place.blocks;
-  if (slice.any == kNone && place.slice != stratum.newest) slice.used = false;
-  place = {};
+  slice.blocks -= entry.blocks;
+  stratum.blocks -= entry.blocks;
+  if (slice.cursor == kNoQuery && entry.slice != stratum.newest) slice.used = false;
+  entry = {};
 }
 
 std::optional<std::uint32_t> RetentionPolicy::NextEviction(std::int64_t now_us) {
   StratumState* stratum = FurthestOverShare();
   if (stratum == nullptr) return std::nullopt;
-  TimeSlice* densest = DensestSlice(*stratum, now_us);
-  if (densest == nullptr) return std::nullopt;
-  for (std::uint64_t step = Random() % kMaxStep; step > 0; --step) densest->any = places_[densest->any].after;
-  return densest->any;
+  TimeSlice* slice = DensestSlice(*stratum, now_us);
+  if (slice == nullptr) return std::nullopt;
+  for (std::uint64_t i = Random() % kMaxStep; i > 0; --i) slice->cursor = entries_[slice->cursor].next;
+  return slice->cursor;
 }
 
 RetentionPolicy::StratumState* RetentionPolicy::FurthestOverShare() {
@@ -81,12 +82,13 @@
   return furthest;
 }
 
-// The slice that holds most for its width and age: each doubling of age keeps about as much.
+// The slice with the most blocks for its width and age, so that each doubling of age keeps about as many
+// blocks.
 RetentionPolicy::TimeSlice* RetentionPolicy::DensestSlice(StratumState& stratum, std::int64_t now_us) {
   TimeSlice* densest = nullptr;
   double most = 0;
   for (TimeSlice& slice : stratum.slices) {
-    if (slice.any == kNone) continue;
+    if (slice.cursor == kNoQuery) continue;
     auto width_us = static_cast<double>(std::max(slice.to_us - slice.from_us, kMinSliceUs));
     auto age_us = static_cast<double>(std::max<std::int64_t>(now_us - slice.from_us, 0) + kMinSliceUs);
     double density = static_cast<double>(slice.blocks) * age_us / width_us;
@@ -106,18 +108,18 @@
 RetentionPolicy::TimeSlice& RetentionPolicy::SliceFor(StratumState& stratum, std::int64_t now_us) {
   TimeSlice& newest = stratum.slices[stratum.newest];
   if (newest.used && now_us < newest.from_us + kMinSliceUs) return newest;
-  if (newest.used && newest.any == kNone) newest.used = false;
+  if (newest.used && newest.cursor == kNoQuery) newest.used = false;
   TimeSlice* free = FreeSlice(stratum);
   if (free == nullptr) {
     MergeNarrowestPair(stratum, now_us);
     free = FreeSlice(stratum);
   }
-  *free = {true, now_us, now_us + kMinSliceUs, 0, kNone};
+  *free = {true, now_us, now_us + kMinSliceUs, 0, kNoQuery};
   stratum.newest = static_cast<std::size_t>(free - stratum.slices.data());
   return *free;
 }
 
-// The two neighbours in time that together are narrowest for their age become one.
+// Merges the two adjacent slices that together are narrowest for their age.
 void RetentionPolicy::MergeNarrowestPair(StratumState& stratum, std::int64_t now_us) {
   std::array<std::size_t, kTimeSlices> by_time;
   for (std::size_t i = 0; i < kTimeSlices; ++i) by_time[i] = i;
@@ -134,14 +136,14 @@
       best = i;
     }
   }
-  std::size_t into = by_time[best];
-  TimeSlice& merged = stratum.slices[into];
+  std::size_t merged_index = by_time[best];
+  TimeSlice& merged = stratum.slices[merged_index];
   TimeSlice& emptied = stratum.slices[by_time[best + 1]];
-  while (emptied.any != kNone) {
-    std::uint32_t query = emptied.any;
+  while (emptied.cursor != kNoQuery) {
+    std::uint32_t query = emptied.cursor;
     Unlink(emptied, query);
     Link(merged, query);
-    places_[query].slice = static_cast<std::uint16_t>(into);
+    entries_[query].slice = static_cast<std::uint16_t>(merged_index);
   }
   merged.to_us = std::max(merged.to_us, emptied.to_us);
   merged.blocks += emptied.blocks;
@@ -149,27 +151,27 @@
 }
 
 void RetentionPolicy::Link(TimeSlice& slice, std::uint32_t query) {
-  Place& place = places_[query];
-  if (slice.any == kNone) {
-    place.before = place.after = query;
-    slice.any = query;
+  Entry& entry = entries_[query];
+  if (slice.cursor == kNoQuery) {
+    entry.previous = entry.next = query;
+    slice.cursor = query;
     return;
   }
-  std::uint32_t after = slice.any;
-  std::uint32_t before = places_[after].before;
-  place.before = before;
-  place.after = after;
-  places_[before].after = query;
-  places_[after].before = query;
+  std::uint32_t next = slice.cursor;
+  std::uint32_t previous = entries_[next].previous;
+  entry.previous = previous;
+  entry.next = next;
+  entries_[previous].next = query;
+  entries_[next].previous = query;
 }
 
 void RetentionPolicy::Unlink(TimeSlice& slice, std::uint32_t query) {
-  Place& place = places_[query];
-  if (slice.any == query) slice.any = place.after == query ? kNone : place.after;
-  places_[place.before].after = place.after;
-  places_[place.after].before = place.before;
-  place.before = kNone;
-  place.after = kNone;
+  Entry& entry = entries_[query];
+  if (slice.cursor == query) slice.cursor = entry.next == query ? kNoQuery : entry.next;
+  entries_[entry.previous].next = entry.next;
+  entries_[entry.next].previous = entry.previous;
+  entry.previous = kNoQuery;
+  entry.next = kNoQuery;
 }
 
 }  // namespace liftrudder::decision_log
--- a/src/decision_log/summary.cpp
+++ b/src/decision_log/summary.cpp
@@ -44,7 +44,7 @@
   auto now_bucket = static_cast<std::uint64_t>(now_s / kBucketSeconds);
   for (std::size_t i = 0; i < kCountBuckets; ++i) {
     std::uint64_t word = record_file.Load(first + i);
-    // The bucket's number is kept in 16 bits: it comes round again after six days.
+    // The bucket's number has 16 bits and wraps around after six days.
     auto age = static_cast<std::uint16_t>(now_bucket - (word >> 48));
     if (word == 0 || age >= kCountBuckets) continue;
     for (std::size_t kind = 0; kind < kEndpointCountKinds; ++kind) {
@@ -54,7 +54,7 @@
   return counts;
 }
 
-std::uint64_t Faults(const Summary::Endpoint& endpoint) {
+std::uint64_t FaultCount(const Summary::Endpoint& endpoint) {
   return endpoint.retried_after + endpoint.rejected_for + endpoint.missing;
 }
 
@@ -71,9 +71,9 @@
     Summary::Endpoint endpoint{ReadEndpointName(record_file, number), count(EndpointCount::kSent),
                                count(EndpointCount::kRetriedAfter), count(EndpointCount::kRejectedFor),
                                count(EndpointCount::kMissing)};
-    if (endpoint.sent + Faults(endpoint) > 0) summary.endpoints.push_back(std::move(endpoint));
+    if (endpoint.sent + FaultCount(endpoint) > 0) summary.endpoints.push_back(std::move(endpoint));
   }
-  std::ranges::sort(summary.endpoints, std::greater{}, Faults);
+  std::ranges::sort(summary.endpoints, std::greater{}, FaultCount);
 }
 
 }  // namespace
--- a/src/decision_log/summary.h
+++ b/src/decision_log/summary.h
@@ -1,5 +1,5 @@
-// The record's counters: what happened in the last minute and since the program started, by reason and by
-// endpoint. Reads while the writer goes on. Any thread.
+// Reads the record's counters: what happened in the last minute and since the program started, by reason and
+// by endpoint. Works while the writer writes; usable from any thread.
 #ifndef LIFTRUDDER_DECISION_LOG_SUMMARY_H_
 #define LIFTRUDDER_DECISION_LOG_SUMMARY_H_
 
@@ -24,11 +24,11 @@
     std::uint64_t count = 0;
   };
 
-  std::int64_t now_s = 0;                  // the newest second that was counted in
-  std::vector<std::uint64_t> last_minute;  // by counter, see CounterOf
-  std::vector<std::uint64_t> totals;       // the same since the start
-  std::vector<Endpoint> endpoints;         // with anything counted in the last minute, most faults first
-  std::vector<SecondCount> not_kept;       // of the last minute: evicted or lost
+  std::int64_t now_s = 0;                  // the newest second with a count
+  std::vector<std::uint64_t> last_minute;  // indexed by CounterOf
+  std::vector<std::uint64_t> totals;       // since the start, indexed by CounterOf
+  std::vector<Endpoint> endpoints;         // those with a count in the last minute, most faults first
+  std::vector<SecondCount> not_kept;       // queries and events evicted or lost in the last minute
   std::size_t blocks = 0, blocks_used = 0, bytes = 0;
 };
 
--- a/src/decision_log/wire_names.h
+++ b/src/decision_log/wire_names.h
@@ -1,5 +1,6 @@
-// The words of the explain interface (`/-/why`, the `why` sub-command): names of values, JSON members and
-// parameters, each once. They are an interface and keep their old words; code elsewhere uses the constants.
+// The wire names of the explain interface (`/-/why` and the `why` sub-command): values, JSON members and
+// parameters, each defined once. They are a public interface and do not change when names in the code do;
+// code elsewhere uses the constants.
 #ifndef LIFTRUDDER_DECISION_LOG_WIRE_NAMES_H_
 #define LIFTRUDDER_DECISION_LOG_WIRE_NAMES_H_
 
@@ -10,7 +11,7 @@
 
 namespace liftrudder::decision_log::wire {
 
-// Names of values, by number.
+// Names of values, indexed by enumerator.
 inline constexpr std::array<std::string_view, kVerdicts> kVerdictNames = {
     "open", "whole", "partial", "refused", "failed", "late", "gone", "turned_away"};
 inline constexpr std::array<std::string_view, kIntakeResults> kIntakeResultNames = {
@@ -56,7 +57,7 @@
 inline constexpr std::string_view kJsonFormat = "json";
 inline constexpr std::string_view kTextFormat = "text";
 
-// Members of an answer about queries.
+// Members of a reply about queries.
 inline constexpr const char* kCoordinator = "gatherer";
 inline constexpr const char* kStarted = "started";
 inline constexpr const char* kQueries = "queries";
--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// The present program against data that the program wrote before the change of names (tests/fixtures): a
-// decision record, its explanations as JSON, the names of figures, key sets and permissions.
+// Compares the current program with data that an earlier version wrote (tests/fixtures): a decision log, its
+// explanations as JSON, the names of figures, key sets and permissions.
 #define CATCH_CONFIG_MAIN
 #include <fmt/format.h>
 
@@ -54,9 +54,9 @@
   return text;
 }
 
-// ---- The record, written again ----
+// ---- Writing the record again ----
 
-// Writes the same events as the program that wrote decision_log/record_v2.bin, at the same times.
+// Writes the events of decision_log/record_v2.bin again, at the same times.
 class RecordWriter {
  public:
   explicit RecordWriter(const std::string& path)
@@ -275,9 +275,9 @@
                                                                   CoordinatorConfig(discovery_));
     INFO(process_->Log());
     REQUIRE(!process_->addr().empty());
-    auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (Admin("/healthcheck").status != 200) {
-      REQUIRE(std::chrono::steady_clock::now() < give_up);
+      REQUIRE(std::chrono::steady_clock::now() < deadline);
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
     CHECK(Query("search", "live-1") == 200);
@@ -310,10 +310,10 @@
   std::unique_ptr<test_support::CoordinatorProcess> process_;
 };
 
-// The same document with what differs from run to run, times and ports, replaced by its type.
+// The document with the values that differ from run to run, times and ports, replaced by their types.
 Json WithoutVariables(const Json& value) {
-  static constexpr std::array kVariable = {"started", "arrived",  "arrived_us", "at",          "up_to",
-                                           "at_ms",   "ended_ms", "timeout_ms", "last_minute", "addr"};
+  static constexpr std::array kVariableMembers = {"started", "arrived",  "arrived_us", "at",          "up_to",
+                                                  "at_ms",   "ended_ms", "timeout_ms", "last_minute", "addr"};
   if (value.is_array()) {
     Json out = Json::array();
     for (const Json& element : value) out.push_back(WithoutVariables(element));
@@ -322,7 +322,8 @@
   if (!value.is_object()) return value;
   Json out = Json::object();
   for (const auto& [key, member] : value.items()) {
-    bool variable = std::ranges::find(kVariable, key) != kVariable.end() && member.is_primitive();
+    bool variable =
+        std::ranges::find(kVariableMembers, key) != kVariableMembers.end() && member.is_primitive();
     out[key] = variable ? Json(member.type_name()) : WithoutVariables(member);
   }
   return out;
@@ -337,7 +338,7 @@
 
 }  // namespace
 
-TEST_CASE("a record of the earlier program is explained with the same JSON") {
+TEST_CASE("a record of an earlier version is explained with the same JSON") {
   decision_log::Reply all = AskRecord([](auto& question) { question.filter.limit = 500; });
   CHECK(all.status == 200);
   CHECK(all.body == WithoutLastNewline(Fixture("decision_log/explain_all.json")));
@@ -346,7 +347,7 @@
   CHECK(labelled.body == WithoutLastNewline(Fixture("decision_log/explain_by_label.json")));
   decision_log::Reply unknown = AskRecord([](auto& question) { question.filter.id = "never-seen"; });
   CHECK(unknown.status == 404);
-  // Its `text` is for people and may be put in other words.
+  // Its `text` is for people, and its wording may change.
   Json unknown_before = Json::parse(Fixture("decision_log/explain_unknown_id.json"));
   Json unknown_now = Json::parse(unknown.body);
   CHECK(unknown_now["text"].get<std::string>().starts_with("never-seen was not seen since "));
@@ -357,7 +358,7 @@
   CHECK(summary.body == WithoutLastNewline(Fixture("decision_log/summary.json")));
 }
 
-TEST_CASE("the why sub-command prints the same JSON of a record of the earlier program") {
+TEST_CASE("the why sub-command prints the same JSON for a record of an earlier version") {
   const std::string file = FixturePath("decision_log/record_v2.bin");
   auto [all_code, all] =
       test_support::RunProgram(LIFTRUDDER_PROGRAM, {"why", "--file", file, "--json", "--limit", "500"});
@@ -390,16 +391,16 @@
 
 TEST_CASE("a running coordinator explains queries with the same JSON members") {
   RunningCoordinator coordinator;
-  auto same = [&coordinator](const std::string& target, const std::string& fixture) {
+  auto check_unchanged = [&coordinator](const std::string& target, const std::string& fixture) {
     net::HttpMessage reply = coordinator.Get(target);
     CHECK(reply.status == 200);
-    // As text, since the order of members counts too.
+    // Compared as text, since the order of members counts too.
     CHECK(WithoutVariables(Json::parse(reply.body)).dump(1) ==
           WithoutVariables(Json::parse(Fixture(fixture))).dump(1));
   };
-  same("/-/why?format=json&limit=500", "live/explain.json");
-  same("/-/why?format=json&id=live-1", "live/explain_by_id.json");
-  same("/-/why?format=json&summary=1", "live/summary.json");
+  check_unchanged("/-/why?format=json&limit=500", "live/explain.json");
+  check_unchanged("/-/why?format=json&id=live-1", "live/explain_by_id.json");
+  check_unchanged("/-/why?format=json&summary=1", "live/summary.json");
 }
 
 TEST_CASE("figures keep their names and order") {
@@ -408,15 +409,15 @@
   CHECK(NamesOf(coordinator.Admin("/stats").body) == Fixture("live/admin_stats_names.txt"));
 }
 
-TEST_CASE("key sets are accepted and refused as before") {
-  auto [good_code, good] =
+TEST_CASE("key sets are accepted and rejected as before") {
+  auto [accepted_code, accepted_output] =
       test_support::RunProgram(LIFTRUDDER_PROGRAM, {"keys", "check", FixturePath("identity/keys.json")});
-  CHECK(good_code == 0);
-  CHECK(good == Fixture("identity/keys_check.txt"));
-  auto [private_code, refused] = test_support::RunProgram(
+  CHECK(accepted_code == 0);
+  CHECK(accepted_output == Fixture("identity/keys_check.txt"));
+  auto [private_code, private_output] = test_support::RunProgram(
       LIFTRUDDER_PROGRAM, {"keys", "check", FixturePath("identity/keys_private.json")});
   CHECK(private_code == 1);
-  CHECK(refused.find("private member 'd'") != std::string::npos);
+  CHECK(private_output.find("private member 'd'") != std::string::npos);
 }
 
 TEST_CASE("permissions are read as before") {
--- a/tests/support/explain_reading.h
+++ b/tests/support/explain_reading.h
@@ -1,4 +1,4 @@
-// Reads a whole record for tests: all traces at once, where the program has one at a time in memory.
+// Reads all traces of a record at once, for tests; the program holds one at a time in memory.
 #ifndef LIFTRUDDER_TESTS_SUPPORT_EXPLAIN_READING_H_
 #define LIFTRUDDER_TESTS_SUPPORT_EXPLAIN_READING_H_
 
