--- a/src/opensearch/access_control.cpp
+++ b/src/opensearch/access_control.cpp
@@ -19,44 +19,45 @@
 using Json = nlohmann::json;
 using Names = std::span<const std::string_view>;
 
-constexpr std::size_t kMaxDepth = 32;  // of the body's JSON
+constexpr std::size_t kMaxDepth = 32;  // nesting of the body's JSON
 
-// Queries about the document's own fields, without one inside. Left out on purpose: those that fetch another
+// Leaf queries, which read only the document's own fields. Deliberately omitted: queries that fetch another
 // document (more_like_this, percolate, geo_shape with an indexed shape, terms with a look-up) or run a
 // script.
-constexpr std::string_view kPlainQueries[] = {"match",
-                                              "match_phrase",
-                                              "match_phrase_prefix",
-                                              "match_bool_prefix",
-                                              "multi_match",
-                                              "term",
-                                              "range",
-                                              "exists",
-                                              "prefix",
-                                              "wildcard",
-                                              "regexp",
-                                              "fuzzy",
-                                              "ids",
-                                              "match_all",
-                                              "match_none",
-                                              "query_string",
-                                              "simple_query_string"};
-struct Compound {
+constexpr std::string_view kLeafQueries[] = {"match",
+                                             "match_phrase",
+                                             "match_phrase_prefix",
+                                             "match_bool_prefix",
+                                             "multi_match",
+                                             "term",
+                                             "range",
+                                             "exists",
+                                             "prefix",
+                                             "wildcard",
+                                             "regexp",
+                                             "fuzzy",
+                                             "ids",
+                                             "match_all",
+                                             "match_none",
+                                             "query_string",
+                                             "simple_query_string"};
+struct CompoundQuery {
   std::string_view name;
-  std::array<std::string_view, 4> inner;  // members that are a query or an array of them
-  std::array<std::string_view, 4> plain;  // members that are values
+  std::array<std::string_view, 4> subqueries;    // members that hold a query or an array of queries
+  std::array<std::string_view, 4> plain_values;  // members that hold plain values
 };
-constexpr Compound kCompounds[] = {{"bool",
-                                    {"must", "should", "filter", "must_not"},
-                                    {"minimum_should_match", "boost", "adjust_pure_negative"}},
-                                   {"constant_score", {"filter"}, {"boost"}},
-                                   {"dis_max", {"queries"}, {"tie_breaker", "boost"}},
-                                   {"boosting", {"positive", "negative"}, {"negative_boost", "boost"}},
-                                   {"nested", {"query"}, {"path", "score_mode", "ignore_unmapped", "boost"}}};
-
-// Members of a search that show or order documents which the filter has let through. Left out:
-// runtime_mappings (gives the filter's own field another meaning), explain (figures over all tenants'
-// documents), scripts.
+constexpr CompoundQuery kCompoundQueries[] = {
+    {"bool",
+     {"must", "should", "filter", "must_not"},
+     {"minimum_should_match", "boost", "adjust_pure_negative"}},
+    {"constant_score", {"filter"}, {"boost"}},
+    {"dis_max", {"queries"}, {"tie_breaker", "boost"}},
+    {"boosting", {"positive", "negative"}, {"negative_boost", "boost"}},
+    {"nested", {"query"}, {"path", "score_mode", "ignore_unmapped", "boost"}}};
+
+// Members of a search that return or order only documents that match the filter. Deliberately omitted:
+// runtime_mappings (can redefine the field that the filter uses), explain (shows statistics over all tenants'
+// documents) and scripts.
 constexpr std::string_view kAllowedMembers[] = {"from",
                                                 "size",
                                                 "search_after",
@@ -72,7 +73,7 @@
                                                 "seq_no_primary_term"};
 constexpr std::string_view kSortMembers[] = {"order",         "missing",      "mode",
                                              "unmapped_type", "numeric_type", "format"};
-// A parameter of the URL that is part of a query, and the member that a query_string query has for it.
+// A URL parameter that is part of a query, and the corresponding member of a query_string query.
 struct QueryParameter {
   std::string_view name;
   std::string_view member;
@@ -85,70 +86,70 @@
 
 bool IsOneOf(std::string_view name, Names names) { return std::ranges::find(names, name) != names.end(); }
 
-ApiError NotForConfined(std::string_view what) {
+ApiError NotForRestricted(std::string_view what) {
   return Forbidden(fmt::format("[{}] is not for callers whose rows are kept apart", what));
 }
 
-// An object in the place of an array of terms names a document elsewhere to take the terms from.
+// Rejects an object in place of the array of terms: it names another document to read the terms from.
 std::optional<ApiError> CheckTerms(const Json& value) {
   for (const auto& [field, terms] : value.items()) {
-    if (terms.is_object()) return NotForConfined("terms look-up");
+    if (terms.is_object()) return NotForRestricted("terms look-up");
   }
   if (!value.is_object()) return BadRequest("[terms] must be an object");
   return std::nullopt;
 }
 
-std::optional<ApiError> CheckCompound(const Compound& compound, const Json& value);
+std::optional<ApiError> CheckCompound(const CompoundQuery& compound, const Json& value);
 
 std::optional<ApiError> CheckQuery(const Json& query) {
   if (!query.is_object() || query.size() != 1) return BadRequest("a query is an object with one member");
   const std::string& kind = query.begin().key();
   const Json& value = *query.begin();
-  if (IsOneOf(kind, kPlainQueries)) return std::nullopt;
+  if (IsOneOf(kind, kLeafQueries)) return std::nullopt;
   if (kind == "terms") return CheckTerms(value);
-  auto compound = std::ranges::find(kCompounds, kind, &Compound::name);
-  if (compound == std::end(kCompounds)) return NotForConfined(kind);
+  auto compound = std::ranges::find(kCompoundQueries, kind, &CompoundQuery::name);
+  if (compound == std::end(kCompoundQueries)) return NotForRestricted(kind);
   if (!value.is_object()) return BadRequest(fmt::format("[{}] must be an object", kind));
   return CheckCompound(*compound, value);
 }
 
-// A query, or an array of them.
-std::optional<ApiError> CheckInner(const Json& inner) {
-  if (!inner.is_array()) return CheckQuery(inner);
-  for (const Json& query : inner) {
+// Checks a query or an array of queries.
+std::optional<ApiError> CheckSubqueries(const Json& subqueries) {
+  if (!subqueries.is_array()) return CheckQuery(subqueries);
+  for (const Json& query : subqueries) {
     if (auto error = CheckQuery(query)) return error;
   }
   return std::nullopt;
 }
 
-std::optional<ApiError> CheckCompound(const Compound& compound, const Json& value) {
-  for (const auto& [name, inner] : value.items()) {
-    if (!name.empty() && IsOneOf(name, compound.plain)) continue;
-    if (name.empty() || !IsOneOf(name, compound.inner)) {
-      return NotForConfined(fmt::format("{}.{}", compound.name, name));
+std::optional<ApiError> CheckCompound(const CompoundQuery& compound, const Json& value) {
+  for (const auto& [name, subqueries] : value.items()) {
+    if (!name.empty() && IsOneOf(name, compound.plain_values)) continue;
+    if (name.empty() || !IsOneOf(name, compound.subqueries)) {
+      return NotForRestricted(fmt::format("{}.{}", compound.name, name));
     }
-    if (auto error = CheckInner(inner)) return error;
+    if (auto error = CheckSubqueries(subqueries)) return error;
   }
   return std::nullopt;
 }
 
 std::optional<ApiError> CheckSort(const Json& sort) {
   if (sort.is_array()) {
-    for (const Json& one : sort) {
-      if (auto error = CheckSort(one)) return error;
+    for (const Json& sort_key : sort) {
+      if (auto error = CheckSort(sort_key)) return error;
     }
     return std::nullopt;
   }
   if (sort.is_string()) return std::nullopt;
   if (!sort.is_object()) return BadRequest("[sort] cannot be read");
-  for (const auto& [field, how] : sort.items()) {
+  for (const auto& [field, key_options] : sort.items()) {
     if (field.starts_with("_") && field != wire::kScoreField && field != wire::kDocField &&
         field != wire::kIdField) {
-      return NotForConfined("sort." + field);
+      return NotForRestricted("sort." + field);
     }
-    if (!how.is_object()) continue;
-    for (const auto& [name, value] : how.items()) {
-      if (!IsOneOf(name, kSortMembers)) return NotForConfined(fmt::format("sort.{}.{}", field, name));
+    if (!key_options.is_object()) continue;
+    for (const auto& [name, value] : key_options.items()) {
+      if (!IsOneOf(name, kSortMembers)) return NotForRestricted(fmt::format("sort.{}.{}", field, name));
     }
   }
   return std::nullopt;
@@ -156,7 +157,7 @@
 
 }  // namespace
 
-std::optional<ApiError> CheckConfined(std::string_view body) {
+std::optional<ApiError> CheckRestricted(std::string_view body) {
   if (body.empty()) return std::nullopt;
   auto parsed = identity::ParseStrictJson(body, net::kMaxBodyBytes, kMaxDepth);
   if (!parsed) return UnreadableBody("the body: " + parsed.error().Message());
@@ -169,7 +170,7 @@
     } else if (name == wire::kSort) {
       error = CheckSort(value);
     } else if (!IsOneOf(name, kAllowedMembers)) {
-      error = NotForConfined(name);
+      error = NotForRestricted(name);
     }
     if (error) return error;
   }
@@ -178,24 +179,24 @@
 
 namespace {
 
-// What the URL's parameters ask, taken apart.
+// The URL's parameters, separated into those of a query and the others.
 struct UrlQuery {
-  std::string members;  // of a query_string query, with commas between them
-  std::string others;   // the other parameters, each with an ampersand before it
+  std::string members;           // of a query_string query, separated by commas
+  std::string other_parameters;  // the other parameters, each preceded by an ampersand
   bool has_query = false;
 };
 
-tl::expected<UrlQuery, ApiError> TakeQueryParameters(std::string_view parameters) {
+tl::expected<UrlQuery, ApiError> SplitQueryParameters(std::string_view parameters) {
   UrlQuery out;
   while (!parameters.empty()) {
     parameters.remove_prefix(1);
     std::string_view parameter = parameters.substr(0, parameters.find('&'));
     parameters.remove_prefix(parameter.size());
     std::string_view name = parameter.substr(0, parameter.find('='));
-    if (name == wire::kExplain) return tl::unexpected(NotForConfined(name));
+    if (name == wire::kExplain) return tl::unexpected(NotForRestricted(name));
     auto known = std::ranges::find(kQueryParameters, name, &QueryParameter::name);
     if (known == std::end(kQueryParameters)) {
-      out.others.append("&").append(parameter);
+      out.other_parameters.append("&").append(parameter);
       continue;
     }
     std::string value = net::Unescape(parameter.substr(std::min(parameter.size(), name.size() + 1)));
@@ -211,8 +212,8 @@
 
 }  // namespace
 
-tl::expected<SearchQuery, ApiError> Confine(const std::string& filter, const SearchQuery& search) {
-  auto url = TakeQueryParameters(search.parameters);
+tl::expected<SearchQuery, ApiError> RestrictQuery(const std::string& filter, const SearchQuery& search) {
+  auto url = SplitQueryParameters(search.parameters);
   if (!url) return tl::unexpected(std::move(url.error()));
   if (url->has_query && !search.query.empty()) {
     return tl::unexpected(BadRequest("a query stands in the body or in [q], not in both"));
@@ -222,10 +223,10 @@
   }
   std::string query = search.query;
   if (url->has_query) query = fmt::format(R"({{"query_string":{{{}}}}})", url->members);
-  // All documents score 1 without a query, and still do.
+  // Without a query all documents score 1; match_all preserves that.
   if (query.empty()) query = R"({"match_all":{}})";
   return SearchQuery{fmt::format(R"({{"bool":{{"must":[{}],"filter":[{}]}}}})", query, filter),
-                     std::move(url->others)};
+                     std::move(url->other_parameters)};
 }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/access_control.h
+++ b/src/opensearch/access_control.h
@@ -1,6 +1,6 @@
-// Confines a tenant to its own rows: its filter is put around whatever it searches, and what could reach past
-// a filter is rejected by name. What is not known here is rejected too, since a filter that holds for most
-// queries holds for none. Pure functions, any thread.
+// Document-level access control: restricts a tenant's searches to the documents that its filter matches.
+// Rejects by name what could bypass the filter, and everything that is not on an allow-list, as one query
+// that bypasses the filter exposes all documents. Pure functions, any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_ACCESS_CONTROL_H_
 #define LIFTRUDDER_OPENSEARCH_ACCESS_CONTROL_H_
 
@@ -13,17 +13,18 @@
 
 namespace liftrudder::opensearch {
 
-// Reads the body once more, strictly; the error says what in it a confined tenant may not use.
-std::optional<ApiError> CheckConfined(std::string_view body);
+// Checks the body of a restricted tenant's request, parsed strictly; the error names what in it the tenant
+// may not use.
+std::optional<ApiError> CheckRestricted(std::string_view body);
 
 struct SearchQuery {
   std::string query;       // JSON; empty: all documents
-  std::string parameters;  // of the URL, unread, each with an ampersand before it
+  std::string parameters;  // of the URL, still escaped, each preceded by an ampersand
 };
 
-// The query within `filter`, as endpoints get it. Parameters that hold a query are moved into it, since an
-// endpoint lets them take the body's place.
-tl::expected<SearchQuery, ApiError> Confine(const std::string& filter, const SearchQuery& search);
+// Returns the query combined with `filter`, as sent to endpoints. A query in the URL's parameters is moved
+// into it, since an endpoint would run that instead of the body's query, without the filter.
+tl::expected<SearchQuery, ApiError> RestrictQuery(const std::string& filter, const SearchQuery& search);
 
 }  // namespace liftrudder::opensearch
 
--- a/src/opensearch/caller_access.cpp
+++ b/src/opensearch/caller_access.cpp
@@ -32,12 +32,13 @@
 tl::expected<Principal, ApiError> CallerAccess::Authenticate(const net::HttpMessage& request,
                                                              const net::Exchange& exchange) {
   if (authenticator_ == nullptr) return Principal{};
-  // Several tokens are no good one, whatever else the connection shows.
-  static const std::string several_tokens;
+  // Several Authorization headers count as an invalid token, even beside a valid client certificate.
+  static const std::string invalid_authorization;
   identity::Credentials credentials;
-  std::size_t tokens = request.Count(wire::kAuthorizationHeader);
-  if (tokens > 0) {
-    credentials.authorization = tokens == 1 ? request.Header(wire::kAuthorizationHeader) : &several_tokens;
+  std::size_t header_count = request.Count(wire::kAuthorizationHeader);
+  if (header_count > 0) {
+    credentials.authorization =
+        header_count == 1 ? request.Header(wire::kAuthorizationHeader) : &invalid_authorization;
   }
   credentials.address = net::PeerHost(exchange.connection->fd());
   net::VerifiedPeer verified = exchange.connection->Peer(clock_.Now());
@@ -58,8 +59,8 @@
   lock.unlock();
   if (!suppressed) return;
   std::string tenant = error.tenant.empty() ? "" : ", tenant " + net::json::Quote(error.tenant);
-  log::Info("audit: refused from {}: {}{}", address, error.reason, tenant);
-  if (*suppressed > 0) log::Info("audit: {} refusals before it were not written", *suppressed);
+  log::Info("audit: rejected a request from {}: {}{}", address, error.reason, tenant);
+  if (*suppressed > 0) log::Info("audit: {} rejections before this one were not logged", *suppressed);
 }
 
 QuotaReservation CallerAccess::Reserve(const Principal& principal, std::size_t shard_requests) {
@@ -76,11 +77,11 @@
   reservation.admitted = decision.admitted;
   reservation.retry_after_us = decision.retry_after_us;
   if (!decision.admitted) return reservation;
-  auto give_back = [this, tenant = principal.tenant, subject = principal.subject](void*) {
-    std::lock_guard again(quota_mutex_);
+  auto release = [this, tenant = principal.tenant, subject = principal.subject](void*) {
+    std::lock_guard release_lock(quota_mutex_);
     quotas_->Release(tenant, subject);
   };
-  reservation.held = std::shared_ptr<void>(nullptr, std::move(give_back));
+  reservation.release_guard = std::shared_ptr<void>(nullptr, std::move(release));
   return reservation;
 }
 
--- a/src/opensearch/caller_access.h
+++ b/src/opensearch/caller_access.h
@@ -1,5 +1,5 @@
-// Who asks, and whether there is room in their quota: authentication with its audit lines, and reservations
-// of work. What a caller may see of an index, access_control.h and the operations decide. Any thread.
+// Authenticates callers, with audit log lines for rejections, and reserves capacity in their tenants' quotas.
+// access_control.h and the operations decide what a caller may see of an index. Any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_CALLER_ACCESS_H_
 #define LIFTRUDDER_OPENSEARCH_CALLER_ACCESS_H_
 
@@ -17,26 +17,27 @@
 
 namespace liftrudder::opensearch {
 
-// Without permissions where callers are not told apart, and all may.
+// Its permissions are null without authentication: then all callers may do everything.
 using identity::Principal;
 
-// Room for one query in its tenant's quota.
+// The capacity that one query takes in its tenant's quota.
 struct QuotaReservation {
   bool admitted = true;
-  std::shared_ptr<void> held;              // given back when this ends; null where there are no quotas
-  coordinator::Micros retry_after_us = 0;  // where it is not admitted: when to ask again
+  std::shared_ptr<void> release_guard;     // releases the capacity when destroyed; null without quotas
+  coordinator::Micros retry_after_us = 0;  // of a rejected query: the wait before a retry
 };
 
 class CallerAccess {
  public:
-  // `authenticator`: null where callers are not told apart. All must outlive it.
+  // `authenticator`: null without authentication. All arguments must outlive it.
   CallerAccess(identity::Authenticator* authenticator, const coordinator::Clock& clock,
                metrics::Counters& counters, std::uint64_t seed);
 
-  // Every rejection is counted and, bounded in rate, logged for the operators; the caller learns less.
+  // Counts every rejection and writes it to the audit log at a limited rate. The caller is not told the
+  // reason.
   tl::expected<Principal, ApiError> Authenticate(const net::HttpMessage& request,
                                                  const net::Exchange& exchange);
-  // Reserves room for a query of so many shard requests.
+  // Reserves capacity for a query of `shard_requests` shard requests.
   QuotaReservation Reserve(const Principal& principal, std::size_t shard_requests);
 
  private:
@@ -49,7 +50,7 @@
   identity::AuditLimiter audit_limiter_;  // guarded by audit_mutex_
   std::mutex quota_mutex_;
   std::shared_ptr<const identity::PermissionTable>
-      quota_table_;                             // whose weights the quotas have; by quota_mutex_
+      quota_table_;                             // the source of quotas_' weights; guarded by quota_mutex_
   std::optional<limits::TenantQuotas> quotas_;  // guarded by quota_mutex_; none: no limits
 };
 
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -10,13 +10,13 @@
 
 constexpr int kTooManyRequestsStatus = 429;
 
-class SearchReader : public net::ResponseReader {
+class SearchResponseReader : public net::ResponseReader {
  public:
   bool Take(std::string& in, const std::string& oldest, std::vector<net::EndpointResponse>& out) override {
-    if (oldest.empty()) return false;  // a response without a request
+    if (oldest.empty()) return false;  // a response without a request in flight
     switch (parser_.Feed(in)) {
       case net::HttpParser::State::kBad:
-        // An unreadable response is the endpoint's error, not a lost connection.
+        // A malformed response counts as the endpoint's error, not as a lost connection.
         out.push_back({oldest, coordinator::Cause::kEndpointError, {}, {}});
         return false;
       case net::HttpParser::State::kDone:
@@ -34,19 +34,19 @@
   bool Finish(const std::string& oldest, std::vector<net::EndpointResponse>& out) {
     net::HttpMessage message = std::move(parser_.message());
     parser_ = net::HttpParser(net::HttpParser::Kind::kResponse);
-    net::EndpointResponse answer;
-    answer.id = oldest;
-    bool good = message.status >= 200 && message.status < 300;
+    net::EndpointResponse response;
+    response.id = oldest;
+    bool successful = message.status >= 200 && message.status < 300;
     if (message.status == kTooManyRequestsStatus) {
-      // By the API's definition the search was never begun.
-      answer.cause = coordinator::Cause::kEndpointRejected;
-    } else if (good && IsCompleteResponse(message.body, oldest.front() == kCountMark)) {
-      answer.cause = coordinator::Cause::kServed;
-      answer.value = std::move(message.body);
+      // The API defines 429 to mean that the search was not started.
+      response.cause = coordinator::Cause::kEndpointRejected;
+    } else if (successful && IsCompleteResponse(message.body, oldest.front() == kCountIdPrefix)) {
+      response.cause = coordinator::Cause::kServed;
+      response.value = std::move(message.body);
     } else {
-      answer.cause = coordinator::Cause::kEndpointError;
+      response.cause = coordinator::Cause::kEndpointError;
     }
-    out.push_back(std::move(answer));
+    out.push_back(std::move(response));
     return !message.close;
   }
 
@@ -55,24 +55,24 @@
 
 }  // namespace
 
-std::string SearchProtocol::AttemptId(const coordinator::AttemptRequest& order) const {
-  return fmt::format("{}.{}", order.payload->call_id, order.shard);
+std::string SearchProtocol::AttemptId(const coordinator::AttemptRequest& request) const {
+  return fmt::format("{}.{}", request.payload->call_id, request.shard);
 }
 
-std::string SearchProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+std::string SearchProtocol::EncodeRequest(std::span<const coordinator::AttemptRequest* const> requests,
                                           const std::string& endpoint, coordinator::Micros now_us) const {
-  const coordinator::AttemptRequest& order = *orders.front();  // one request a call
-  const coordinator::Payload& payload = *order.payload;
+  const coordinator::AttemptRequest& request = *requests.front();  // one request per call
+  const coordinator::Payload& payload = *request.payload;
   return fmt::format(
       "POST {}{}preference=_shards:{} HTTP/1.1\r\nHost: {}\r\nX-Opaque-Id: {}\r\nX-Budget: {:.3f}\r\n"
       "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
-      payload.target, payload.target.find('?') == std::string::npos ? '?' : '&', order.shard, endpoint,
-      payload.call_id, static_cast<double>(order.attempt_deadline_us - now_us) / 1e6,
+      payload.target, payload.target.find('?') == std::string::npos ? '?' : '&', request.shard, endpoint,
+      payload.call_id, static_cast<double>(request.attempt_deadline_us - now_us) / 1e6,
       payload.statement.size(), payload.statement);
 }
 
 std::unique_ptr<net::ResponseReader> SearchProtocol::NewReader() const {
-  return std::make_unique<SearchReader>();
+  return std::make_unique<SearchResponseReader>();
 }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/endpoint_protocol.h
+++ b/src/opensearch/endpoint_protocol.h
@@ -1,5 +1,5 @@
-// How endpoints with the search API are called: one request at a time on a connection, one shard each. Any
-// thread; a reader belongs to one connection.
+// The protocol to endpoints that speak the search API: HTTP, with one request at a time on a connection and
+// one shard in each request. Any thread; a reader belongs to one connection.
 #ifndef LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
 #define LIFTRUDDER_OPENSEARCH_ENDPOINT_PROTOCOL_H_
 
@@ -9,15 +9,15 @@
 
 namespace liftrudder::opensearch {
 
-// The call ids of counts begin so; their answers carry a count in place of hits.
-constexpr char kCountMark = 'c';
+// The first character of the call ids of counts, whose responses carry a count in place of hits.
+constexpr char kCountIdPrefix = 'c';
 
 class SearchProtocol : public net::EndpointProtocol {
  public:
-  std::string AttemptId(const coordinator::AttemptRequest& order) const override;
-  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> orders,
+  std::string AttemptId(const coordinator::AttemptRequest& request) const override;
+  std::string EncodeRequest(std::span<const coordinator::AttemptRequest* const> requests,
                             const std::string& endpoint, coordinator::Micros now_us) const override;
-  // None: a search is cancelled by closing its connection.
+  // Empty: a search is cancelled by closing its connection.
   std::string EncodeCancellation(const std::string&) const override { return {}; }
   std::unique_ptr<net::ResponseReader> NewReader() const override;
 };
--- a/src/opensearch/errors.cpp
+++ b/src/opensearch/errors.cpp
@@ -76,7 +76,7 @@
   response.close = error.close;
   response.body = ErrorBody(error);
   if (error.retry_after_us > 0) {
-    // Whole seconds, rounded up: the API's clients read nothing finer.
+    // Whole seconds, rounded up, as the API's clients read no fractions.
     coordinator::Micros seconds = (error.retry_after_us + kSecondUs - 1) / kSecondUs;
     response.headers.emplace_back(wire::kRetryAfterHeader, fmt::format("{}", seconds));
   }
--- a/src/opensearch/errors.h
+++ b/src/opensearch/errors.h
@@ -1,4 +1,4 @@
-// Errors in the shape that clients of the search API know. Plain values and pure functions, any thread.
+// Errors of the search API in OpenSearch's format. Plain values and pure functions, any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_ERRORS_H_
 #define LIFTRUDDER_OPENSEARCH_ERRORS_H_
 
@@ -11,29 +11,29 @@
 namespace liftrudder::opensearch {
 
 struct ApiError {
-  int status = 400;  // of HTTP
+  int status = 400;  // HTTP status
   std::string type = wire::kIllegalArgument;
-  std::string reason;                      // for people: names what is at fault
-  coordinator::Micros retry_after_us = 0;  // 0: none is stated
-  bool close = false;                      // the connection ends with it
+  std::string reason;                      // for people: names the member or value at fault
+  coordinator::Micros retry_after_us = 0;  // 0: no Retry-After header
+  bool close = false;                      // closes the connection after the response
 };
 
-// 400: what was asked for is not supported, or not right.
+// 400: the request is invalid or asks for something that is not supported.
 ApiError BadRequest(std::string reason);
-// 400: the body cannot be read.
+// 400: the body cannot be parsed.
 ApiError UnreadableBody(std::string reason);
 ApiError NoSuchIndex(const std::string& index);
 ApiError NoSuchScroll(std::string reason);
 ApiError Unauthorized();
 ApiError Forbidden(std::string reason);
 ApiError TooManyScrolls(coordinator::Micros retry_after_us);
-// 429: rejected; nothing of the query counts against the client.
+// 429: rejected by a quota or by the coordinator; the client may retry.
 ApiError Rejected(coordinator::Micros retry_after_us);
 // 504: no sufficient answer before the deadline.
 ApiError DeadlineExceeded();
-// 503: no sufficient answer.
+// 503: overloaded, draining, or too few shards answered.
 ApiError Unavailable(std::string reason, coordinator::Micros retry_after_us = 0);
-// 500: an endpoint's response cannot be merged.
+// 500: an endpoint's hits cannot be merged, as they lack sort values.
 ApiError UnusableHits();
 
 std::string ErrorBody(const ApiError& error);
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -16,7 +16,8 @@
 constexpr int kTooManyRequestsStatus = 429;
 constexpr coordinator::Micros kOverloadRetryUs = 1'000'000;
 
-// Cursors of one tenant, so that what one has open tells the others nothing.
+// Each tenant's equal share of the scrolls, so that rejections do not reveal how many scrolls others have
+// open.
 std::size_t MaxScrollsPerOwner(const Options& options, const identity::Authenticator* authenticator) {
   if (authenticator == nullptr) return options.max_scrolls;
   std::size_t tenants = authenticator->permission_table()->tenants.size();
@@ -63,21 +64,21 @@
   auto principal = access_.Authenticate(request, exchange);
   if (!principal) {
     net::HttpResponse response = ErrorResponse(principal.error());
-    // RFC 6750 section 3, without the reason.
+    // The challenge of RFC 6750 section 3, without the reason of the failure.
     if (response.status == kUnauthorizedStatus) {
       response.headers.emplace_back(wire::kAuthenticateHeader, "Bearer");
     }
     return response;
   }
-  if (auto page = Page(path, request, *principal)) return page;
+  if (auto page = ServePage(path, request, *principal)) return page;
   auto route = FindRoute(request);
-  if (!route) return Answer(tl::unexpected(QueryFailure(route.error())), request, exchange);
-  return Answer(operations_.Run(*route, {request, exchange, *principal}), request, exchange);
+  if (!route) return Respond(tl::unexpected(QueryFailure(route.error())), request, exchange);
+  return Respond(operations_.Run(*route, {request, exchange, *principal}), request, exchange);
 }
 
-// None where the path is no page.
-std::optional<net::HttpResponse> Front::Page(std::string_view path, const net::HttpMessage& request,
-                                             const Principal& principal) {
+// Returns none when the path is not a page's.
+std::optional<net::HttpResponse> Front::ServePage(std::string_view path, const net::HttpMessage& request,
+                                                  const Principal& principal) {
   if (authenticates_ && path.starts_with(wire::kPagePrefix) && !principal.permissions->pages) {
     return ErrorResponse(Forbidden("no pages"));
   }
@@ -89,8 +90,8 @@
   return response;
 }
 
-std::optional<net::HttpResponse> Front::Answer(OperationResult result, const net::HttpMessage& request,
-                                               const net::Exchange& exchange) {
+std::optional<net::HttpResponse> Front::Respond(OperationResult result, const net::HttpMessage& request,
+                                                const net::Exchange& exchange) {
   if (result) {
     net::HttpResponse response;
     response.body = std::move(*result);
@@ -98,17 +99,17 @@
   }
   if (result.error().kind == QueryFailure::Kind::kClientDisconnected) return std::nullopt;
   const ApiError& error = result.error().error;
-  RecordRejection(error, request, exchange);
+  RecordMalformed(error, request, exchange);
   return ErrorResponse(error);
 }
 
-void Front::RecordRejection(const ApiError& error, const net::HttpMessage& request,
+void Front::RecordMalformed(const ApiError& error, const net::HttpMessage& request,
                             const net::Exchange& exchange) {
   if (error.status == kBadRequestStatus) counters_.malformed.Add();
-  // What reached the coordinator is recorded already.
+  // The coordinator has already recorded the queries that reached it.
   bool malformed = error.status >= kBadRequestStatus && error.status < kTooManyRequestsStatus;
   if (!malformed || !exchange.answered_queries->empty()) return;
-  const std::string* label = request.Header(wire::kLabelHeader);
+  const std::string* label = request.Header(wire::kOpaqueIdHeader);
   coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
                           decision_log::kUnknownClass, error.status, label == nullptr ? "" : *label);
 }
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -1,5 +1,5 @@
-// The search API's front: pages, who may ask, and which operation answers a request. Any thread of the
-// server's.
+// The front of the search API: authenticates callers, serves the pages under /-/ and passes each request to
+// the operation that answers it. Called on any worker thread of the server.
 #ifndef LIFTRUDDER_OPENSEARCH_FRONT_H_
 #define LIFTRUDDER_OPENSEARCH_FRONT_H_
 
@@ -20,8 +20,8 @@
 
 class Front : public net::Handler {
  public:
-  // `explain_service`: null where nothing is recorded. `authenticator`: null where callers are not told
-  // apart. All must outlive it.
+  // `explain_service`: null when the decision log is off. `authenticator`: null without authentication. All
+  // arguments must outlive it.
   Front(const config::Config& config, const Options& options, coordinator::Coordinator& coordinator,
         const coordinator::Clock& clock, metrics::Counters& counters,
         decision_log::ExplainService* explain_service, identity::Authenticator* authenticator);
@@ -33,11 +33,11 @@
              bool whole) override;
 
  private:
-  std::optional<net::HttpResponse> Page(std::string_view path, const net::HttpMessage& request,
-                                        const Principal& principal);
-  std::optional<net::HttpResponse> Answer(OperationResult result, const net::HttpMessage& request,
-                                          const net::Exchange& exchange);
-  void RecordRejection(const ApiError& error, const net::HttpMessage& request, const net::Exchange& exchange);
+  std::optional<net::HttpResponse> ServePage(std::string_view path, const net::HttpMessage& request,
+                                             const Principal& principal);
+  std::optional<net::HttpResponse> Respond(OperationResult result, const net::HttpMessage& request,
+                                           const net::Exchange& exchange);
+  void RecordMalformed(const ApiError& error, const net::HttpMessage& request, const net::Exchange& exchange);
 
   coordinator::Coordinator& coordinator_;
   metrics::Counters& counters_;
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -18,7 +18,7 @@
 
 struct Hit {
   int shard = 0;
-  std::size_t place = 0;
+  std::size_t position = 0;
   std::string_view text, sort_text;
   std::vector<std::string_view> sort;
 };
@@ -26,7 +26,7 @@
 std::weak_ordering CompareValues(std::string_view a, std::string_view b) {
   auto a_text = json::String(a), b_text = json::String(b);
   if (a_text && b_text) return a_text->compare(*b_text) <=> 0;
-  // 64 bits of mantissa hold every long exactly.
+  // On x86-64 the 64-bit mantissa of long double holds every value of a long field exactly.
   long double x = 0, y = 0;
   std::from_chars(a.data(), a.data() + a.size(), x);
   std::from_chars(b.data(), b.data() + b.size(), y);
@@ -34,7 +34,7 @@
   return x > y ? std::weak_ordering::greater : std::weak_ordering::equivalent;
 }
 
-bool Before(const std::vector<SortKey>& keys, const Hit& a, const Hit& b) {
+bool SortsBefore(const std::vector<SortKey>& keys, const Hit& a, const Hit& b) {
   for (std::size_t i = 0; i < keys.size(); ++i) {
     bool a_missing = a.sort[i] == "null", b_missing = b.sort[i] == "null";
     if (a_missing != b_missing) return a_missing == keys[i].missing_first;
@@ -42,15 +42,15 @@
     auto order = CompareValues(a.sort[i], b.sort[i]);
     if (std::is_neq(order)) return keys[i].descending ? std::is_gt(order) : std::is_lt(order);
   }
-  return std::tie(a.shard, a.place) < std::tie(b.shard, b.place);
+  return std::tie(a.shard, a.position) < std::tie(b.shard, b.position);
 }
 
 bool ReadHits(const coordinator::ShardResponse& shard_response, const Search& search,
               std::vector<Hit>& hits) {
-  std::size_t place = 0;
+  std::size_t position = 0;
   return json::Elements(json::Get(json::Get(shard_response.value, wire::kHits), wire::kHits),
                         [&](std::string_view text) {
-                          Hit hit{shard_response.shard, place++, text, json::Get(text, wire::kSort), {}};
+                          Hit hit{shard_response.shard, position++, text, json::Get(text, wire::kSort), {}};
                           json::Elements(hit.sort_text, [&hit](std::string_view value) {
                             hit.sort.push_back(value);
                             return true;
@@ -60,13 +60,13 @@
                         });
 }
 
-// The number of hits in all shards.
+// The total number of hits of all shards.
 struct Total {
   std::int64_t value = 0;
-  bool tracked = true;  // every shard stated one
-  bool exact = true;    // else a lower bound
+  bool tracked = true;  // every shard's response has a total
+  bool exact = true;    // otherwise a lower bound
 
-  // One shard's: an object, or a plain number as older servers give it; absent when not tracked.
+  // Adds a shard's total: an object, or a number from older servers; empty when not tracked.
   void Add(std::string_view total) {
     if (total.empty() || total == "null") {
       tracked = false;
@@ -80,7 +80,7 @@
   }
 };
 
-// The best score of all shards, in an endpoint's own digits.
+// The highest score of all shards; its text is copied from the shard's response.
 struct MaxScore {
   std::optional<double> value;
   std::string_view text = "null";
@@ -100,7 +100,7 @@
                                 answered, total - answered);
   if (answered < total) {
     out += R"(,"failures":[)";
-    const char* comma = "";
+    const char* separator = "";
     for (const coordinator::ShardRequest& shard_request : *context.shard_requests) {
       if (std::ranges::find(answer.shard_responses, shard_request.shard,
                             &coordinator::ShardResponse::shard) != answer.shard_responses.end()) {
@@ -109,8 +109,8 @@
       fmt::format_to(std::back_inserter(out),
                      R"({}{{"shard":{},"reason":{{"type":"no_shard_available_action_exception",)"
                      R"("reason":"no answer in time"}}}})",
-                     comma, shard_request.shard);
-      comma = ",";
+                     separator, shard_request.shard);
+      separator = ",";
     }
     out += ']';
   }
@@ -139,11 +139,11 @@
   MaxScore max_score;
   for (const coordinator::ShardResponse& shard_response : answer.shard_responses) {
     if (!ReadHits(shard_response, search, hits)) return std::nullopt;
-    std::string_view outer = json::Get(shard_response.value, wire::kHits);
-    total.Add(json::Get(outer, wire::kTotal));
-    max_score.Add(json::Get(outer, wire::kMaxScore));
+    std::string_view hits_object = json::Get(shard_response.value, wire::kHits);
+    total.Add(json::Get(hits_object, wire::kTotal));
+    max_score.Add(json::Get(hits_object, wire::kMaxScore));
   }
-  std::ranges::sort(hits, [&](const Hit& a, const Hit& b) { return Before(search.sort, a, b); });
+  std::ranges::sort(hits, [&](const Hit& a, const Hit& b) { return SortsBefore(search.sort, a, b); });
   auto from = std::min(hits.size(), static_cast<std::size_t>(search.from));
   auto end = std::min(hits.size(), from + static_cast<std::size_t>(search.size));
   MergedHits out;
--- a/src/opensearch/merge.h
+++ b/src/opensearch/merge.h
@@ -1,5 +1,5 @@
-// Merges the shards' responses into one answer, in the order asked for; shards that are missing are listed as
-// failed, never left out. Pure functions, any thread.
+// Merges the shards' responses into one answer in the requested order. Shards without a response are listed
+// as failed. Pure functions, any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_MERGE_H_
 #define LIFTRUDDER_OPENSEARCH_MERGE_H_
 
@@ -15,22 +15,23 @@
 
 struct MergedHits {
   std::string body;       // without its closing brace, so that a scroll id may follow
-  std::string last_sort;  // of the last hit on the page; empty when there is none
+  std::string last_sort;  // sort values of the last hit on the page; empty when there is none
   std::size_t hits = 0;
 };
 
-// How the answer came about.
+// What an answer states about its query.
 struct AnswerContext {
   coordinator::Micros took_us = 0;
   bool timed_out = false;
   const std::vector<coordinator::ShardRequest>* shard_requests = nullptr;  // of the query, never null
 };
 
-// Whether an endpoint's response is a complete one: well formed, with what was asked for, and without error,
-// timeout or failed shards. Anything else is an error, however much it may look like an empty list of hits.
+// Returns whether an endpoint's response is complete: well formed, with the requested hits or count, and
+// without error, timeout or failed shards. Any other response is an error, even one that resembles an empty
+// list of hits.
 bool IsCompleteResponse(std::string_view body, bool count);
 
-// None when a shard's hits cannot be ordered.
+// Returns none when a shard's hits cannot be read, or lack a sort value for a sort key.
 std::optional<MergedHits> MergeHits(const Search& search, const coordinator::FinalAnswer& answer,
                                     const AnswerContext& context);
 std::string MergeCounts(const coordinator::FinalAnswer& answer, const AnswerContext& context);
--- a/src/opensearch/operations.cpp
+++ b/src/opensearch/operations.cpp
@@ -14,7 +14,7 @@
 
 constexpr coordinator::Micros kScrollRetryUs = 1'000'000;
 
-// Enters the status of a multi-search's item where the response's queries are listed.
+// Sets the status of a multi-search's item in the exchange's list of answered queries.
 void SetStatus(const RunningQuery& query, int status, const net::Exchange& exchange) {
   for (net::AnsweredQuery& answered : *exchange.answered_queries) {
     if (query.id == answered.query) answered.status = status;
@@ -67,16 +67,16 @@
 
 RunningQuery Operations::StartSearch(const std::string& index, const Search& search,
                                      const RequestContext& context, decision_log::FrontKind front) {
-  std::string target = fmt::format("/{}/{}", index, wire::kSearchStep);
+  std::string target = fmt::format("/{}/{}", index, wire::kSearchSegment);
   if (!search.parameters.empty()) target += "?" + search.parameters.substr(1);
-  // A page of a scroll with a shard missing would lose that shard's hits for good.
+  // A scroll page without one shard would skip that shard's hits: the next page begins after the last hit.
   bool complete_only = !search.allow_partial || search.keep_alive_us > 0;
   return queries_.Start(
       {&options_.indices.at(index), {std::move(target), ShardBody(search)}, front, complete_only}, context);
 }
 
-AnswerContext Operations::ContextOf(const RunningQuery& query, const coordinator::FinalAnswer& answer,
-                                    const net::Exchange& exchange) const {
+AnswerContext Operations::MakeAnswerContext(const RunningQuery& query, const coordinator::FinalAnswer& answer,
+                                            const net::Exchange& exchange) const {
   return {clock_.Now() - exchange.received_us, answer.cut_by_time, &query.index->shard_requests};
 }
 
@@ -85,19 +85,19 @@
                                          const std::string& scroll_id) {
   auto answer = queries_.Await(query, context.exchange);
   if (!answer) return tl::unexpected(std::move(answer.error()));
-  auto merged = MergeHits(search, *answer, ContextOf(query, *answer, context.exchange));
+  auto merged = MergeHits(search, *answer, MakeAnswerContext(query, *answer, context.exchange));
   if (!merged) return tl::unexpected(UnusableHits());
   if (search.keep_alive_us == 0) return merged->body + "}";
   const Principal& principal = context.principal;
   Cursor next{index, search, merged->hits == 0, principal.tenant, principal.permissions};
   if (!merged->last_sort.empty()) next.search.search_after = merged->last_sort;
-  auto id = KeepScroll(std::move(next), scroll_id);
+  auto id = StoreCursor(std::move(next), scroll_id);
   if (!id) return tl::unexpected(std::move(id.error()));
   return fmt::format(R"({},"_scroll_id":{}}})", merged->body, net::json::Quote(*id));
 }
 
-// The id under which the next page is found.
-tl::expected<std::string, ApiError> Operations::KeepScroll(Cursor next, const std::string& scroll_id) {
+// Returns the id by which the client fetches the next page.
+tl::expected<std::string, ApiError> Operations::StoreCursor(Cursor next, const std::string& scroll_id) {
   if (scroll_id.empty()) {
     auto id = scrolls_.Open(std::move(next));
     if (!id) return tl::unexpected(TooManyScrolls(kScrollRetryUs));
@@ -122,19 +122,19 @@
   if (!found) return tl::unexpected(std::move(found.error()));
   auto call = ReadCount(context.request, index, FilterOf(context.principal));
   if (!call) return tl::unexpected(std::move(call.error()));
-  // A count over some of the shards is wrong rather than partial.
+  // A count over only some of the shards would be a wrong number, so partial results are not accepted.
   RunningQuery query =
       queries_.Start({*found, std::move(*call), decision_log::FrontKind::kCount, true}, context);
   auto answer = queries_.Await(query, context.exchange);
   if (!answer) return tl::unexpected(std::move(answer.error()));
-  return MergeCounts(*answer, ContextOf(query, *answer, context.exchange));
+  return MergeCounts(*answer, MakeAnswerContext(query, *answer, context.exchange));
 }
 
 OperationResult Operations::ContinueScroll(const RequestContext& context) {
   auto scroll = ReadScroll(context.request);
   if (!scroll) return tl::unexpected(std::move(scroll.error()));
   auto cursor = scrolls_.Find(scroll->id, context.principal.tenant, scroll->keep_alive_us);
-  // A scroll goes on under the permissions that it was begun with, or not at all.
+  // A scroll cannot be continued after its tenant's permissions have changed.
   if (!cursor || cursor->permissions != context.principal.permissions) {
     return tl::unexpected(NoSuchScroll(fmt::format("no search context found for id [{}]", scroll->id)));
   }
@@ -169,10 +169,10 @@
 OperationResult Operations::MultiSearch(const std::string& path_index, const RequestContext& context) {
   auto items = ReadMultiSearch(context.request);
   if (!items) return tl::unexpected(std::move(items.error()));
-  net::HttpMessage shared;  // the searches share the request's headers, and have no parameters
-  shared.headers = context.request.headers;
-  const RequestContext item_context{shared, context.exchange, context.principal};
-  // All are started before the first is waited for.
+  net::HttpMessage item_request;  // each search has the request's headers and no parameters
+  item_request.headers = context.request.headers;
+  const RequestContext item_context{item_request, context.exchange, context.principal};
+  // Starts all searches before it waits for the first, so that they run concurrently.
   MultiSearchEntries entries;
   for (const MultiSearchItem& item : *items) entries.push_back(StartItem(item, path_index, item_context));
   std::string responses;
--- a/src/opensearch/operations.h
+++ b/src/opensearch/operations.h
@@ -1,5 +1,5 @@
-// The operations of the search API: search, count, scroll and multi-search, each from the request to the body
-// of its answer. Any thread.
+// The operations of the search API: search, count, scroll and multi-search. Each turns a request into the
+// body of its answer. Any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_OPERATIONS_H_
 #define LIFTRUDDER_OPENSEARCH_OPERATIONS_H_
 
@@ -21,7 +21,7 @@
 
 class Operations {
  public:
-  // All must outlive it.
+  // All arguments must outlive it.
   Operations(const Options& options, QueryRunner& queries, Scrolls& scrolls, const coordinator::Clock& clock)
       : options_(options), queries_(queries), scrolls_(scrolls), clock_(clock) {}
 
@@ -42,10 +42,10 @@
   OperationResult DeleteScrolls(const RequestContext& context);
   OperationResult MultiSearch(const std::string& path_index, const RequestContext& context);
 
-  // An index that is not the caller's is reported as one that does not exist.
+  // Reports an index that the caller may not use as one that does not exist.
   tl::expected<const IndexOptions*, ApiError> FindIndex(const std::string& index,
                                                         const Principal& principal) const;
-  // Reads a search as the caller's permissions allow it.
+  // Reads a search and applies the caller's permissions to it.
   tl::expected<Search, ApiError> ReadAllowed(const net::HttpMessage& request, std::string_view body,
                                              const Principal& principal) const;
   RunningQuery StartSearch(const std::string& index, const Search& search, const RequestContext& context,
@@ -53,12 +53,12 @@
   tl::expected<MultiSearchEntry, ApiError> StartItem(const MultiSearchItem& item,
                                                      const std::string& path_index,
                                                      const RequestContext& context);
-  // `scroll_id`: of the scroll that this is a page of; empty: none, or its first page.
+  // `scroll_id`: the scroll that this page continues; empty for a plain search and for a scroll's first page.
   OperationResult FinishSearch(const std::string& index, const Search& search, const RunningQuery& query,
                                const RequestContext& context, const std::string& scroll_id = {});
-  tl::expected<std::string, ApiError> KeepScroll(Cursor next, const std::string& scroll_id);
-  AnswerContext ContextOf(const RunningQuery& query, const coordinator::FinalAnswer& answer,
-                          const net::Exchange& exchange) const;
+  tl::expected<std::string, ApiError> StoreCursor(Cursor next, const std::string& scroll_id);
+  AnswerContext MakeAnswerContext(const RunningQuery& query, const coordinator::FinalAnswer& answer,
+                                  const net::Exchange& exchange) const;
 
   const Options& options_;
   QueryRunner& queries_;
--- a/src/opensearch/options.cpp
+++ b/src/opensearch/options.cpp
@@ -10,14 +10,14 @@
 
 namespace json = net::json;
 
-// A search is idempotent, so its class must be.
+// Returns the index of the named class, which must be idempotent, as searches are.
 int ClassIndex(std::string_view value, const config::Config& config) {
   std::string name = json::String(value).value_or("");
   auto found = std::ranges::find(config.classes, name);
-  if (found == config.classes.end()) throw OptionsError("indices: no class '" + name + "'");
+  if (found == config.classes.end()) throw OptionsError("indices: unknown class '" + name + "'");
   auto index = static_cast<std::size_t>(found - config.classes.begin());
   if (config.settings.classes[index].effect != routing::Effect::kIdempotent) {
-    throw OptionsError("indices: class '" + name + "' is not safe to repeat");
+    throw OptionsError("indices: class '" + name + "' must have the effect 'idempotent'");
   }
   return static_cast<int>(index);
 }
@@ -25,8 +25,8 @@
 IndexOptions ReadIndex(std::string_view text, const config::Config& config) {
   IndexOptions out;
   out.class_index = ClassIndex(json::Get(text, wire::kClass), config);
-  std::string_view whole = json::Get(text, wire::kWholeClass);
-  out.whole_class_index = whole.empty() ? out.class_index : ClassIndex(whole, config);
+  std::string_view whole_class = json::Get(text, wire::kWholeClass);
+  out.complete_class_index = whole_class.empty() ? out.class_index : ClassIndex(whole_class, config);
   std::vector<double> weights;
   json::Elements(json::Get(text, wire::kWeights), [&weights](std::string_view value) {
     weights.push_back(json::Number(value).value_or(0));
@@ -37,13 +37,14 @@
     return true;
   });
   if (out.shard_requests.empty() || (!weights.empty() && weights.size() != out.shard_requests.size())) {
-    throw OptionsError("indices: an index needs shards, and a weight for each or for none");
+    throw OptionsError(
+        "indices: [shards] is missing or empty, or [weights] does not have one weight per shard");
   }
   double sum = 0;
   for (double weight : weights) sum += weight;
   for (std::size_t i = 0; i < out.shard_requests.size(); ++i) {
     if (out.shard_requests[i].shard < 0 || out.shard_requests[i].shard >= config.settings.shards) {
-      throw OptionsError("indices: a shard that the settings do not have");
+      throw OptionsError("indices: [shards] has a value that is not a shard of the settings");
     }
     out.shard_requests[i].weight =
         sum > 0 ? weights[i] / sum : 1.0 / static_cast<double>(out.shard_requests.size());
@@ -54,21 +55,21 @@
 }  // namespace
 
 Options ParseOptions(std::string_view text, const config::Config& config) {
-  std::string_view front = json::Get(text, wire::kOptions);
+  std::string_view section = json::Get(text, wire::kOptions);
   Options out;
-  bool ok =
-      json::JsonMembers(json::Get(front, wire::kIndices), [&](std::string_view name, std::string_view value) {
-        out.indices[std::string(name)] = ReadIndex(value, config);
-        return true;
-      });
-  if (!ok || out.indices.empty()) throw OptionsError("opensearch: no indices");
-  out.result_window = json::Integer(json::Get(front, wire::kResultWindow)).value_or(out.result_window);
+  bool ok = json::JsonMembers(json::Get(section, wire::kIndices),
+                              [&](std::string_view name, std::string_view value) {
+                                out.indices[std::string(name)] = ReadIndex(value, config);
+                                return true;
+                              });
+  if (!ok || out.indices.empty()) throw OptionsError("opensearch: [indices] is missing, empty or malformed");
+  out.result_window = json::Integer(json::Get(section, wire::kResultWindow)).value_or(out.result_window);
   out.max_scrolls = static_cast<std::size_t>(
-      std::clamp<std::int64_t>(json::Integer(json::Get(front, wire::kMaxScrolls)).value_or(64), 1, 4096));
+      std::clamp<std::int64_t>(json::Integer(json::Get(section, wire::kMaxScrolls)).value_or(64), 1, 4096));
   out.max_keep_alive_us =
       1'000'000 *
-      json::Integer(json::Get(front, wire::kMaxKeepAliveS)).value_or(out.max_keep_alive_us / 1'000'000);
-  out.tiebreak = json::String(json::Get(front, wire::kTiebreak)).value_or(out.tiebreak);
+      json::Integer(json::Get(section, wire::kMaxKeepAliveS)).value_or(out.max_keep_alive_us / 1'000'000);
+  out.tiebreak = json::String(json::Get(section, wire::kTiebreak)).value_or(out.tiebreak);
   return out;
 }
 
--- a/src/opensearch/options.h
+++ b/src/opensearch/options.h
@@ -1,4 +1,4 @@
-// The options of the search API: what its file says beside the coordinator's own configuration.
+// The options of the search API, which its file holds beside the coordinator's own configuration.
 #ifndef LIFTRUDDER_OPENSEARCH_OPTIONS_H_
 #define LIFTRUDDER_OPENSEARCH_OPTIONS_H_
 
@@ -14,7 +14,7 @@
 
 struct IndexOptions {
   int class_index = 0;
-  int whole_class_index = 0;  // for scrolls and where partial answers are not allowed
+  int complete_class_index = 0;  // for counts, scrolls and searches that do not allow partial results
   std::vector<coordinator::ShardRequest> shard_requests;
 };
 
@@ -23,10 +23,10 @@
   std::int64_t result_window = 1000;
   std::size_t max_scrolls = 64;
   coordinator::Micros max_keep_alive_us = 300'000'000;
-  std::string tiebreak = "_id";  // a field that no two documents of an index share
+  std::string tiebreak = "_id";  // a field whose value is unique in an index
 };
 
-// Options that cannot be used; what() says which member and value is at fault. For start-up and reload.
+// The options cannot be used; what() names the member or value at fault. Thrown at start-up and reload.
 class OptionsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/opensearch/query_runner.cpp
+++ b/src/opensearch/query_runner.cpp
@@ -11,11 +11,13 @@
 namespace liftrudder::opensearch {
 namespace {
 
-constexpr coordinator::Micros kAnswerMarginUs = 5'000;  // before the deadline, should the coordinator be busy
-constexpr coordinator::Micros kDeadlineSlackUs = 50'000;  // an end this near the deadline was a timeout
+// The wait ends this long before the deadline, so that the client is answered in time even when the
+// coordinator is busy.
+constexpr coordinator::Micros kAnswerMarginUs = 5'000;
+constexpr coordinator::Micros kDeadlineToleranceUs = 50'000;  // a failure this near the deadline is a timeout
 constexpr coordinator::Micros kOverloadRetryUs = 1'000'000;
-constexpr double kMaxBudgetS = 3600;
-constexpr char kSearchMark = 's';  // the call ids of all but counts begin so
+constexpr double kMaxTimeoutS = 3600;
+constexpr char kSearchIdPrefix = 's';  // first character of the other call ids
 
 }  // namespace
 
@@ -28,26 +30,27 @@
 coordinator::Micros QueryRunner::TimeoutOf(int class_index, const net::HttpMessage& request) const {
   coordinator::Micros timeout_us =
       config_.settings.classes[static_cast<std::size_t>(class_index)].client_timeout_us;
-  const std::string* budget = request.Header(wire::kBudgetHeader);
-  if (budget == nullptr) return timeout_us;
-  double seconds = std::clamp(net::json::Number(*budget).value_or(0), 0.0, kMaxBudgetS);
+  const std::string* timeout_header = request.Header(wire::kTimeoutHeader);
+  if (timeout_header == nullptr) return timeout_us;
+  double seconds = std::clamp(net::json::Number(*timeout_header).value_or(0), 0.0, kMaxTimeoutS);
   return std::min(timeout_us, static_cast<coordinator::Micros>(seconds * 1e6));
 }
 
-coordinator::QueryRequest QueryRunner::RequestFor(QuerySpec spec, const RequestContext& context) {
+coordinator::QueryRequest QueryRunner::BuildRequest(QuerySpec spec, const RequestContext& context) {
   const net::Exchange& exchange = context.exchange;
   coordinator::QueryRequest query;
-  query.class_index = spec.complete_only ? spec.index->whole_class_index : spec.index->class_index;
+  query.class_index = spec.complete_only ? spec.index->complete_class_index : spec.index->class_index;
   query.received_us = exchange.received_us;
   query.deadline_us = exchange.received_us + TimeoutOf(query.class_index, context.request);
   query.front = spec.front;
-  if (const std::string* label = context.request.Header(wire::kLabelHeader)) {
+  if (const std::string* label = context.request.Header(wire::kOpaqueIdHeader)) {
     query.label = label->substr(0, decision_log::kMaxIdBytes);
   }
   query.shard_requests = spec.index->shard_requests;
   bool is_count = spec.front == decision_log::FrontKind::kCount;
   coordinator::Payload payload;
-  payload.call_id = fmt::format("{}{:x}-{}", is_count ? kCountMark : kSearchMark, config_.seed, ++started_);
+  payload.call_id =
+      fmt::format("{}{:x}-{}", is_count ? kCountIdPrefix : kSearchIdPrefix, config_.seed, ++started_);
   payload.target = std::move(spec.call.target);
   payload.client = exchange.reply_waiter->client();
   payload.statement = std::move(spec.call.body);
@@ -61,7 +64,7 @@
   running.index = spec.index;
   running.complete_only = spec.complete_only;
   std::size_t shard_requests = spec.index->shard_requests.size();
-  coordinator::QueryRequest request = RequestFor(std::move(spec), context);
+  coordinator::QueryRequest request = BuildRequest(std::move(spec), context);
   running.deadline_us = request.deadline_us;
   running.reservation = access_.Reserve(context.principal, shard_requests);
   if (!running.reservation.admitted) return running;
@@ -74,7 +77,7 @@
   if (query.id) coordinator_.Post(coordinator::ClientDisconnect{*query.id});
 }
 
-// The failure where the wait ends without an answer.
+// Returns the failure if the wait ends without an answer.
 std::optional<QueryFailure> QueryRunner::WaitForAnswer(const RunningQuery& query,
                                                        const net::Exchange& exchange) {
   using WaitResult = net::WaitingReply::WaitResult;
@@ -106,8 +109,8 @@
   if (!query.id) return tl::unexpected(Unavailable("too many queries are open", kOverloadRetryUs));
   if (auto failure = WaitForAnswer(query, exchange)) return tl::unexpected(std::move(*failure));
   coordinator::FinalAnswer& answer = query.reply->answer();
-  // A query that ends unanswered at its deadline is a timeout to this API's clients, not a rejection.
-  bool at_deadline = clock_.Now() + kDeadlineSlackUs >= query.deadline_us;
+  // Clients of this API expect a timeout, not a rejection, when a query ends unanswered at its deadline.
+  bool at_deadline = clock_.Now() + kDeadlineToleranceUs >= query.deadline_us;
   if (answer.verdict != Verdict::kAnswered && at_deadline) return tl::unexpected(DeadlineExceeded());
   if (answer.verdict == Verdict::kRejected) return tl::unexpected(Rejected(answer.retry_after_us));
   if (answer.verdict == Verdict::kFailed) return tl::unexpected(Unavailable("too few shards answered"));
--- a/src/opensearch/query_runner.h
+++ b/src/opensearch/query_runner.h
@@ -1,5 +1,5 @@
-// Gives one query of a client to the coordinator, and waits for its answer or for what ends it before: the
-// deadline, the client. Knows nothing of bodies. Any thread; a RunningQuery belongs to one.
+// Submits a client's query to the coordinator and waits until it is answered, its deadline comes or its
+// client disconnects. Does not interpret bodies. Any thread; a RunningQuery belongs to one thread.
 #ifndef LIFTRUDDER_OPENSEARCH_QUERY_RUNNER_H_
 #define LIFTRUDDER_OPENSEARCH_QUERY_RUNNER_H_
 
@@ -19,7 +19,7 @@
 
 namespace liftrudder::opensearch {
 
-// One request of a client, and who asks. All are the caller's and outlive the query.
+// A client's request and its authenticated caller. The references must outlive the query.
 struct RequestContext {
   const net::HttpMessage& request;
   const net::Exchange& exchange;
@@ -30,25 +30,25 @@
 struct QueryFailure {
   enum class Kind { kError, kClientDisconnected };
   Kind kind = Kind::kError;
-  ApiError error;  // of kError: what the client gets
+  ApiError error;  // of kError: the error that the client gets
 
-  // NOLINTNEXTLINE(google-explicit-constructor): an error is the usual failure.
+  // NOLINTNEXTLINE(google-explicit-constructor): most failures are an ApiError and convert implicitly.
   QueryFailure(ApiError api_error) : error(std::move(api_error)) {}
   static QueryFailure ClientDisconnected();
 };
 
-// What a query asks of the shards of an index.
+// A query to the shards of an index.
 struct QuerySpec {
   const IndexOptions* index = nullptr;
   ShardCall call;
   decision_log::FrontKind front = decision_log::FrontKind::kSearch;
-  bool complete_only = false;  // a partial result will not do
+  bool complete_only = false;  // a partial result is an error
 };
 
-// A query given to the coordinator, and who waits for it.
+// A query submitted to the coordinator, and the reply that its worker waits for.
 struct RunningQuery {
   std::shared_ptr<net::WaitingReply> reply;
-  std::optional<coordinator::Id> id;  // none: rejected at admission
+  std::optional<coordinator::Id> id;  // none: rejected by the quota or at admission
   coordinator::Micros deadline_us = 0;
   const IndexOptions* index = nullptr;
   bool complete_only = false;
@@ -57,20 +57,20 @@
 
 class QueryRunner {
  public:
-  // All must outlive it.
+  // All arguments must outlive it.
   QueryRunner(const config::Config& config, coordinator::Coordinator& coordinator,
               const coordinator::Clock& clock, metrics::Counters& counters, CallerAccess& access)
       : config_(config), coordinator_(coordinator), clock_(clock), counters_(counters), access_(access) {}
 
   RunningQuery Start(QuerySpec spec, const RequestContext& context);
-  // Waits until shortly before the query's deadline at the latest.
+  // Waits for the query's answer, at the latest until shortly before its deadline.
   tl::expected<coordinator::FinalAnswer, QueryFailure> Await(const RunningQuery& query,
                                                              const net::Exchange& exchange);
-  // Nobody waits for it any more.
+  // Tells the coordinator that the client no longer waits for this query.
   void Abandon(const RunningQuery& query);
 
  private:
-  coordinator::QueryRequest RequestFor(QuerySpec spec, const RequestContext& context);
+  coordinator::QueryRequest BuildRequest(QuerySpec spec, const RequestContext& context);
   coordinator::Micros TimeoutOf(int class_index, const net::HttpMessage& request) const;
   std::optional<QueryFailure> WaitForAnswer(const RunningQuery& query, const net::Exchange& exchange);
 
--- a/src/opensearch/requests.cpp
+++ b/src/opensearch/requests.cpp
@@ -17,8 +17,8 @@
 
 constexpr std::size_t kMaxSearches = 32;  // in one multi-search
 
-// With the line ends taken off; empty lines at the end are left out.
-std::vector<std::string_view> LinesOf(std::string_view text) {
+// Splits the text into lines without their line ends; omits empty lines at the end.
+std::vector<std::string_view> SplitLines(std::string_view text) {
   std::vector<std::string_view> lines;
   while (!text.empty()) {
     std::string_view line = text.substr(0, text.find('\n'));
@@ -46,8 +46,8 @@
 tl::expected<ShardCall, ApiError> ReadCount(const net::HttpMessage& request, const std::string& index,
                                             const std::string& filter) {
   if (auto error = CheckCountBody(request.body)) return tl::unexpected(std::move(*error));
-  const std::string path = fmt::format("/{}/{}", index, wire::kCountStep);
-  std::string parameters;  // as Confine takes them
+  const std::string path = fmt::format("/{}/{}", index, wire::kCountSegment);
+  std::string parameters;  // in the form of SearchQuery::parameters
   if (request.target.find('?') != std::string::npos) {
     auto query_string = request.Parameter(wire::kQueryString);
     if (!query_string) return tl::unexpected(BadRequest("only [q] is supported beside the body of a count"));
@@ -56,10 +56,10 @@
   if (filter.empty()) {
     return ShardCall{parameters.empty() ? path : path + "?" + parameters.substr(1), request.body};
   }
-  if (auto error = CheckConfined(request.body)) return tl::unexpected(std::move(*error));
-  auto confined = Confine(filter, {std::string(json::Get(request.body, wire::kQuery)), parameters});
-  if (!confined) return tl::unexpected(std::move(confined.error()));
-  return ShardCall{path, fmt::format(R"({{"{}":{}}})", wire::kQuery, confined->query)};
+  if (auto error = CheckRestricted(request.body)) return tl::unexpected(std::move(*error));
+  auto restricted = RestrictQuery(filter, {std::string(json::Get(request.body, wire::kQuery)), parameters});
+  if (!restricted) return tl::unexpected(std::move(restricted.error()));
+  return ShardCall{path, fmt::format(R"({{"{}":{}}})", wire::kQuery, restricted->query)};
 }
 
 tl::expected<ScrollRequest, ApiError> ReadScroll(const net::HttpMessage& request) {
@@ -74,16 +74,16 @@
   }
   if (scroll.id.empty()) return tl::unexpected(BadRequest("[scroll_id] is missing"));
   if (keep_alive.empty()) return scroll;
-  auto span_us = ReadSpan(keep_alive);
-  if (!span_us) return tl::unexpected(BadRequest("[scroll] is not a time such as 1m"));
-  scroll.keep_alive_us = *span_us;
+  auto duration_us = ReadDuration(keep_alive);
+  if (!duration_us) return tl::unexpected(BadRequest("[scroll] is not a time such as 1m"));
+  scroll.keep_alive_us = *duration_us;
   return scroll;
 }
 
 tl::expected<std::vector<std::string>, ApiError> ReadScrollIds(const net::HttpMessage& request) {
   std::vector<std::string> ids;
   std::string_view value = json::Get(request.body, wire::kScrollId);
-  if (auto one = json::String(value)) ids.push_back(*one);
+  if (auto single_id = json::String(value)) ids.push_back(*single_id);
   json::Elements(value, [&ids](std::string_view element) {
     ids.push_back(json::String(element).value_or(""));
     return true;
@@ -93,7 +93,7 @@
 }
 
 tl::expected<std::vector<MultiSearchItem>, ApiError> ReadMultiSearch(const net::HttpMessage& request) {
-  std::vector<std::string_view> lines = LinesOf(request.body);
+  std::vector<std::string_view> lines = SplitLines(request.body);
   if (lines.empty() || lines.size() % 2 != 0 || request.body.back() != '\n') {
     return tl::unexpected(BadRequest("a multi search is pairs of lines, each ended by a newline"));
   }
--- a/src/opensearch/routes.cpp
+++ b/src/opensearch/routes.cpp
@@ -10,33 +10,33 @@
 namespace liftrudder::opensearch {
 namespace {
 
-// The path's parts between its slashes, unescaped; empty ones are left out.
-std::vector<std::string> StepsOf(std::string_view path) {
-  std::vector<std::string> steps;
+// Splits the path at its slashes and unescapes the segments; omits empty ones.
+std::vector<std::string> SplitPath(std::string_view path) {
+  std::vector<std::string> segments;
   while (!path.empty()) {
     path.remove_prefix(1);
-    std::string_view step = path.substr(0, path.find('/'));
-    if (!step.empty()) steps.push_back(net::Unescape(step));
-    path.remove_prefix(step.size());
+    std::string_view segment = path.substr(0, path.find('/'));
+    if (!segment.empty()) segments.push_back(net::Unescape(segment));
+    path.remove_prefix(segment.size());
   }
-  return steps;
+  return segments;
 }
 
 }  // namespace
 
 tl::expected<Route, ApiError> FindRoute(const net::HttpMessage& request) {
-  std::vector<std::string> steps = StepsOf(request.Path());
-  bool reads = request.method == "GET" || request.method == "POST";
-  if (steps.size() == 2 && steps[0] == wire::kSearchStep && steps[1] == wire::kScrollStep) {
+  std::vector<std::string> segments = SplitPath(request.Path());
+  bool get_or_post = request.method == "GET" || request.method == "POST";
+  if (segments.size() == 2 && segments[0] == wire::kSearchSegment && segments[1] == wire::kScrollSegment) {
     if (request.method == "DELETE") return Route{Operation::kDeleteScroll, ""};
-    if (reads) return Route{Operation::kScroll, ""};
+    if (get_or_post) return Route{Operation::kScroll, ""};
   }
-  if (reads && steps.size() == 2) {
-    if (steps[1] == wire::kSearchStep) return Route{Operation::kSearch, steps[0]};
-    if (steps[1] == wire::kCountStep) return Route{Operation::kCount, steps[0]};
-    if (steps[1] == wire::kMultiSearchStep) return Route{Operation::kMultiSearch, steps[0]};
+  if (get_or_post && segments.size() == 2) {
+    if (segments[1] == wire::kSearchSegment) return Route{Operation::kSearch, segments[0]};
+    if (segments[1] == wire::kCountSegment) return Route{Operation::kCount, segments[0]};
+    if (segments[1] == wire::kMultiSearchSegment) return Route{Operation::kMultiSearch, segments[0]};
   }
-  if (reads && steps.size() == 1 && steps[0] == wire::kMultiSearchStep) {
+  if (get_or_post && segments.size() == 1 && segments[0] == wire::kMultiSearchSegment) {
     return Route{Operation::kMultiSearch, ""};
   }
   return tl::unexpected(BadRequest(fmt::format("[{} {}] is not supported", request.method, request.Path())));
--- a/src/opensearch/routes.h
+++ b/src/opensearch/routes.h
@@ -1,4 +1,4 @@
-// Which operation of the search API a request asks for. Pure, any thread.
+// Finds the operation of the search API that a request asks for. Pure functions, any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_ROUTES_H_
 #define LIFTRUDDER_OPENSEARCH_ROUTES_H_
 
@@ -14,10 +14,10 @@
 
 struct Route {
   Operation operation = Operation::kSearch;
-  std::string index;  // as the path names it; empty where it names none
+  std::string index;  // from the path; empty when the path names none
 };
 
-// The error names method and path.
+// Fails for an unsupported request; the error names its method and path.
 tl::expected<Route, ApiError> FindRoute(const net::HttpMessage& request);
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/scroll.cpp
+++ b/src/opensearch/scroll.cpp
@@ -9,10 +9,10 @@
 namespace liftrudder::opensearch {
 namespace {
 
-// An id is a stem, a dash and the number of a page.
-std::string StemOf(const std::string& id) { return id.substr(0, id.rfind('-')); }
+// An id is the scroll's key, a dash and the number of a page.
+std::string KeyOf(const std::string& id) { return id.substr(0, id.rfind('-')); }
 
-std::optional<std::uint64_t> PageOf(const std::string& id) {
+std::optional<std::uint64_t> PageNumberOf(const std::string& id) {
   auto dash = id.rfind('-');
   std::uint64_t page = 0;
   if (dash == std::string::npos ||
@@ -26,31 +26,31 @@
 
 void Scrolls::Expire() {
   coordinator::Micros now = clock_.Now();
-  std::erase_if(entries_, [now](const auto& one) { return one.second.expires_us <= now; });
+  std::erase_if(entries_, [now](const auto& item) { return item.second.expires_us <= now; });
 }
 
 std::optional<std::string> Scrolls::Open(Cursor next) {
   std::lock_guard lock(mutex_);
   Expire();
-  auto owned =
-      std::ranges::count_if(entries_, [&](const auto& one) { return one.second.owner == next.owner; });
-  if (entries_.size() >= options_.max_scrolls || static_cast<std::size_t>(owned) >= max_per_owner_) {
+  auto open_count =
+      std::ranges::count_if(entries_, [&](const auto& item) { return item.second.owner == next.owner; });
+  if (entries_.size() >= options_.max_scrolls || static_cast<std::size_t>(open_count) >= max_per_owner_) {
     return std::nullopt;
   }
-  // Hashed, so that an id does not reveal how many others have opened.
+  // The counter is hashed so that an id does not reveal how many scrolls have been opened.
   ++opened_;
   XXH128_hash_t hash = XXH3_128bits_withSeed(&opened_, sizeof opened_, seed_);
-  std::string stem = fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
-  Entry& entry = entries_[stem];
+  std::string key = fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
+  Entry& entry = entries_[key];
   entry.owner = next.owner;
   entry.keep_alive_us = next.search.keep_alive_us;
   entry.expires_us = clock_.Now() + entry.keep_alive_us;
   entry.pages[1] = std::move(next);
-  return stem + "-1";
+  return key + "-1";
 }
 
 Scrolls::Entries::iterator Scrolls::FindOwned(const std::string& id, const std::string& owner) {
-  auto entry = entries_.find(StemOf(id));
+  auto entry = entries_.find(KeyOf(id));
   return entry != entries_.end() && entry->second.owner == owner ? entry : entries_.end();
 }
 
@@ -59,7 +59,7 @@
   std::lock_guard lock(mutex_);
   Expire();
   auto entry = FindOwned(id, owner);
-  auto page = PageOf(id);
+  auto page = PageNumberOf(id);
   if (entry == entries_.end() || !page) return std::nullopt;
   if (keep_alive_us > 0) entry->second.keep_alive_us = std::min(keep_alive_us, options_.max_keep_alive_us);
   entry->second.expires_us = clock_.Now() + entry->second.keep_alive_us;
@@ -71,7 +71,7 @@
 std::optional<std::string> Scrolls::Advance(const std::string& id, Cursor next) {
   std::lock_guard lock(mutex_);
   auto entry = FindOwned(id, next.owner);
-  auto page = PageOf(id);
+  auto page = PageNumberOf(id);
   if (entry == entries_.end() || !page) return std::nullopt;
   auto& pages = entry->second.pages;
   pages[*page + 1] = std::move(next);
@@ -89,7 +89,7 @@
 
 std::size_t Scrolls::DropAll(const std::string& owner) {
   std::lock_guard lock(mutex_);
-  return std::erase_if(entries_, [&owner](const auto& one) { return one.second.owner == owner; });
+  return std::erase_if(entries_, [&owner](const auto& item) { return item.second.owner == owner; });
 }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/scroll.h
+++ b/src/opensearch/scroll.h
@@ -1,5 +1,5 @@
-// Deep paging: cursors that hold a place in the order, never an endpoint. Bounded in number, and they expire.
-// Any thread.
+// Scrolls, for deep paging. A cursor holds a position in the sort order and is tied to no endpoint. Scrolls
+// are limited in number and expire. Any thread.
 #ifndef LIFTRUDDER_OPENSEARCH_SCROLL_H_
 #define LIFTRUDDER_OPENSEARCH_SCROLL_H_
 
@@ -15,26 +15,30 @@
 
 struct Cursor {
   std::string index;
-  Search search;  // its search_after is where the next page begins
+  Search search;  // the next page begins after its search_after
   bool ended = false;
-  std::string owner;  // a tenant; empty where callers are not told apart. To others its ids name nothing.
-  std::shared_ptr<const identity::Permissions> permissions;  // it was begun with
+  std::string owner;  // its tenant; empty without authentication. To other tenants its ids are unknown.
+  std::shared_ptr<const identity::Permissions> permissions;  // of the request that opened it
 };
 
 class Scrolls {
  public:
-  // `max_per_owner`: so that what one owner has open tells the others nothing. All must outlive it.
+  // `max_per_owner`: keeps an owner from inferring from rejections how many scrolls others have open.
+  // `options` and `clock` must outlive it.
   Scrolls(const Options& options, const coordinator::Clock& clock, std::uint64_t seed,
           std::size_t max_per_owner)
       : options_(options), clock_(clock), seed_(seed), max_per_owner_(max_per_owner) {}
 
-  // The id under which the first page was given; none when all cursors, or the owner's share, are taken.
+  // Opens a scroll whose next page is `next`, and returns the id of that page; none when the limit on all
+  // scrolls or on the owner's is reached.
   std::optional<std::string> Open(Cursor next);
-  // Where the page named by this id begins. An id stays good until the page after it has been given, so a
-  // client that missed an answer may ask again and neither loses nor doubles a hit.
+  // Returns the cursor of the page with this id, and extends the scroll's life. An id stays valid until the
+  // page after it has been returned, so a client that missed a response can repeat its request without losing
+  // or duplicating a hit.
   std::optional<Cursor> Find(const std::string& id, const std::string& owner,
                              coordinator::Micros keep_alive_us);
-  // A page was given: the id for the next.
+  // Records that the page with this id was returned, and returns the id of the next page, which begins at
+  // `next`. None when the scroll has ended.
   std::optional<std::string> Advance(const std::string& id, Cursor next);
   bool Drop(const std::string& id, const std::string& owner);
   std::size_t DropAll(const std::string& owner);
@@ -55,8 +59,8 @@
   const std::uint64_t seed_;
   const std::size_t max_per_owner_;
   std::mutex mutex_;
-  Entries entries_;  // by an id without its page; guarded by mutex_, as is the next
-  std::uint64_t opened_ = 0;
+  Entries entries_;           // by scroll key; guarded by mutex_
+  std::uint64_t opened_ = 0;  // scrolls opened so far; guarded by mutex_
 };
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -40,7 +40,7 @@
   return std::ranges::find(names, name) != names.end();
 }
 
-std::optional<std::int64_t> ReadCountValue(std::string_view text) {
+std::optional<std::int64_t> ReadNonNegative(std::string_view text) {
   auto value = json::Integer(text);
   return value && *value >= 0 ? value : std::nullopt;
 }
@@ -48,7 +48,7 @@
 // One element of a sort: "field", {"field":"desc"} or {"field":{"order":"desc","missing":"_first"}}.
 bool ReadSortKey(std::string_view element, std::vector<SortKey>& out) {
   if (auto field = json::String(element)) {
-    if (*field == wire::kDocField) return true;  // any order will do; the tiebreak gives one
+    if (*field == wire::kDocField) return true;  // any order is allowed: the tiebreak's is used
     out.push_back({std::string(element), *field == wire::kScoreField, false});
     return true;
   }
@@ -59,9 +59,9 @@
     SortKey key{std::string(element), field == wire::kScoreField, false};
     std::string_view order = value.starts_with('{') ? json::Get(value, wire::kOrder) : value;
     if (!order.empty()) {
-      auto word = json::String(order);
-      if (!word || (*word != wire::kAscending && *word != wire::kDescending)) return false;
-      key.descending = *word == wire::kDescending;
+      auto direction = json::String(order);
+      if (!direction || (*direction != wire::kAscending && *direction != wire::kDescending)) return false;
+      key.descending = *direction == wire::kDescending;
     }
     if (value.starts_with('{')) {
       std::string_view missing = json::Get(value, wire::kMissing);
@@ -83,17 +83,17 @@
   return json::Elements(value, [&out](std::string_view element) { return ReadSortKey(element, out); });
 }
 
-// The form of the query string: field, field:desc, several with commas.
+// Reads the sort in the form of a URL parameter: field or field:desc, separated by commas.
 bool ReadSortParameter(std::string_view text, std::vector<SortKey>& out) {
   out.clear();
   while (!text.empty()) {
-    std::string_view one = text.substr(0, text.find(','));
-    text.remove_prefix(std::min(text.size(), one.size() + 1));
-    auto colon = one.find(':');
-    std::string field = json::Quote(one.substr(0, colon));
+    std::string_view item = text.substr(0, text.find(','));
+    text.remove_prefix(std::min(text.size(), item.size() + 1));
+    auto colon = item.find(':');
+    std::string field = json::Quote(item.substr(0, colon));
     std::string element = colon == std::string_view::npos ? field
                                                           : fmt::format(R"({{{}:{{"order":{}}}}})", field,
-                                                                        json::Quote(one.substr(colon + 1)));
+                                                                        json::Quote(item.substr(colon + 1)));
     if (!ReadSortKey(element, out)) return false;
   }
   return true;
@@ -102,33 +102,33 @@
 // Reads the parameters and members of one search.
 struct SearchReader {
   Search search;
-  bool sorted = false;  // a sort was asked for
+  bool sorted = false;  // the client requested a sort
 
-  // `raw`: the value as it stands in the URL.
+  // `raw`: the value as it is in the URL, still escaped.
   std::optional<ApiError> ReadParameter(std::string_view name, std::string_view raw);
   std::optional<ApiError> ReadMember(std::string_view name, std::string_view value);
 
  private:
-  std::optional<ApiError> ReadWindow(std::string_view name, std::string_view value);
+  std::optional<ApiError> ReadFromOrSize(std::string_view name, std::string_view value);
 };
 
-std::optional<ApiError> SearchReader::ReadWindow(std::string_view name, std::string_view value) {
-  auto count = ReadCountValue(value);
-  if (!count) return BadRequest(fmt::format("[{}] must be a whole number of 0 or more", name));
-  (name == wire::kFrom ? search.from : search.size) = *count;
+std::optional<ApiError> SearchReader::ReadFromOrSize(std::string_view name, std::string_view value) {
+  auto number = ReadNonNegative(value);
+  if (!number) return BadRequest(fmt::format("[{}] must be a whole number of 0 or more", name));
+  (name == wire::kFrom ? search.from : search.size) = *number;
   return std::nullopt;
 }
 
 std::optional<ApiError> SearchReader::ReadParameter(std::string_view name, std::string_view raw) {
   std::string value = net::Unescape(raw);
-  if (name == wire::kFrom || name == wire::kSize) return ReadWindow(name, value);
+  if (name == wire::kFrom || name == wire::kSize) return ReadFromOrSize(name, value);
   if (name == wire::kSort) {
     sorted = true;
     if (!ReadSortParameter(value, search.sort)) return BadRequest("[sort] cannot be read");
   } else if (name == wire::kScroll) {
-    auto span_us = ReadSpan(value);
-    if (!span_us || *span_us <= 0) return BadRequest("[scroll] is not a time such as 1m");
-    search.keep_alive_us = *span_us;
+    auto duration_us = ReadDuration(value);
+    if (!duration_us || *duration_us <= 0) return BadRequest("[scroll] is not a time such as 1m");
+    search.keep_alive_us = *duration_us;
   } else if (name == wire::kAllowPartial) {
     if (value != "true" && value != "false") {
       return BadRequest("[allow_partial_search_results] is no boolean");
@@ -143,7 +143,7 @@
 }
 
 std::optional<ApiError> SearchReader::ReadMember(std::string_view name, std::string_view value) {
-  if (name == wire::kFrom || name == wire::kSize) return ReadWindow(name, value);
+  if (name == wire::kFrom || name == wire::kSize) return ReadFromOrSize(name, value);
   if (name == wire::kSort) {
     sorted = true;
     if (!ReadSort(value, search.sort)) return BadRequest("[sort] cannot be read");
@@ -160,22 +160,22 @@
   return std::nullopt;
 }
 
-// Makes the sort a total order: pages can then be cut at a place in it, whichever endpoint answers for a
-// shard.
-std::optional<ApiError> CompleteSort(const Options& options, bool sorted, Search& out) {
+// Adds the tiebreak unless the sort ends with it, so that the order is total: a page then begins at the same
+// hit whichever endpoint answers for a shard. Checks search_after against the sort.
+std::optional<ApiError> EnsureTotalOrder(const Options& options, bool sorted, Search& out) {
   out.by_score = !sorted;
   if (!sorted) out.sort = {{R"({"_score":{"order":"desc"}})", true, false}};
   std::string field = json::Quote(options.tiebreak);
   SortKey tiebreak{fmt::format(R"({{{}:{{"order":"asc"}}}})", field), false, false};
-  bool unique = !out.sort.empty() && out.sort.back().text.find(field) != std::string::npos;
+  bool ends_with_tiebreak = !out.sort.empty() && out.sort.back().text.find(field) != std::string::npos;
   if (out.search_after.empty()) {
-    if (!unique) out.sort.push_back(tiebreak);
+    if (!ends_with_tiebreak) out.sort.push_back(tiebreak);
     return std::nullopt;
   }
-  std::size_t values = 0;
-  bool ok = json::Elements(out.search_after, [&values](std::string_view) { return ++values > 0; });
-  if (!unique && values == out.sort.size() + 1) out.sort.push_back(tiebreak);
-  if (!ok || values != out.sort.size() || values == 0) {
+  std::size_t value_count = 0;
+  bool ok = json::Elements(out.search_after, [&value_count](std::string_view) { return ++value_count > 0; });
+  if (!ends_with_tiebreak && value_count == out.sort.size() + 1) out.sort.push_back(tiebreak);
+  if (!ok || value_count != out.sort.size() || value_count == 0) {
     return BadRequest("[search_after] must have as many values as [sort]");
   }
   if (out.from > 0) return BadRequest("[from] must be 0 when [search_after] is used");
@@ -184,15 +184,15 @@
 
 }  // namespace
 
-std::optional<coordinator::Micros> ReadSpan(std::string_view text) {
-  std::int64_t count = 0;
-  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
-  if (error != std::errc() || count < 0 || count > 1'000'000'000) return std::nullopt;
+std::optional<coordinator::Micros> ReadDuration(std::string_view text) {
+  std::int64_t number = 0;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || number < 0 || number > 1'000'000'000) return std::nullopt;
   std::string_view unit = text.substr(static_cast<std::size_t>(end - text.data()));
-  if (unit == "ms") return count * 1'000;
-  if (unit == "s") return count * 1'000'000;
-  if (unit == "m") return count * 60'000'000;
-  if (unit == "h") return count * 3'600'000'000;
+  if (unit == "ms") return number * 1'000;
+  if (unit == "s") return number * 1'000'000;
+  if (unit == "m") return number * 60'000'000;
+  if (unit == "h") return number * 3'600'000'000;
   return std::nullopt;
 }
 
@@ -200,11 +200,12 @@
 
 // Reads the parameters of the URL.
 std::optional<ApiError> ReadParameters(std::string_view target, SearchReader& reader) {
-  auto mark = target.find('?');
-  std::string_view rest = mark == std::string_view::npos ? "" : target.substr(mark + 1);
-  while (!rest.empty()) {
-    std::string_view parameter = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), parameter.size() + 1));
+  auto question_mark = target.find('?');
+  std::string_view remaining =
+      question_mark == std::string_view::npos ? "" : target.substr(question_mark + 1);
+  while (!remaining.empty()) {
+    std::string_view parameter = remaining.substr(0, remaining.find('&'));
+    remaining.remove_prefix(std::min(remaining.size(), parameter.size() + 1));
     auto equals = std::min(parameter.find('='), parameter.size());
     std::string_view value = parameter.substr(std::min(parameter.size(), equals + 1));
     if (auto error = reader.ReadParameter(parameter.substr(0, equals), value)) return error;
@@ -223,13 +224,13 @@
   return error;
 }
 
-std::optional<ApiError> ConfineSearch(const std::string& filter, std::string_view body, Search& search) {
+std::optional<ApiError> RestrictSearch(const std::string& filter, std::string_view body, Search& search) {
   if (filter.empty()) return std::nullopt;
-  if (auto error = CheckConfined(body)) return error;
-  auto confined = Confine(filter, {search.query, search.parameters});
-  if (!confined) return std::move(confined.error());
-  search.query = std::move(confined->query);
-  search.parameters = std::move(confined->parameters);
+  if (auto error = CheckRestricted(body)) return error;
+  auto restricted = RestrictQuery(filter, {search.query, search.parameters});
+  if (!restricted) return std::move(restricted.error());
+  search.query = std::move(restricted->query);
+  search.parameters = std::move(restricted->parameters);
   return std::nullopt;
 }
 
@@ -240,8 +241,8 @@
                     "or search_after to go deeper",
                     options.result_window));
   }
-  bool pages = search.from == 0 && search.size > 0 && search.search_after.empty();
-  if (search.keep_alive_us > 0 && !pages) {
+  bool can_scroll = search.from == 0 && search.size > 0 && search.search_after.empty();
+  if (search.keep_alive_us > 0 && !can_scroll) {
     return BadRequest("a scroll takes a [size] above 0, and neither [from] nor [search_after]");
   }
   if (search.keep_alive_us > options.max_keep_alive_us) {
@@ -257,9 +258,9 @@
   SearchReader reader;
   auto error = ReadParameters(request.target, reader);
   if (!error) error = ReadBody(body, reader);
-  if (!error) error = ConfineSearch(filter, body, reader.search);
+  if (!error) error = RestrictSearch(filter, body, reader.search);
   if (!error) error = CheckLimits(reader.search, options);
-  if (!error) error = CompleteSort(options, reader.sorted, reader.search);
+  if (!error) error = EnsureTotalOrder(options, reader.sorted, reader.search);
   if (error) return tl::unexpected(std::move(*error));
   return std::move(reader.search);
 }
@@ -272,7 +273,7 @@
   }
   out += ']';
   if (!search.search_after.empty()) out += R"(,"search_after":)" + search.search_after;
-  // With a sort spelled out endpoints score only when asked to, and by_score needs the best score.
+  // Endpoints compute no scores when a sort is stated, unless track_scores is set; by_score needs max_score.
   if (search.by_score && search.forwarded.find(R"("track_scores":)") == std::string::npos) {
     out += R"(,"track_scores":true)";
   }
--- a/src/opensearch/wire_names.h
+++ b/src/opensearch/wire_names.h
@@ -1,5 +1,6 @@
-// The words of the search API: paths, headers, parameters, members of bodies, error types. Public interface
-// of OpenSearch's REST API, and of the endpoints that speak it; code elsewhere uses the constants.
+// Names of the search API: paths, headers, parameters, members of bodies, error types and members of the
+// options file. Most are defined by OpenSearch's REST API. Clients, endpoints and operators depend on all of
+// them.
 #ifndef LIFTRUDDER_OPENSEARCH_WIRE_NAMES_H_
 #define LIFTRUDDER_OPENSEARCH_WIRE_NAMES_H_
 
@@ -7,29 +8,29 @@
 
 namespace liftrudder::opensearch::wire {
 
-// Pages beside the search API.
+// Paths of the coordinator's own pages.
 inline constexpr std::string_view kReadyPath = "/-/ready";
 inline constexpr std::string_view kHealthyPath = "/-/healthy";
 inline constexpr std::string_view kMetricsPath = "/-/metrics";
 inline constexpr std::string_view kExplainPath = "/-/why";
 inline constexpr std::string_view kPagePrefix = "/-/";
 
-// Steps of a path.
-inline constexpr std::string_view kSearchStep = "_search";
-inline constexpr std::string_view kCountStep = "_count";
-inline constexpr std::string_view kMultiSearchStep = "_msearch";
-inline constexpr std::string_view kScrollStep = "scroll";
+// Path segments.
+inline constexpr std::string_view kSearchSegment = "_search";
+inline constexpr std::string_view kCountSegment = "_count";
+inline constexpr std::string_view kMultiSearchSegment = "_msearch";
+inline constexpr std::string_view kScrollSegment = "scroll";
 inline constexpr std::string_view kAllIndices = "_all";
 inline constexpr std::string_view kAllScrolls = "_all";
 
-// Headers. The label is a client's own name for a request.
-inline constexpr const char* kLabelHeader = "X-Opaque-Id";
-inline constexpr const char* kBudgetHeader = "X-Budget";
+// Headers. The opaque id is the client's own label for a request.
+inline constexpr const char* kOpaqueIdHeader = "X-Opaque-Id";
+inline constexpr const char* kTimeoutHeader = "X-Budget";
 inline constexpr const char* kAuthorizationHeader = "Authorization";
 inline constexpr const char* kAuthenticateHeader = "WWW-Authenticate";
 inline constexpr const char* kRetryAfterHeader = "Retry-After";
 
-// Parameters, and members of a request's body.
+// URL parameters and members of a request's body.
 inline constexpr std::string_view kFrom = "from";
 inline constexpr std::string_view kSize = "size";
 inline constexpr std::string_view kSort = "sort";
@@ -66,7 +67,7 @@
 inline constexpr std::string_view kLowerBoundRelation = "gte";
 inline constexpr std::string_view kMaxScore = "max_score";
 
-// Types of errors.
+// Error types.
 inline constexpr const char* kIllegalArgument = "illegal_argument_exception";
 inline constexpr const char* kParsing = "parsing_exception";
 inline constexpr const char* kSecurity = "security_exception";
--- a/tests/opensearch/merge_test.cpp
+++ b/tests/opensearch/merge_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace liftrudder;
 
-TEST_CASE("only a well-formed response without failures counts as served") {
+TEST_CASE("only a well-formed response without failures is complete") {
   CHECK(opensearch::IsCompleteResponse(R"({"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}})",
                                        false));
   CHECK(opensearch::IsCompleteResponse(R"({"count":0})", true));
@@ -20,7 +20,7 @@
   }
 }
 
-TEST_CASE("hits merge by key, missing values where asked, ties by shard") {
+TEST_CASE("hits are merged by sort key, with missing values last by default and ties by shard") {
   opensearch::Search search;
   search.sort = {{"", true, false}};
   auto shard_response = [](int shard, const std::string& hits) {
