--- a/tests/scenario/client_statements.cpp
+++ b/tests/scenario/client_statements.cpp
@@ -1,4 +1,4 @@
-// The clients of a scenario: queries, tokens, certificates.
+// Statements for the clients of a scenario: queries, tokens, certificates.
 #include <ctime>
 #include <filesystem>
 #include <fstream>
@@ -23,13 +23,13 @@
   if (!client.connections.empty() && !client.connections.back().ended) return client.connections.back();
   Connection& connection = client.connections.emplace_back();
   connection.fd = net::Connect(program_address_, kWriteTimeoutUs);
-  if (!connection.fd.Valid()) throw ScenarioError("cannot connect");
+  if (!connection.fd.Valid()) throw ScenarioError("cannot connect to the program");
   connection.wire = WireKind::kHttp;
   connection.http = std::make_unique<net::HttpParser>(net::HttpParser::Kind::kResponse);
   if (config_.contains("tls") && !name.starts_with("raw")) {
     const auto certificate = client_certificates_.find(name);
-    const Issued* shown = certificate == client_certificates_.end() ? nullptr : &certificate->second;
-    connection.tls = std::make_unique<TlsClient>(TLS1_3_VERSION, shown);
+    const Issued* presented = certificate == client_certificates_.end() ? nullptr : &certificate->second;
+    connection.tls = std::make_unique<TlsClient>(TLS1_3_VERSION, presented);
     Handshake(connection);
   }
   return connection;
@@ -75,8 +75,8 @@
   Write(Client(statement.subject), HttpRequest(method, target, headers, Unescape(body)));
 }
 
-const Signer& Player::SignerOf(const std::string& kid) {
-  // Both algorithms in turn.
+const Signer& Player::SignerFor(const std::string& kid) {
+  // Alternates between EdDSA and ES256.
   return signers_.try_emplace(kid, signers_.size() % 2 == 1).first->second;
 }
 
@@ -86,19 +86,19 @@
   std::filesystem::rename(path + ".new", path);
 }
 
-// KID or KID:STATE each; the first is the statement's subject.
+// Each word is KID or KID:STATE; the first one is the statement's subject.
 void Player::WriteKeys(const Statement& statement) {
   Json keys = Json::array();
   std::istringstream words(statement.subject + " " + statement.arguments);
   for (std::string word; words >> word;) {
     const std::string kid = word.substr(0, word.find(':'));
-    keys.push_back(SignerOf(kid).Jwk(kid));
+    keys.push_back(SignerFor(kid).Jwk(kid));
     if (kid != word) keys.back()["state"] = word.substr(kid.size() + 1);
   }
   ReplaceFile("keys.json", Json{{"keys", keys}}.dump());
 }
 
-// The key may be one that no key set has had.
+// The key need not be in any key set: a token with an unknown key is a valid test input.
 void Player::SetToken(const Statement& statement) {
   std::istringstream words(statement.arguments);
   std::string kid;
@@ -109,7 +109,7 @@
   const Json claims = {{"iss", "issuer"},   {"aud", "gatherer"}, {"exp", now_s + lifetime_s},
                        {"nbf", now_s - 60}, {"tenant", tenant},  {"sub", "caller of " + tenant}};
   authorization_headers_[statement.subject] =
-      "Authorization: Bearer " + SignerOf(kid).Token(kid, claims) + "\r\n";
+      "Authorization: Bearer " + SignerFor(kid).Token(kid, claims) + "\r\n";
 }
 
 void Player::WriteTls(const Statement& statement) {
--- a/tests/scenario/configuration.h
+++ b/tests/scenario/configuration.h
@@ -1,4 +1,4 @@
-// The configuration that scenarios start from, before their `set` statements.
+// The configuration of a scenario before its `set` statements.
 #ifndef LIFTRUDDER_TESTS_SCENARIO_CONFIGURATION_H_
 #define LIFTRUDDER_TESTS_SCENARIO_CONFIGURATION_H_
 
--- a/tests/scenario/endpoint_statements.cpp
+++ b/tests/scenario/endpoint_statements.cpp
@@ -1,4 +1,4 @@
-// The fake endpoints of a scenario, and how the program learns of them: discovery, a zone file, DNS updates.
+// Statements for fake endpoints and for the discovery, zone file and DNS updates that announce them.
 #include <fstream>
 #include <sstream>
 
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr char kZone[] = "z.";
-constexpr char kService[] = "_search._tcp.z.";
+constexpr char kZoneService[] = "_search._tcp.z.";
 constexpr int kUpdateId = 77;
 constexpr int kUpdateOpcode = 5 << 11;
 
-std::string PortOf(const Peer& peer) { return peer.address.substr(peer.address.find(':') + 1); }
+std::string PortText(const Peer& peer) { return peer.address.substr(peer.address.find(':') + 1); }
 
 std::string TwoBytes(int value) {
   return std::string{static_cast<char>(value >> 8), static_cast<char>(value & 0xff)};
@@ -34,8 +34,8 @@
 std::string DnsUpdate(const std::string& name, const Peer& endpoint, bool add) {
   const std::string owner = name + "." + kZone;
   const std::string srv =
-      TwoBytes(0) + TwoBytes(1) + TwoBytes(std::stoi(PortOf(endpoint))) + *dns::WireName(owner);
-  std::string records = DnsRecord(kService, dns::kTypeSrv, add, srv);
+      TwoBytes(0) + TwoBytes(1) + TwoBytes(std::stoi(PortText(endpoint))) + *dns::WireName(owner);
+  std::string records = DnsRecord(kZoneService, dns::kTypeSrv, add, srv);
   if (add) {
     std::string text = "cell=" + std::to_string(endpoint.cell);
     text.insert(0, 1, static_cast<char>(text.size()));
@@ -60,11 +60,11 @@
   peer.listener = net::Listen("127.0.0.1:0");
   peer.address = net::LocalAddress(peer.listener);
   if (state == "dead") peer.listener = net::Fd();
-  config_["known"]["servers"].push_back(Entry(name, "ready"));
-  if (child_ > 0) SendEntry(name, "ready");
+  config_["known"]["servers"].push_back(EndpointEntry(name, "ready"));
+  if (child_ > 0) SendEndpointUpdate(name, "ready");
 }
 
-Json Player::Entry(const std::string& name, const std::string& state) const {
+Json Player::EndpointEntry(const std::string& name, const std::string& state) const {
   const Peer& peer = endpoints_.at(name);
   return {{"id", name},        {"addr", peer.address}, {"zone", "dc1"}, {"kind", "k"},
           {"cell", peer.cell}, {"state", state},       {"weight", 1.0}, {"started_ms", 0}};
@@ -75,47 +75,49 @@
   std::ofstream file(path);
   file << "$ORIGIN z.\n$TTL 30\n@ IN SOA ns root ( 1 2 3 ; serial\n 4 5 )\n";
   for (const auto& [name, peer] : endpoints_) {
-    file << "_search._tcp SRV 0 1 " << PortOf(peer) << " " << name << "\n"
+    file << "_search._tcp SRV 0 1 " << PortText(peer) << " " << name << "\n"
          << name << " A 127.0.0.1\n TXT \"cell=" << peer.cell << "\"\n";
   }
   config_["discovery"] = "";
-  config_["opensearch"]["zone"] = {{"file", path}, {"service", kService}, {"update_listen", "127.0.0.1:0"}};
+  config_["opensearch"]["zone"] = {
+      {"file", path}, {"service", kZoneService}, {"update_listen", "127.0.0.1:0"}};
 }
 
 void Player::SendDnsUpdate(const Statement& statement) {
   const std::string& arguments = statement.arguments;
   const bool add = arguments.starts_with("add ");
-  const std::string name = Resolve(arguments.substr(arguments.find(' ') + 1));
+  const std::string name = ResolveAlias(arguments.substr(arguments.find(' ') + 1));
   const std::string message = DnsUpdate(name, endpoints_.at(name), add);
   Peer& client = clients_[statement.subject];
   if (client.connections.empty()) {
     Connection& connection = client.connections.emplace_back();
     connection.wire = WireKind::kDns;
-    connection.fd = net::Connect(LoggedAfter(log_, "takes DNS updates at "), kWriteTimeoutUs);
+    connection.fd = net::Connect(LoggedTextAfter(log_, "takes DNS updates at "), kWriteTimeoutUs);
   }
   Write(client.connections.back(), TwoBytes(static_cast<int>(message.size())) + message);
 }
 
 void Player::SendList(const Statement& statement) {
-  SendEntry(Resolve(statement.subject), statement.arguments);
+  SendEndpointUpdate(ResolveAlias(statement.subject), statement.arguments);
 }
 
-void Player::SendEntry(const std::string& name, const std::string& state) {
-  Until([&] { return !discovery_.connections.empty(); }, "no watch");
-  const Json list = {{"version", ++list_version_}, {"full", false}, {"servers", {Entry(name, state)}}};
-  SendOnWatch(list.dump());
+void Player::SendEndpointUpdate(const std::string& name, const std::string& state) {
+  WaitUntil([&] { return !discovery_.connections.empty(); }, "the program does not watch discovery");
+  const Json list = {
+      {"version", ++list_version_}, {"full", false}, {"servers", {EndpointEntry(name, state)}}};
+  WriteToWatch(list.dump());
 }
 
-// The full list with one entry changed, and others that are of no use to the scenario.
+// Sends the full list, indented, with one entry changed and `others` additional draining entries.
 void Player::SendIndentedList(const Statement& statement) {
-  Until([&] { return !discovery_.connections.empty(); }, "no watch");
+  WaitUntil([&] { return !discovery_.connections.empty(); }, "the program does not watch discovery");
   std::istringstream words(statement.arguments);
   std::string state;
   int others = 0;
   words >> state >> others;
   Json entries = Json::array();
   for (const auto& [name, peer] : endpoints_) {
-    entries.push_back(Entry(name, name == Resolve(statement.subject) ? state : "ready"));
+    entries.push_back(EndpointEntry(name, name == ResolveAlias(statement.subject) ? state : "ready"));
   }
   for (int i = 0; i < others; ++i) {
     Json entry = entries.front();
@@ -125,10 +127,10 @@
     entries.push_back(entry);
   }
   const Json list = {{"version", ++list_version_}, {"full", true}, {"servers", entries}};
-  SendOnWatch("\n\n" + list.dump(2) + "\n");
+  WriteToWatch("\n\n" + list.dump(2) + "\n");
 }
 
-void Player::SendOnWatch(const std::string& list) {
+void Player::WriteToWatch(const std::string& list) {
   const std::string text = list + "\n";
   std::ostringstream chunk;
   chunk << std::hex << text.size() << "\r\n" << text << "\r\n";
@@ -136,8 +138,8 @@
   last_watch_write_ = std::chrono::steady_clock::now();
 }
 
-void Player::DenyWatch(const Statement& statement) {
-  denials_.push_back({Unescape(statement.arguments), statement.verb == "stall"});
+void Player::QueueWatchDenial(const Statement& statement) {
+  watch_denials_.push_back({Unescape(statement.arguments), statement.verb == "stall"});
 }
 
 }  // namespace liftrudder::tests
--- a/tests/scenario/peer.cpp
+++ b/tests/scenario/peer.cpp
@@ -26,8 +26,8 @@
   return text + " " + message.body;
 }
 
-// These split one message off what was received; false where there is none whole.
-bool TakeDns(Peer& peer, Connection& connection) {
+// The functions below move one message from `received` to the peer; false when it is not complete.
+bool ExtractDnsResponse(Peer& peer, Connection& connection) {
   std::string& received = connection.received;
   if (received.size() < kDnsResponseBytes) return false;
   peer.messages.push_back({&connection, "rcode " + std::to_string(received[kDnsRcodeByte] & 0xf)});
@@ -35,7 +35,7 @@
   return true;
 }
 
-bool TakeFrame(Peer& peer, Connection& connection) {
+bool ExtractFrame(Peer& peer, Connection& connection) {
   std::string& received = connection.received;
   if (received.size() < kLengthBytes) return false;
   const std::size_t size = FrameSize(received);
@@ -45,7 +45,7 @@
   return true;
 }
 
-bool TakeHttp(Peer& peer, Connection& connection) {
+bool ExtractHttpMessage(Peer& peer, Connection& connection) {
   using net::HttpParser;
   if (connection.http->Feed(connection.received) != HttpParser::State::kDone) return false;
   const net::HttpMessage& message = connection.http->message();
@@ -55,14 +55,14 @@
   return true;
 }
 
-bool TakeMessage(Peer& peer, Connection& connection) {
+bool ExtractMessage(Peer& peer, Connection& connection) {
   switch (connection.wire) {
     case WireKind::kDns:
-      return TakeDns(peer, connection);
+      return ExtractDnsResponse(peer, connection);
     case WireKind::kFrames:
-      return TakeFrame(peer, connection);
+      return ExtractFrame(peer, connection);
     case WireKind::kHttp:
-      return TakeHttp(peer, connection);
+      return ExtractHttpMessage(peer, connection);
     case WireKind::kIgnored:
       break;
   }
@@ -72,31 +72,31 @@
 }  // namespace
 
 void Write(Connection& connection, const std::string& bytes) {
-  const std::string sealed = connection.tls ? connection.tls->Say(bytes) : bytes;
-  if (net::WriteAll(connection.fd, sealed, kWriteTimeoutUs).status != net::Io::kOk) {
-    throw ScenarioError("the connection takes nothing");
+  const std::string wire_bytes = connection.tls ? connection.tls->Say(bytes) : bytes;
+  if (net::WriteAll(connection.fd, wire_bytes, kWriteTimeoutUs).status != net::Io::kOk) {
+    throw ScenarioError("cannot write to the connection");
   }
 }
 
 void Handshake(Connection& connection) {
-  std::string came;
+  std::string input;
   while (SSL_is_init_finished(connection.tls->raw()) == 0) {
-    const std::string out = connection.tls->Step(came, connection.received);
-    if (!out.empty()) net::WriteAll(connection.fd, out, kWriteTimeoutUs);
-    came.clear();
+    const std::string output = connection.tls->Step(input, connection.received);
+    if (!output.empty()) net::WriteAll(connection.fd, output, kWriteTimeoutUs);
+    input.clear();
     if (SSL_is_init_finished(connection.tls->raw()) != 0) return;
-    if (net::ReadSome(connection.fd, came, kWriteTimeoutUs) != net::Io::kOk) {
-      throw ScenarioError("no handshake");
+    if (net::ReadSome(connection.fd, input, kWriteTimeoutUs) != net::Io::kOk) {
+      throw ScenarioError("TLS handshake failed: the connection was closed or timed out");
     }
   }
 }
 
 void ReceiveMessages(Peer& peer, Connection& connection) {
-  std::string sealed;
-  const net::Io got = net::ReadSome(connection.fd, connection.tls ? sealed : connection.received, 0);
-  if (connection.tls) net::WriteAll(connection.fd, connection.tls->Step(sealed, connection.received), 0);
-  if (got == net::Io::kEnd || got == net::Io::kError) connection.ended = true;
-  while (TakeMessage(peer, connection)) {
+  std::string wire_bytes;
+  const net::Io status = net::ReadSome(connection.fd, connection.tls ? wire_bytes : connection.received, 0);
+  if (connection.tls) net::WriteAll(connection.fd, connection.tls->Step(wire_bytes, connection.received), 0);
+  if (status == net::Io::kEnd || status == net::Io::kError) connection.ended = true;
+  while (ExtractMessage(peer, connection)) {
   }
 }
 
--- a/tests/scenario/peer.h
+++ b/tests/scenario/peer.h
@@ -1,5 +1,5 @@
-// The fake endpoints, clients and discovery of a scenario: their connections, and the messages that came.
-// Nothing here blocks but connecting, writing and handshakes. One thread.
+// The fake endpoints, clients and discovery of a scenario: their connections, and the messages received on
+// them. Only connecting, writing and TLS handshakes block. Not thread-safe.
 #ifndef LIFTRUDDER_TESTS_SCENARIO_PEER_H_
 #define LIFTRUDDER_TESTS_SCENARIO_PEER_H_
 
@@ -17,16 +17,16 @@
 
 constexpr net::Micros kWriteTimeoutUs = 5'000'000;
 
-// What is spoken on a connection; kIgnored: what comes is not looked at.
+// The protocol of a connection; kIgnored: received bytes are not parsed.
 enum class WireKind { kFrames, kHttp, kDns, kIgnored };
 
 struct Connection {
   net::Fd fd;
-  WireKind wire = WireKind::kFrames;      // of what comes
-  std::unique_ptr<net::HttpParser> http;  // null where the wire is another
+  WireKind wire = WireKind::kFrames;      // of received messages
+  std::unique_ptr<net::HttpParser> http;  // null unless `wire` is kHttp
   std::unique_ptr<TlsClient> tls;         // null: plain text
-  std::string received;                   // not a whole message yet
-  bool ended = false;                     // by the program, or by the scenario
+  std::string received;                   // not a complete message yet
+  bool ended = false;                     // closed by the program or by the scenario
 };
 
 struct Message {
@@ -37,23 +37,24 @@
 struct Peer {
   net::Fd listener;  // none for clients
   std::string address;
-  int cell = 0;                                       // of an endpoint
-  std::list<Connection> connections;                  // their addresses stay
-  std::deque<Message> messages;                       // came and not expected yet
-  Connection* last_expected = nullptr;                // whose message was expected last
-  std::map<std::string, Connection*> shard_requests;  // where each came last, by id
+  int cell = 0;                                       // of an endpoint; unused for others
+  std::list<Connection> connections;                  // a list, so that pointers to them stay valid
+  std::deque<Message> messages;                       // received, and not consumed by `expect` yet
+  Connection* last_expected = nullptr;                // of the message that `expect` consumed last
+  std::map<std::string, Connection*> shard_requests;  // by id: where it was received last
 };
 
-// Throws ScenarioError where the connection takes nothing.
+// Throws ScenarioError when the bytes cannot be written.
 void Write(Connection& connection, const std::string& bytes);
-// TLS, from the client's side.
+// Completes the client's side of a TLS handshake, or throws ScenarioError.
 void Handshake(Connection& connection);
-// Reads what is there, and splits whole messages off it.
+// Reads the available bytes and appends each complete message to the peer's messages.
 void ReceiveMessages(Peer& peer, Connection& connection);
-// As the program sees it: closed, reset, or reset with the listener gone too.
+// What the program observes: a close, a reset, or a reset with the listener closed too.
 enum class CloseKind { kClose, kReset, kDead };
 void CloseAll(Peer& peer, CloseKind kind);
-// A response goes where its shard request came, any other frame where the last message was expected.
+// The connection that a frame is sent on: a response goes to where its shard request was received, any other
+// frame to the connection of the last expected message.
 Connection& ConnectionForFrame(Peer& peer, const std::string& frame);
 
 }  // namespace liftrudder::tests
--- a/tests/scenario/player.cpp
+++ b/tests/scenario/player.cpp
@@ -16,8 +16,8 @@
 namespace liftrudder::tests {
 namespace {
 
-// Generous: it ends a test that hangs, and decides nothing in one that does not.
-constexpr auto kPatience = std::chrono::seconds(20);
+// Bounds a test that hangs; much longer than any statement needs, so that a slow machine fails no test.
+constexpr auto kStatementTimeout = std::chrono::seconds(20);
 constexpr auto kHeartbeatInterval = std::chrono::seconds(1);
 constexpr int kPollMs = 20;
 
@@ -48,8 +48,8 @@
       {"update", &Player::SendDnsUpdate},
       {"list", &Player::SendList},
       {"indented", &Player::SendIndentedList},
-      {"deny", &Player::DenyWatch},
-      {"stall", &Player::DenyWatch},
+      {"deny", &Player::QueueWatchDenial},
+      {"stall", &Player::QueueWatchDenial},
       {"start", &Player::Start},
       {"reload", &Player::Reload},
       {"signal", &Player::Terminate},
@@ -98,33 +98,33 @@
 void Player::Execute(const std::string& line) {
   const Statement statement = Parse(line);
   const auto handler = Handlers().find(statement.verb);
-  if (handler == Handlers().end()) throw ScenarioError("no such statement");
+  if (handler == Handlers().end()) throw ScenarioError("unknown statement");
   (this->*handler->second)(statement);
 }
 
-void Player::End() {
+void Player::StopProgram() {
   if (child_ <= 0) return;
   for (auto& [name, client] : clients_) CloseAll(client, CloseKind::kClose);
   ::kill(child_, SIGTERM);
   AwaitExit();
-  Until([&] { return !log_fd_.Valid(); }, "the log does not end");
+  WaitUntil([&] { return !log_fd_.Valid(); }, "the program exited, but its log stays open");
   if (log_.find("Sanitizer") != std::string::npos) throw ScenarioError(log_);
 }
 
-std::string Player::Resolve(const std::string& name) const {
+std::string Player::ResolveAlias(const std::string& name) const {
   const auto alias = aliases_.find(name);
   return alias == aliases_.end() ? name : alias->second;
 }
 
 Peer& Player::FindPeer(const std::string& name) {
-  const auto endpoint = endpoints_.find(Resolve(name));
+  const auto endpoint = endpoints_.find(ResolveAlias(name));
   return endpoint == endpoints_.end() ? clients_[name] : endpoint->second;
 }
 
-void Player::Until(const std::function<bool()>& holds, const std::string& otherwise) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
-  while (!holds()) {
-    if (std::chrono::steady_clock::now() > end) throw ScenarioError(otherwise + "\n" + log_);
+void Player::WaitUntil(const std::function<bool()>& condition, const std::string& error_text) {
+  const auto end = std::chrono::steady_clock::now() + kStatementTimeout;
+  while (!condition()) {
+    if (std::chrono::steady_clock::now() > end) throw ScenarioError(error_text + "\n" + log_);
     ServeOnce();
   }
 }
@@ -178,15 +178,15 @@
 
 void Player::AcceptWatch() {
   net::Fd fd = net::Accept(discovery_.listener, 0);
-  if (denials_.empty()) {
+  if (watch_denials_.empty()) {
     net::WriteAll(fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", 0);
     Connection& watch = discovery_.connections.emplace_back();
     watch.fd = std::move(fd);
     watch.wire = WireKind::kIgnored;
     return;
   }
-  const WatchDenial denial = denials_.front();
-  denials_.pop_front();
+  const WatchDenial denial = watch_denials_.front();
+  watch_denials_.pop_front();
   net::WriteAll(fd, denial.bytes, 0);
   if (denial.stays_open) stalled_watches_.push_back(std::move(fd));
 }
--- a/tests/scenario/player.h
+++ b/tests/scenario/player.h
@@ -1,5 +1,5 @@
-// Plays the statements of a scenario: the program under test as a child, its fake endpoints, discovery and
-// clients, all served by one thread with poll().
+// Executes the statements of a scenario. The program under test runs as a child process; its fake endpoints,
+// discovery and clients are served by one thread with poll().
 #ifndef LIFTRUDDER_TESTS_SCENARIO_PLAYER_H_
 #define LIFTRUDDER_TESTS_SCENARIO_PLAYER_H_
 
@@ -25,8 +25,8 @@
 struct Statement {
   std::string verb;
   std::string subject;
-  std::string arguments;  // with $NAME replaced
-  std::string line;       // as written
+  std::string arguments;  // with each $NAME replaced by its stored value
+  std::string line;       // as in the script
 };
 
 class Player {
@@ -36,17 +36,18 @@
   Player(const Player&) = delete;
   Player& operator=(const Player&) = delete;
 
-  // Throws ScenarioError, or what the parsing of its arguments throws.
+  // Throws ScenarioError, or the exception of a failed parse of the statement's arguments.
   void Execute(const std::string& line);
-  // However the scenario left it, the program ends on SIGTERM, without a crash or a sanitizer's report.
-  void End();
+  // Sends SIGTERM where the program still runs. Throws ScenarioError unless it exits with 0 and its log has
+  // no sanitizer report.
+  void StopProgram();
 
  private:
   using Handler = void (Player::*)(const Statement&);
   static const std::map<std::string, Handler>& Handlers();
   Statement Parse(const std::string& line) const;
 
-  // statements.cpp: what comes and goes on connections.
+  // statements.cpp: messages on connections.
   void Set(const Statement& statement);
   void Send(const Statement& statement);
   void SendBytes(const Statement& statement);
@@ -62,16 +63,16 @@
   void Close(const Statement& statement);
   std::string AwaitEndpointMessage(const std::string& who);
 
-  // endpoint_statements.cpp: endpoints and where the program learns of them.
+  // endpoint_statements.cpp: endpoints, and the discovery, zone file and DNS updates that announce them.
   void AddEndpoint(const Statement& statement);
   void WriteZone(const Statement& statement);
   void SendDnsUpdate(const Statement& statement);
   void SendList(const Statement& statement);
   void SendIndentedList(const Statement& statement);
-  void DenyWatch(const Statement& statement);
-  void SendEntry(const std::string& name, const std::string& state);
-  void SendOnWatch(const std::string& list);
-  nlohmann::json Entry(const std::string& name, const std::string& state) const;
+  void QueueWatchDenial(const Statement& statement);
+  void SendEndpointUpdate(const std::string& name, const std::string& state);
+  void WriteToWatch(const std::string& list);
+  nlohmann::json EndpointEntry(const std::string& name, const std::string& state) const;
 
   // client_statements.cpp: clients, tokens, certificates.
   void Query(const Statement& statement);
@@ -82,8 +83,8 @@
   void WriteTls(const Statement& statement);
   void SetCertificate(const Statement& statement);
   Connection& Client(const std::string& name);
-  const Signer& SignerOf(const std::string& kid);
-  // Puts a file in place by renaming, as operators must.
+  const Signer& SignerFor(const std::string& kid);
+  // Replaces a file atomically by renaming, as operators must.
   void ReplaceFile(const std::string& name, const std::string& text) const;
 
   // process_statements.cpp: the program under test.
@@ -96,17 +97,18 @@
   [[noreturn]] void ExecuteProgram(int log_fd) const;
 
   // player.cpp: peers and the loop that serves them.
-  std::string Resolve(const std::string& name) const;
+  std::string ResolveAlias(const std::string& name) const;
   Peer& FindPeer(const std::string& name);
-  Peer& FindEndpoint(const std::string& name) { return endpoints_.at(Resolve(name)); }
-  // Serves all sockets until the condition holds; throws ScenarioError with `otherwise` when it never does.
-  void Until(const std::function<bool()>& holds, const std::string& otherwise);
+  Peer& FindEndpoint(const std::string& name) { return endpoints_.at(ResolveAlias(name)); }
+  // Serves all sockets until the condition holds. Throws ScenarioError with `error_text` and the program's
+  // log when it does not hold within 20 s.
+  void WaitUntil(const std::function<bool()>& condition, const std::string& error_text);
   void ServeOnce();
   void SendHeartbeat();
   void Accept(Peer& peer, WireKind wire);
   void AcceptWatch();
 
-  // What the next watch gets in place of a list.
+  // Sent to the next watch instead of an endpoint list.
   struct WatchDenial {
     std::string bytes;
     bool stays_open = false;
@@ -120,19 +122,19 @@
 
   pid_t child_ = 0;  // 0: not running
   net::Fd log_fd_;
-  std::string log_;  // so far
+  std::string log_;  // of the program so far
   std::string program_address_;
 
   Peer discovery_;
-  std::deque<WatchDenial> denials_;
+  std::deque<WatchDenial> watch_denials_;
   std::vector<net::Fd> stalled_watches_;
   std::chrono::steady_clock::time_point last_watch_write_;
 
   std::map<std::string, Peer> endpoints_;
   std::map<std::string, Peer> clients_;
-  std::map<std::string, std::string> aliases_;      // `it` and `other`
-  std::map<std::string, std::string> kept_values_;  // by the name after `keep`
-  std::string last_message_;                        // that was expected
+  std::map<std::string, std::string> aliases_;      // endpoint names by `it` and `other`
+  std::map<std::string, std::string> kept_values_;  // by the NAME of `keep`
+  std::string last_message_;                        // consumed by `expect` last
   bool counters_requested_ = false;
 
   std::map<std::string, Signer> signers_;  // by kid
--- a/tests/scenario/process_statements.cpp
+++ b/tests/scenario/process_statements.cpp
@@ -1,4 +1,4 @@
-// The program under test: its start, configuration, signals and end.
+// Statements for the program under test: start, configuration, signals and exit.
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr char kConfigFile[] = "/config.json";
-constexpr char kListens[] = "listens on ";
+constexpr char kListenPrefix[] = "listens on ";
 
 }  // namespace
 
@@ -37,53 +37,57 @@
 void Player::Start(const Statement& statement) {
   serves_search_ = statement.subject == "search";
   WriteConfiguration(config_.dump());
-  std::array<int, 2> ends{};
-  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends.data()) != 0) {
-    throw ScenarioError("no socket pair");
+  std::array<int, 2> sockets{};
+  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, sockets.data()) != 0) {
+    throw ScenarioError("cannot create the socket pair for the log");
   }
   child_ = ::fork();
-  if (child_ == 0) ExecuteProgram(ends[1]);
-  ::close(ends[1]);
-  log_fd_ = net::Fd(ends[0]);
-  // The kernel picks the ports, and the program logs them.
-  Until([&] { return !LoggedAfter(log_, kListens).empty(); }, "the program does not listen");
-  program_address_ = LoggedAfter(log_, kListens);
+  if (child_ == 0) ExecuteProgram(sockets[1]);
+  ::close(sockets[1]);
+  log_fd_ = net::Fd(sockets[0]);
+  // The kernel chooses the port, and the program logs it.
+  WaitUntil([&] { return !LoggedTextAfter(log_, kListenPrefix).empty(); },
+            "the program did not start to listen");
+  program_address_ = LoggedTextAfter(log_, kListenPrefix);
   if (config_["discovery"] == "") return;
-  Until([&] { return !discovery_.connections.empty() || !stalled_watches_.empty(); },
-        "the program does not watch discovery");
+  WaitUntil([&] { return !discovery_.connections.empty() || !stalled_watches_.empty(); },
+            "the program did not start to watch discovery");
 }
 
 void Player::Reload(const Statement& statement) {
   if (statement.subject == "bad") {
     WriteConfiguration("{");
     ::kill(child_, SIGHUP);
-    Until([&] { return log_.find("the old settings stay") != std::string::npos; }, "not read again");
+    WaitUntil([&] { return log_.find("the old settings stay") != std::string::npos; },
+              "the program did not log that it rejected the configuration");
     return;
   }
-  std::list<Connection> old_watches;  // they stay open until the program has moved
+  std::list<Connection> old_watches;  // kept open until the program watches at the new address
   discovery_.listener = net::Listen("127.0.0.1:0");
   config_["discovery"] = net::LocalAddress(discovery_.listener);
   old_watches.swap(discovery_.connections);
   WriteConfiguration(config_.dump());
   ::kill(child_, SIGHUP);
-  Until([&] { return !discovery_.connections.empty(); }, "the watch does not move");
+  WaitUntil([&] { return !discovery_.connections.empty(); },
+            "the program did not watch discovery at its new address");
 }
 
 void Player::Terminate(const Statement& /*statement*/) {
   ::kill(child_, SIGTERM);
-  Until([&] { return log_.find("shutting down") != std::string::npos; }, "the program heeds no signal");
+  WaitUntil([&] { return log_.find("shutting down") != std::string::npos; },
+            "the program did not react to SIGTERM");
 }
 
 void Player::Wait(const Statement& statement) {
-  if (statement.subject != "exit") throw ScenarioError("no such statement");
+  if (statement.subject != "exit") throw ScenarioError("unknown statement");
   AwaitExit();
 }
 
 void Player::AwaitExit() {
   int status = 0;
-  Until([&] { return ::waitpid(child_, &status, WNOHANG) == child_; }, "the program does not end");
+  WaitUntil([&] { return ::waitpid(child_, &status, WNOHANG) == child_; }, "the program did not exit");
   child_ = 0;
-  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) throw ScenarioError("the program crashed:\n" + log_);
+  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) throw ScenarioError("the program failed:\n" + log_);
 }
 
 }  // namespace liftrudder::tests
--- a/tests/scenario/scenario.cpp
+++ b/tests/scenario/scenario.cpp
@@ -21,7 +21,7 @@
       throw ScenarioError("line " + std::to_string(number) + ": " + line + "\n" + error.what());
     }
   }
-  player.End();
+  player.StopProgram();
 }
 
 }  // namespace liftrudder::tests
--- a/tests/scenario/scenario_test.cpp
+++ b/tests/scenario/scenario_test.cpp
@@ -1,4 +1,4 @@
-// One scenario, named by the environment, so that each is a test of its own.
+// Runs the scenario named by the environment variable SCENARIO; CTest runs each scenario as a separate test.
 #define CATCH_CONFIG_MAIN
 #include "scenario/scenario.h"
 
--- a/tests/scenario/statements.cpp
+++ b/tests/scenario/statements.cpp
@@ -1,4 +1,4 @@
-// What comes and goes on the connections of a scenario.
+// Statements that send, expect and close on the connections of a scenario.
 #include <sstream>
 
 #include "scenario/player.h"
@@ -10,7 +10,7 @@
 
 constexpr char kCountersClient[] = "#counters";
 
-// The first word off `arguments`, and what stands behind it.
+// The first word of a statement's arguments, and the text after it.
 struct FirstWord {
   std::string word;
   std::string rest;
@@ -32,7 +32,7 @@
 
 void Player::Send(const Statement& statement) {
   const std::string bytes = Unescape(statement.arguments);
-  if (!endpoints_.contains(Resolve(statement.subject))) {
+  if (!endpoints_.contains(ResolveAlias(statement.subject))) {
     Write(Client(statement.subject), bytes);
     return;
   }
@@ -59,62 +59,62 @@
 
 std::string Player::AwaitEndpointMessage(const std::string& who) {
   const bool any = who == "any";
-  std::string found;
-  Until(
+  std::string receiver;
+  WaitUntil(
       [&] {
         for (auto& [name, endpoint] : endpoints_) {
-          const bool fits = any || name != Resolve("it");
-          if (fits && !endpoint.messages.empty()) found = name;
+          const bool matches = any || name != ResolveAlias("it");
+          if (matches && !endpoint.messages.empty()) receiver = name;
         }
-        return !found.empty();
+        return !receiver.empty();
       },
-      "nothing came at an endpoint");
-  aliases_[any ? "it" : "other"] = found;
-  return found;
+      "no endpoint received a message");
+  aliases_[any ? "it" : "other"] = receiver;
+  return receiver;
 }
 
 void Player::Expect(const Statement& statement) {
   std::string name = statement.subject;
   if (name == "any" || name == "other") name = AwaitEndpointMessage(name);
   Peer& peer = FindPeer(name);
-  Until([&] { return !peer.messages.empty(); }, "nothing came");
+  WaitUntil([&] { return !peer.messages.empty(); }, "no message was received");
   const Message message = peer.messages.front();
   peer.messages.pop_front();
   peer.last_expected = message.connection;
   const std::string& text = message.text;
   if (text.starts_with('q')) peer.shard_requests[text.substr(1, text.find(' ') - 1)] = message.connection;
   last_message_ = text;
-  if (!MatchesGlob(Unescape(statement.arguments), text)) throw ScenarioError("came: " + text);
+  if (!MatchesGlob(Unescape(statement.arguments), text)) throw ScenarioError("received: " + text);
 }
 
 void Player::ExpectEnded(const Statement& statement) {
   const Peer& peer = FindPeer(statement.subject);
-  Until([&] { return !peer.connections.empty() && peer.connections.back().ended; },
-        "the connection stays open");
+  WaitUntil([&] { return !peer.connections.empty() && peer.connections.back().ended; },
+            "the program did not close the connection");
 }
 
 void Player::ExpectFinished(const Statement& statement) {
   ExpectEnded(statement);
   if (!FindPeer(statement.subject).connections.back().tls->ended()) {
-    throw ScenarioError("it was cut, without a close_notify");
+    throw ScenarioError("the connection was closed without a close_notify");
   }
 }
 
 void Player::ExpectQuiet(const Statement& statement) {
   const Peer& peer = FindPeer(statement.subject);
-  if (!peer.messages.empty()) throw ScenarioError("came: " + peer.messages.front().text);
+  if (!peer.messages.empty()) throw ScenarioError("unexpected message: " + peer.messages.front().text);
 }
 
 void Player::ExpectLog(const Statement& statement) {
   const std::string& text = statement.arguments;
-  Until([&] { return log_.find(text) != std::string::npos; }, "the log does not say so");
+  WaitUntil([&] { return log_.find(text) != std::string::npos; }, "the log does not contain the text");
   if (log_.find(text) != log_.rfind(text)) throw ScenarioError("logged more than once:\n" + log_);
 }
 
 void Player::ExpectCounters(const Statement& statement) {
   const std::string glob = statement.line.substr(statement.verb.size() + 1);
   std::string counters;
-  Until(
+  WaitUntil(
       [&] {
         Peer& client = clients_[kCountersClient];
         if (!client.messages.empty()) {
@@ -130,7 +130,7 @@
         counters_requested_ = true;
         return false;
       },
-      "the counters do not come to match");
+      "the counters did not match in time");
 }
 
 void Player::Keep(const Statement& statement) {
@@ -139,7 +139,7 @@
   std::string suffix;
   std::istringstream(split.rest) >> suffix;
   auto from = last_message_.find(prefix);
-  if (from == std::string::npos) throw ScenarioError("not in: " + last_message_);
+  if (from == std::string::npos) throw ScenarioError("prefix not found in: " + last_message_);
   from += prefix.size();
   kept_values_[statement.subject] = last_message_.substr(from, last_message_.find(suffix, from) - from);
 }
--- a/tests/scenario/text.cpp
+++ b/tests/scenario/text.cpp
@@ -31,8 +31,8 @@
   const auto star = glob.find('*');
   if (star == std::string_view::npos) return glob == text;
   if (text.substr(0, star) != glob.substr(0, star)) return false;
-  for (std::size_t at = star; at <= text.size(); ++at) {
-    if (MatchesGlob(glob.substr(star + 1), text.substr(at))) return true;
+  for (std::size_t position = star; position <= text.size(); ++position) {
+    if (MatchesGlob(glob.substr(star + 1), text.substr(position))) return true;
   }
   return false;
 }
@@ -61,10 +61,10 @@
          "\r\n";
 }
 
-std::string LoggedAfter(const std::string& log, const std::string& mark) {
-  const auto at = log.find(mark);
-  const auto end = at == std::string::npos ? at : log.find('\n', at);
-  return end == std::string::npos ? "" : log.substr(at + mark.size(), end - at - mark.size());
+std::string LoggedTextAfter(const std::string& log, const std::string& prefix) {
+  const auto position = log.find(prefix);
+  const auto end = position == std::string::npos ? position : log.find('\n', position);
+  return end == std::string::npos ? "" : log.substr(position + prefix.size(), end - position - prefix.size());
 }
 
 }  // namespace liftrudder::tests
