--- a/simulator/byte_reader.cpp
+++ b/simulator/byte_reader.cpp
@@ -16,21 +16,21 @@
 }
 
 std::string_view ByteReader::Bytes(std::size_t count, const char* field) {
-  if (count > Left()) {
-    Fail(std::string(field) + " needs " + std::to_string(count) + " bytes, " + std::to_string(Left()) +
-         " are left");
+  if (count > Remaining()) {
+    Fail(std::string(field) + " needs " + std::to_string(count) + " bytes, only " +
+         std::to_string(Remaining()) + " remain");
   }
   std::string_view bytes = bytes_.substr(position_, count);
   position_ += count;
   return bytes;
 }
 
-void ByteReader::End() const {
-  if (Left() != 0) Fail(std::to_string(Left()) + " bytes too many");
+void ByteReader::ExpectEnd() const {
+  if (Remaining() != 0) Fail(std::to_string(Remaining()) + " unexpected bytes at the end");
 }
 
 void ByteReader::Fail(const std::string& problem) const {
-  throw WireError(where_ + " at byte " + std::to_string(Offset()) + ": " + problem);
+  throw WireError(context_ + " at byte " + std::to_string(Offset()) + ": " + problem);
 }
 
 }  // namespace liftrudder::simulator
--- a/simulator/byte_reader.h
+++ b/simulator/byte_reader.h
@@ -1,5 +1,5 @@
-// Reads the fields of a frame: integers with the most significant byte first, floats, bytes. Bounded by what
-// it was given; any excess is a WireError that says which field and at which byte. One thread.
+// Reads the fields of a frame: big-endian integers, floats, byte strings. A field that does not fit in the
+// remaining bytes raises a WireError that names the field and the byte offset. Not thread-safe.
 #ifndef LIFTRUDDER_SIMULATOR_BYTE_READER_H_
 #define LIFTRUDDER_SIMULATOR_BYTE_READER_H_
 
@@ -17,18 +17,18 @@
 
 namespace liftrudder::simulator {
 
-// What is wrong with a frame, and at which byte of it.
+// A malformed frame; the message gives the problem and mostly its byte offset in the frame.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// `field` names the field in error texts.
+// `field` is the name of the field in error messages.
 class ByteReader {
  public:
-  // `bytes` begin at byte `offset` of the frame; `where` says in error texts what they are.
-  ByteReader(std::string_view bytes, std::size_t offset, std::string where)
-      : bytes_(bytes), offset_(offset), where_(std::move(where)) {}
+  // `bytes` begin at byte `offset` of the frame; `context` names them in error messages.
+  ByteReader(std::string_view bytes, std::size_t offset, std::string context)
+      : bytes_(bytes), offset_(offset), context_(std::move(context)) {}
 
   template <std::unsigned_integral T>
   T Integer(const char* field) {
@@ -47,17 +47,17 @@
   std::vector<double> Load(const char* field);
   std::string_view Bytes(std::size_t count, const char* field);
 
-  std::size_t Left() const { return bytes_.size() - position_; }
+  std::size_t Remaining() const { return bytes_.size() - position_; }
   std::size_t Offset() const { return offset_ + position_; }
-  // Throws where bytes are left.
-  void End() const;
+  // Throws WireError when bytes remain.
+  void ExpectEnd() const;
   [[noreturn]] void Fail(const std::string& problem) const;
 
  private:
   std::string_view bytes_;
   std::size_t offset_;
   std::size_t position_ = 0;
-  std::string where_;
+  std::string context_;
 };
 
 }  // namespace liftrudder::simulator
--- a/simulator/decoder.cpp
+++ b/simulator/decoder.cpp
@@ -15,7 +15,7 @@
 using wire::EventCode;
 using wire::OutcomeCode;
 
-constexpr std::size_t kLengthBytes = 4;  // before each frame's body
+constexpr std::size_t kLengthBytes = 4;  // the length field in front of each frame's body
 constexpr std::uint32_t kMinRecordBytes = 5;
 constexpr std::uint32_t kEndpointBytes = 24;
 constexpr int kMaxEndpointLists = 16;
@@ -59,7 +59,7 @@
   return endpoint;
 }
 
-// A query and its shard requests share one layout; a query has a negative shard.
+// Queries and shard requests share one record layout; a query has a negative shard.
 routing::Event ReadRequest(ByteReader& record) {
   const routing::Id id = record.U32(wire::kIdField);
   const auto number = static_cast<std::int64_t>(record.F32(wire::kQueryNumberField));
@@ -133,43 +133,43 @@
   const std::uint32_t records = frame.U32("number of records");
   Batch batch;
   batch.now_us = static_cast<routing::Micros>(frame.U64("clock"));
-  if (records > frame.Left() / kMinRecordBytes) {
-    frame.Fail("states " + std::to_string(records) + " records, more than its bytes can hold");
+  if (records > frame.Remaining() / kMinRecordBytes) {
+    frame.Fail("declares " + std::to_string(records) + " records, more than its bytes can hold");
   }
   std::optional<int> instance;
   for (std::uint32_t i = 0; i < records; ++i) {
     const int code = frame.U8("record code");
     const std::uint32_t size = frame.U32("record size");
     const std::size_t offset = frame.Offset();
-    const std::string where = "record " + std::to_string(i) + " (code " + std::to_string(code) + ")";
-    ByteReader record(frame.Bytes(size, where.c_str()), offset, where);
+    const std::string context = "record " + std::to_string(i) + " (code " + std::to_string(code) + ")";
+    ByteReader record(frame.Bytes(size, context.c_str()), offset, context);
     if (code == static_cast<int>(EventCode::kInstance)) {
       instance = record.U16(wire::kInstanceField);
-      record.End();
+      record.ExpectEnd();
     } else if (code == static_cast<int>(EventCode::kEndpointList)) {
       StoreEndpointList(record);
     } else if (!instance) {
       record.Fail(std::string("comes before any ") + wire::kInstanceRecord);
     } else if (auto event = ReadEvent(code, *instance, record)) {
-      record.End();
+      record.ExpectEnd();
       batch.events.push_back(std::move(*event));
     }
   }
-  frame.End();
+  frame.ExpectEnd();
   return batch;
 }
 
 void Decoder::StoreEndpointList(ByteReader& record) {
   const int number = record.U16(wire::kListNumberField);
-  if (number >= kMaxEndpointLists) record.Fail("list number " + std::to_string(number) + " is above 15");
+  if (number >= kMaxEndpointLists) record.Fail("endpoint list " + std::to_string(number) + " is above 15");
   const std::uint32_t count = record.U32(wire::kListEntriesField);
-  if (count > record.Left() / kEndpointBytes) {
-    record.Fail("states " + std::to_string(count) + " entries, too many");
+  if (count > record.Remaining() / kEndpointBytes) {
+    record.Fail("declares " + std::to_string(count) + " entries, more than its bytes can hold");
   }
   std::vector<routing::Endpoint> endpoints;
   endpoints.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) endpoints.push_back(ReadEndpoint(record));
-  record.End();
+  record.ExpectEnd();
   endpoint_lists_[number] = std::move(endpoints);
 }
 
@@ -178,14 +178,14 @@
   update.version = record.U64(wire::kListVersionField);
   const int kind = record.U8(wire::kListKindField);
   if (kind > static_cast<int>(EndpointListKind::kFailed)) {
-    record.Fail("unknown kind of list " + std::to_string(kind));
+    record.Fail("unknown endpoint list kind " + std::to_string(kind));
   }
   update.kind = static_cast<EndpointListKind>(kind);
   const int number = record.U16(wire::kListNumberField);
   if (update.kind == EndpointListKind::kFailed) return update;
   auto found = endpoint_lists_.find(number);
   if (found == endpoint_lists_.end()) {
-    record.Fail("names list " + std::to_string(number) + ", which was never sent");
+    record.Fail("refers to endpoint list " + std::to_string(number) + ", which was never sent");
   }
   update.endpoints = found->second;
   return update;
@@ -212,13 +212,13 @@
     case EventCode::kGossip:
       return InstanceEvent{instance, ReadGossip(record)};
     case EventCode::kResponseBegun:
-      // For streamed classes only; the response itself still ends with kAttemptFinished.
+      // Sent for streamed classes only, and ignored: the response still ends with kAttemptFinished.
       return std::nullopt;
     case EventCode::kInstance:
     case EventCode::kEndpointList:
-      break;  // read by Decode
+      break;  // handled by Decode
   }
-  record.Fail("unknown code");
+  record.Fail("unknown record code");
 }
 
 }  // namespace liftrudder::simulator
--- a/simulator/decoder.h
+++ b/simulator/decoder.h
@@ -1,4 +1,4 @@
-// Translates a batch of the simulator into events of the routing module. Decides nothing. One thread.
+// Decodes a batch from the simulator into events of the routing module; makes no decisions. Not thread-safe.
 #ifndef LIFTRUDDER_SIMULATOR_DECODER_H_
 #define LIFTRUDDER_SIMULATOR_DECODER_H_
 
@@ -21,7 +21,7 @@
 };
 struct InstanceKilled {};
 
-// What happened to one instance of the module.
+// An event for one instance of the routing module.
 struct InstanceEvent {
   int instance = 0;
   std::variant<InstanceCreated, InstanceKilled, routing::Event> what;
@@ -32,7 +32,7 @@
   std::vector<InstanceEvent> events;
 };
 
-// Keeps the numbered endpoint lists, which later batches refer to.
+// Keeps the numbered endpoint lists: later batches may refer to them.
 class Decoder {
  public:
   // `body` is a frame without its leading length. Throws WireError.
@@ -41,7 +41,7 @@
  private:
   void StoreEndpointList(ByteReader& record);
   routing::EndpointListUpdate ReadEndpointListUpdate(ByteReader& record) const;
-  // Nothing for a record without an event. Throws on a code that is not known.
+  // Returns nullopt for a record that causes no event. Throws WireError for an unknown code.
   std::optional<InstanceEvent> ReadEvent(int code, int instance, ByteReader& record) const;
 
   std::map<int, std::vector<routing::Endpoint>> endpoint_lists_;  // by number
--- a/simulator/encoder.cpp
+++ b/simulator/encoder.cpp
@@ -16,8 +16,8 @@
   }
 }
 
-// The wire has 31 bits for a span.
-std::uint32_t Span(routing::Micros span_us) {
+// Durations are encoded in 31 bits: negative ones become 0, longer ones the maximum.
+std::uint32_t ClampDuration(routing::Micros span_us) {
   return static_cast<std::uint32_t>(std::clamp<routing::Micros>(span_us, 0, INT32_MAX));
 }
 
@@ -25,46 +25,46 @@
  public:
   explicit RecordWriter(std::string& out) : out_(out) {}
 
-  void Head(ActionCode code, std::uint32_t bytes) {
+  void WriteHeader(ActionCode code, std::uint32_t bytes) {
     Append(out_, static_cast<std::uint64_t>(code), 1);
     Append(out_, bytes, 4);
   }
   void operator()(const routing::Send& send) {
-    Head(ActionCode::kSend, 14);
+    WriteHeader(ActionCode::kSend, 14);
     Append(out_, send.shard_request, 4);
-    Append(out_, Span(send.timeout_us), 4);
+    Append(out_, ClampDuration(send.timeout_us), 4);
     AppendEndpoint(send.endpoint);
   }
   void operator()(const routing::Answer& answer) {
-    Head(ActionCode::kAnswer, 5);
+    WriteHeader(ActionCode::kAnswer, 5);
     Append(out_, answer.query, 4);
     Append(out_, answer.complete ? 1 : 0, 1);
   }
   void operator()(const routing::Reject& reject) {
-    Head(ActionCode::kReject, 8);
+    WriteHeader(ActionCode::kReject, 8);
     Append(out_, reject.query, 4);
-    Append(out_, Span(reject.retry_after_us), 4);
+    Append(out_, ClampDuration(reject.retry_after_us), 4);
   }
   void operator()(const routing::Fail& fail) {
-    Head(ActionCode::kFail, 4);
+    WriteHeader(ActionCode::kFail, 4);
     Append(out_, fail.query, 4);
   }
   void operator()(const routing::Cancel& cancel) {
-    Head(ActionCode::kCancel, 5);
+    WriteHeader(ActionCode::kCancel, 5);
     Append(out_, cancel.shard_request, 4);
     Append(out_, static_cast<std::uint64_t>(cancel.attempt), 1);
   }
   void operator()(const routing::Close& close) {
-    Head(ActionCode::kClose, 6);
+    WriteHeader(ActionCode::kClose, 6);
     AppendEndpoint(close.endpoint);
   }
   void operator()(const routing::SetTimer& timer) {
-    Head(ActionCode::kSetTimer, 12);
-    Append(out_, Span(timer.span_us), 4);
+    WriteHeader(ActionCode::kSetTimer, 12);
+    Append(out_, ClampDuration(timer.span_us), 4);
     Append(out_, timer.label, 8);
   }
   void operator()(const routing::Subscribe& /*subscribe*/) {
-    Head(ActionCode::kSubscribe, 1);
+    WriteHeader(ActionCode::kSubscribe, 1);
     Append(out_, 1, 1);
   }
 
@@ -82,7 +82,7 @@
 void Encoder::Add(int instance, const std::vector<routing::Action>& actions) {
   if (actions.empty()) return;
   RecordWriter writer(records_);
-  writer.Head(ActionCode::kInstance, 2);
+  writer.WriteHeader(ActionCode::kInstance, 2);
   Append(records_, static_cast<std::uint64_t>(instance), 2);
   for (const routing::Action& action : actions) std::visit(writer, action);
   record_count_ += 1 + static_cast<std::uint32_t>(actions.size());
--- a/simulator/encoder.h
+++ b/simulator/encoder.h
@@ -1,4 +1,5 @@
-// Translates the routing module's actions into the frames of the simulator. Decides nothing. One thread.
+// Encodes actions of the routing module into reply frames for the simulator; makes no decisions. Not
+// thread-safe.
 #ifndef LIFTRUDDER_SIMULATOR_ENCODER_H_
 #define LIFTRUDDER_SIMULATOR_ENCODER_H_
 
@@ -10,11 +11,11 @@
 
 namespace liftrudder::simulator {
 
-// Collects the actions of one reply.
+// Collects the actions of one reply frame.
 class Encoder {
  public:
   void Add(int instance, const std::vector<routing::Action>& actions);
-  // The whole frame, its length included; the encoder is empty afterwards.
+  // Returns the frame with its length field and clears the encoder.
   std::string Finish();
 
  private:
--- a/simulator/host.cpp
+++ b/simulator/host.cpp
@@ -17,7 +17,7 @@
   std::array<unsigned char, kLengthBytes> length{};
   const std::size_t length_read = std::fread(length.data(), 1, length.size(), input);
   if (length_read == 0) return std::nullopt;
-  if (length_read < length.size()) throw WireError("frame: input ends within its length");
+  if (length_read < length.size()) throw WireError("frame: input ends within its length field");
   std::size_t size = 0;
   for (unsigned char byte : length) size = size << 8 | byte;
   if (size > kMaxFrameBytes) throw WireError("frame: length " + std::to_string(size) + " is too large");
@@ -33,7 +33,7 @@
 std::string Host::Serve(std::string_view body) {
   Batch batch = decoder_.Decode(body);
   std::vector<routing::Action> actions;
-  for (const Pending& pending : Distribute(batch.events)) {
+  for (const Pending& pending : GroupByInstance(batch.events)) {
     if (pending.events.empty()) continue;
     actions.clear();
     instances_.at(pending.instance).Handle(batch.now_us, pending.events, actions);
@@ -42,12 +42,12 @@
   return encoder_.Finish();
 }
 
-std::vector<Host::Pending> Host::Distribute(std::vector<InstanceEvent>& events) {
-  std::vector<Pending> all;
-  auto find = [&all](int instance) { return std::ranges::find(all, instance, &Pending::instance); };
+std::vector<Host::Pending> Host::GroupByInstance(std::vector<InstanceEvent>& events) {
+  std::vector<Pending> groups;
+  auto find = [&groups](int instance) { return std::ranges::find(groups, instance, &Pending::instance); };
   auto drop_earlier_events = [&](int instance) {
     auto pending = find(instance);
-    if (pending != all.end()) pending->events.clear();
+    if (pending != groups.end()) pending->events.clear();
   };
   for (InstanceEvent& event : events) {
     const int instance = event.instance;
@@ -66,10 +66,10 @@
       continue;
     }
     auto pending = find(instance);
-    if (pending == all.end()) pending = all.insert(all.end(), Pending{instance, {}});
+    if (pending == groups.end()) pending = groups.insert(groups.end(), Pending{instance, {}});
     pending->events.push_back(std::move(std::get<routing::Event>(event.what)));
   }
-  return all;
+  return groups;
 }
 
 }  // namespace liftrudder::simulator
--- a/simulator/host.h
+++ b/simulator/host.h
@@ -1,5 +1,5 @@
-// Runs the instances of the routing module that the simulator creates, one router each. They share nothing
-// but the decoder's numbered endpoint lists. One thread.
+// Runs the instances of the routing module that the simulator creates, one router for each. They share only
+// the decoder's numbered endpoint lists. Not thread-safe.
 #ifndef LIFTRUDDER_SIMULATOR_HOST_H_
 #define LIFTRUDDER_SIMULATOR_HOST_H_
 
@@ -16,13 +16,13 @@
 
 namespace liftrudder::simulator {
 
-// Reads one frame, without its leading length; nothing at the end of input. Throws WireError where the input
-// ends within a frame or the length is beyond 1 GiB.
+// Reads one frame and returns it without its length field; nullopt at the end of input. Throws WireError when
+// the input ends within a frame or the length exceeds 1 GiB.
 std::optional<std::string> ReadFrame(std::FILE* input);
 
 class Host {
  public:
-  // Takes the body of a batch and returns the whole reply. After a WireError nothing may be written.
+  // Handles the body of a batch and returns the complete reply frame. After a WireError no reply may be sent.
   std::string Serve(std::string_view body);
 
  private:
@@ -31,9 +31,9 @@
     std::vector<routing::Event> events;
   };
 
-  // Applies creations and kills, and gathers the other events by instance, in the order of their first event.
-  // Events from before an instance was killed or created anew are dropped.
-  std::vector<Pending> Distribute(std::vector<InstanceEvent>& events);
+  // Creates and kills instances, and groups the other events by instance, in the order of each instance's
+  // first event. Events that precede a kill or a new creation of their instance in the batch are dropped.
+  std::vector<Pending> GroupByInstance(std::vector<InstanceEvent>& events);
 
   Decoder decoder_;
   Encoder encoder_;
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -1,5 +1,6 @@
-// simulator_adapter: runs instances of the routing module for the simulator, with frames on standard input
-// and output. Decides nothing.
+// simulator_adapter: runs instances of the routing module for the simulator. Reads batches from standard
+// input and writes replies to standard output, both as length-prefixed frames. All decisions are the
+// routing module's.
 #include <cstdio>
 #include <exception>
 #include <string>
@@ -13,7 +14,7 @@
       const std::string reply = host.Serve(*frame);
       const bool written = std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size();
       if (!written || std::fflush(stdout) != 0) {
-        std::fputs("simulator_adapter: standard output is closed\n", stderr);
+        std::fputs("simulator_adapter: cannot write to standard output; exiting\n", stderr);
         return 1;
       }
     }
--- a/simulator/wire_names.h
+++ b/simulator/wire_names.h
@@ -1,5 +1,5 @@
-// The simulator's wire: codes of its records, codes of outcomes, and the names of its fields as its document
-// has them, for error texts. They are interfaces and never change; everything else uses the constants.
+// The simulator's wire protocol: record codes, outcome codes, and the field names of its specification, used
+// in error messages. They are an external interface and never change; other code uses these constants.
 #ifndef LIFTRUDDER_SIMULATOR_WIRE_NAMES_H_
 #define LIFTRUDDER_SIMULATOR_WIRE_NAMES_H_
 
@@ -36,7 +36,7 @@
   kInstance = 140,
 };
 
-// How an attempt or a health check ended.
+// Outcomes of attempts and health checks.
 enum class OutcomeCode : std::uint16_t {
   kOk = 200,
   kNotSent = 410,
@@ -51,7 +51,7 @@
 // Flags of a request.
 inline constexpr int kRetryFlag = 2;
 
-// The record that says which instance the following records are for.
+// The record that selects the instance of the records after it.
 inline constexpr char kInstanceRecord[] = "ABOUT";
 
 inline constexpr char kInstanceField[] = "who";
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -1,5 +1,5 @@
-// Decoder and encoder on the byte examples of the wire's document, and on frames that are truncated or
-// unknown; the routing settings' text; the host.
+// The decoder and encoder on the byte examples of the wire specification and on malformed frames; the parser
+// of the routing settings; the host.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -40,10 +40,10 @@
   return out;
 }
 
-// The same without blanks.
+// The same bytes in hexadecimal without blanks.
 std::string WithoutBlanks(std::string_view hex) { return Hex(Bytes(hex)); }
 
-// A batch at clock 0x805c5a of the records given.
+// The body of a batch with these records, at clock 0x805c5a.
 std::string Body(int records, std::string_view hex) {
   char head[9];
   std::snprintf(head, sizeof head, "%08x", static_cast<unsigned>(records));
@@ -52,7 +52,7 @@
 
 constexpr std::string_view kInstance3 = "78 00000002 0003";
 
-// The message of the error that decoding these records gives; empty when there is none.
+// The error message of decoding these records; empty when they decode.
 std::string DecodingError(int records, std::string_view hex) {
   try {
     Decoder().Decode(Body(records, hex));
@@ -63,7 +63,7 @@
 }
 
 template <typename T>
-T Only(std::string_view record) {
+T DecodeOneEvent(std::string_view record) {
   Batch batch = Decoder().Decode(Body(2, std::string(kInstance3) + std::string(record)));
   EXPECT_EQ(batch.events.size(), 1u);
   EXPECT_EQ(batch.events.at(0).instance, 3);
@@ -88,7 +88,7 @@
 }
 
 TEST(Decode, ShardRequest) {
-  auto shard_request = Only<ShardRequestReceived>(
+  auto shard_request = DecodeOneEvent<ShardRequestReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 3e000000 0000 0000 00000000 01 91f03b7c55d20a64 0003a980");
   EXPECT_EQ(shard_request.id, 0x5d3a91c4u);
   EXPECT_EQ(shard_request.number, 214);
@@ -99,7 +99,7 @@
 }
 
 TEST(Decode, QueryHasNegativeShardAndRetryFlag) {
-  auto query = Only<QueryReceived>(
+  auto query = DecodeOneEvent<QueryReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 40800000 0002 0001 bf800000 02 0000000000000000 0003a980");
   EXPECT_EQ(query.shard_requests, 4);
   EXPECT_EQ(query.class_index, 2);
@@ -109,7 +109,7 @@
 }
 
 TEST(Decode, AttemptFinished) {
-  auto attempt = Only<AttemptFinished>(
+  auto attempt = DecodeOneEvent<AttemptFinished>(
       "6e 0000001f 5d3a91c4 00 0a124a07 138b 00c8 00004844 01 03 4040000040e00000430c0000");
   EXPECT_EQ(attempt.shard_request, 0x5d3a91c4u);
   EXPECT_EQ(attempt.attempt, 0);
@@ -121,12 +121,12 @@
 }
 
 TEST(Decode, HealthCheckDisconnectTimerAndGossip) {
-  auto health_check =
-      Only<HealthCheckFinished>("64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
+  auto health_check = DecodeOneEvent<HealthCheckFinished>(
+      "64 00000019 0a9011f2 13b4 00c8 00000578 03 4040000040e00000430c0000");
   EXPECT_EQ(health_check.spent_us, 1400);
-  EXPECT_EQ(Only<ClientDisconnected>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
-  EXPECT_EQ(Only<TimerFired>("46 00000008 000000000000004d").label, 0x4du);
-  EXPECT_EQ(Only<GossipMessage>("0a 0000000a 00000002 0004 68692037").text, "hi 7");
+  EXPECT_EQ(DecodeOneEvent<ClientDisconnected>("3c 00000004 0e6f2b19").id, 0x0e6f2b19u);
+  EXPECT_EQ(DecodeOneEvent<TimerFired>("46 00000008 000000000000004d").label, 0x4du);
+  EXPECT_EQ(DecodeOneEvent<GossipMessage>("0a 0000000a 00000002 0004 68692037").text, "hi 7");
 }
 
 TEST(Decode, ListIsResolvedInOrderOfTheBatch) {
@@ -144,7 +144,7 @@
   EXPECT_EQ(update.endpoints[1].started_us, 0x5d1420);
   EXPECT_DOUBLE_EQ(update.endpoints[1].weight, 1.5);
   EXPECT_EQ(update.endpoints[0].availability, Availability::kReady);
-  // The numbered list outlives its batch.
+  // Later batches may refer to the numbered list.
   Batch later = decoder.Decode(Body(2, std::string(kInstance3) + "28 0000000b 000000000000002a 01 0000"));
   EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).endpoints.size(), 2u);
 }
@@ -165,11 +165,11 @@
 }
 
 TEST(Malformed, SaysWhatAndWhere) {
-  EXPECT_NE(DecodingError(1, "78 00000002 00").find("needs 2 bytes, 1 are left"), std::string::npos);
+  EXPECT_NE(DecodingError(1, "78 00000002 00").find("needs 2 bytes, only 1 remain"), std::string::npos);
   EXPECT_NE(DecodingError(1, "78 00000001 00").find("who needs 2 bytes"), std::string::npos);
-  EXPECT_NE(DecodingError(1, "78 00000003 000300").find("1 bytes too many"), std::string::npos);
-  EXPECT_NE(DecodingError(900, "78 00000002 0003").find("states 900 records"), std::string::npos);
-  EXPECT_NE(DecodingError(2, "78 00000002 0003 c8 00000000").find("unknown code"), std::string::npos);
+  EXPECT_NE(DecodingError(1, "78 00000003 000300").find("1 unexpected bytes at the end"), std::string::npos);
+  EXPECT_NE(DecodingError(900, "78 00000002 0003").find("declares 900 records"), std::string::npos);
+  EXPECT_NE(DecodingError(2, "78 00000002 0003 c8 00000000").find("unknown record code"), std::string::npos);
   EXPECT_NE(DecodingError(1, "3c 00000004 0e6f2b19").find("before any ABOUT"), std::string::npos);
   EXPECT_NE(DecodingError(2, "78 00000002 0003 28 0000000b 0000000000000029 02 0007").find("never sent"),
             std::string::npos);
@@ -257,7 +257,7 @@
   };
   EXPECT_EQ(read(""), "");
   EXPECT_EQ(read(Bytes("00000002 0102 00000001 07")), "[2][1]");
-  EXPECT_NE(read(Bytes("0000")).find("within its length"), std::string::npos);
+  EXPECT_NE(read(Bytes("0000")).find("within its length field"), std::string::npos);
   EXPECT_NE(read(Bytes("00000005 0102")).find("byte 6 of 9"), std::string::npos);
   EXPECT_NE(read(Bytes("ffffffff 01")).find("too large"), std::string::npos);
 }
