--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -1,6 +1,6 @@
-// What the decision record costs a query: processor time of the whole program with it off, on, and on with a
-// reader at work, in turn over several rounds; and processor time and allocations of the coordinator alone,
-// without sockets.
+// Measures the cost of the decision record per query, with the record off, on, and on with a concurrent
+// reader, interleaved over several rounds: CPU time of the whole program, and CPU time and allocations of the
+// coordinator alone, without sockets.
 //
 //   decision_log_cost [ROUNDS] [QUERIES PER ROUND]      prints a table; quote the medians and the machine
 #include <fmt/format.h>
@@ -52,13 +52,13 @@
   return s;
 }
 
-// Answers every attempt at once.
+// Completes every attempt immediately.
 class ImmediateTransport : public coordinator::EndpointTransport {
  public:
   explicit ImmediateTransport(coordinator::Coordinator& coordinator) : coordinator_(coordinator) {}
-  void Start(coordinator::AttemptRequest order) override {
+  void Start(coordinator::AttemptRequest attempt) override {
     coordinator_.Post(coordinator::AttemptResult{
-        order.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
+        attempt.key, coordinator::Progress::kAnswering, coordinator::Cause::kServed, {}, "v"});
   }
   void EndRound() override {}
   void CancelAttempt(const coordinator::AttemptKey&, const coordinator::EndpointId&,
@@ -84,7 +84,7 @@
   double cpu_us = 0, allocations = 0;
 };
 
-Cost CoordinatorCost(bool record, bool readers, int queries) {
+Cost MeasureCoordinator(bool record, bool readers, int queries) {
   liftrudder::routing::Settings settings = RoutingSettings();
   net::SteadyClock clock;
   coordinator::EndpointRegistry endpoint_registry;
@@ -120,10 +120,10 @@
     }
   });
   std::atomic<int> unanswered{0};
-  std::size_t before = 0;
+  std::size_t start = 0;
   int warm_up = queries / 4;
   for (int i = 0; i < queries + warm_up; ++i) {
-    if (i == warm_up) before = test_support::Allocations();
+    if (i == warm_up) start = test_support::Allocations();
     coordinator::QueryRequest request;
     request.received_us = clock.Now();
     request.deadline_us = request.received_us + 4'000'000;
@@ -138,7 +138,7 @@
     while (unanswered.load() > 4) std::this_thread::yield();
   }
   while (unanswered.load() > 0) std::this_thread::yield();
-  std::size_t used = test_support::Allocations() - before;
+  std::size_t used = test_support::Allocations() - start;
   done = true;
   coordinator.Stop();
   loop.join();
@@ -147,14 +147,14 @@
           static_cast<double>(used) / queries};
 }
 
-double ThreadMs() {
+double ThreadCpuMs() {
   timespec used{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
   return static_cast<double>(used.tv_sec) * 1e3 + static_cast<double>(used.tv_nsec) / 1e6;
 }
 
-// One reading of a full record of 4 MiB: CPU in milliseconds.
-double ReadingCost(const decision_log::Question& question) {
+// The CPU time in milliseconds of answering one question from a full record of 4 MiB (median).
+double MeasureReadMs(const decision_log::Question& question) {
   decision_log::Recorder recorder(kRecordBytes, "", decision_log::RecordOrigin{"bench", 0, {"search"}}, 7);
   std::vector<decision_log::RecordedShardRequest> shard_requests(kShardRequests, {1, 0.16, 0});
   for (std::uint32_t i = 0; i < 20'000; ++i) {
@@ -178,13 +178,13 @@
         query, {decision_log::Verdict::kComplete, {}, decision_log::IntakeResult::kNone, 0, kShardRequests});
     recorder.Flush();
   }
-  std::vector<double> all;
+  std::vector<double> times_ms;
   for (int i = 0; i < 15; ++i) {
-    double before = ThreadMs();
+    double start = ThreadCpuMs();
     decision_log::AnswerFrom(recorder.record_file(), question);
-    all.push_back(ThreadMs() - before);
+    times_ms.push_back(ThreadCpuMs() - start);
   }
-  return Median(all);
+  return Median(times_ms);
 }
 
 // ---- The whole program ----
@@ -201,7 +201,7 @@
       discovery.addr(), bytes, discovery.List());
 }
 
-double ProgramCost(std::size_t bytes, bool readers, int queries, const std::string& directory) {
+double MeasureProgramCpuUs(std::size_t bytes, bool readers, int queries, const std::string& directory) {
   test_support::FakeDiscovery discovery;
   std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
   for (int cell = 0; cell < kEndpoints; ++cell) {
@@ -254,7 +254,7 @@
   for (std::thread& client : clients) client.join();
   done = true;
   reader.join();
-  if (answered != queries) std::fprintf(stderr, "only %d of %d were answered\n", answered.load(), queries);
+  if (answered != queries) std::fprintf(stderr, "%d of %d queries were answered\n", answered.load(), queries);
   return coordinator_process.Stop() * 1e6 / queries;
 }
 
@@ -266,9 +266,9 @@
   bool reader;
 };
 constexpr std::array<Mode, 3> kModes = {
-    {{"off", false, false}, {"on", true, false}, {"on, a reader", true, true}}};
+    {{"off", false, false}, {"on", true, false}, {"on, with a reader", true, true}}};
 
-// Of one mode, an element a round.
+// The figures of one mode, with one element per round.
 struct Figures {
   std::vector<double> coordinator_cpu_us, allocations, program_cpu_us;
 };
@@ -276,22 +276,22 @@
 std::array<Figures, kModes.size()> Measure(int rounds, int queries) {
   std::array<Figures, kModes.size()> out;
   test_support::TemporaryDirectory directory;
-  // The order changes from round to round, so that a machine that slows down or speeds up favours no mode.
+  // The order rotates each round, so that a machine that slows down or speeds up favours no mode.
   for (std::size_t round = 0; round < static_cast<std::size_t>(rounds); ++round) {
     for (std::size_t turn = 0; turn < kModes.size(); ++turn) {
       std::size_t index = (round + turn) % kModes.size();
       const Mode& mode = kModes[index];
-      Cost cost = CoordinatorCost(mode.record, mode.reader, queries * 4);
+      Cost cost = MeasureCoordinator(mode.record, mode.reader, queries * 4);
       out[index].coordinator_cpu_us.push_back(cost.cpu_us);
       out[index].allocations.push_back(cost.allocations);
       out[index].program_cpu_us.push_back(
-          ProgramCost(mode.record ? kRecordBytes : 0, mode.reader, queries, directory.path()));
+          MeasureProgramCpuUs(mode.record ? kRecordBytes : 0, mode.reader, queries, directory.path()));
     }
   }
   return out;
 }
 
-// The median of the rounds' ratios.
+// The median over the rounds of the ratio of each value to its base.
 double PairedRatio(const std::vector<double>& values, const std::vector<double>& base) {
   std::vector<double> ratios;
   for (std::size_t i = 0; i < values.size(); ++i) ratios.push_back(values[i] / base[i]);
@@ -300,9 +300,8 @@
 
 void PrintTable(const std::array<Figures, kModes.size()>& figures) {
   fmt::print(
-      "| record | coordinator alone, CPU us a query | allocations a query | whole program, CPU us a query | "
-      "to "
-      "off, pair by pair |\n|---|---|---|---|---|\n");
+      "| record | coordinator alone, CPU us per query | allocations per query | "
+      "whole program, CPU us per query | ratio to off, paired by round |\n|---|---|---|---|---|\n");
   for (std::size_t i = 0; i < kModes.size(); ++i) {
     const Figures& mode = figures[i];
     auto [coordinator_min, coordinator_max] = std::ranges::minmax(mode.coordinator_cpu_us);
@@ -314,15 +313,14 @@
   }
 }
 
-void PrintReadings() {
+void PrintReadCosts() {
   decision_log::Question question;
   question.filter.limit = 50;
-  fmt::print("\nA reading of a full record of 4 MiB, CPU ms: 50 queries as text {:.2f}",
-             ReadingCost(question));
+  fmt::print("\nReading a full record of 4 MiB, CPU ms: 50 queries as text {:.2f}", MeasureReadMs(question));
   question.json = true;
-  fmt::print(", as JSON {:.2f}", ReadingCost(question));
+  fmt::print(", as JSON {:.2f}", MeasureReadMs(question));
   question.filter.id = "bench-00019990";
-  fmt::print(", one by its id {:.2f}\n", ReadingCost(question));
+  fmt::print(", one query by id {:.2f}\n", MeasureReadMs(question));
 }
 
 }  // namespace
@@ -331,8 +329,8 @@
   int rounds = argc > 1 ? std::atoi(argv[1]) : 7;
   int queries = argc > 2 ? std::atoi(argv[2]) : 4000;
   auto figures = Measure(rounds, queries);
-  fmt::print("{} cores; {} rounds in turn; a query has {} shard requests; medians, and least to most\n\n",
+  fmt::print("{} cores; {} interleaved rounds; {} shard requests per query; median (min to max)\n\n",
              std::thread::hardware_concurrency(), rounds, kShardRequests);
   PrintTable(figures);
-  PrintReadings();
+  PrintReadCosts();
 }
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -1,9 +1,9 @@
-// What a query for every shard costs the gatherer: processor time of the whole program, one query at a time,
-// as the holders (one a shard, three to a shard) answer spread over a tenth of a second. First queries open
-// the connections and are counted apart. On a platform that grants a fifth of a core, five times this is
-// waited.
+// Measures the CPU time that the whole program spends on a query for every shard. Queries run one at a time;
+// each cell has one endpoint (a shard may use three), and endpoints answer after 10 to 109 ms. The first
+// queries open the connections and are counted separately. On a platform that grants a fifth of a core, the
+// wall time is five times the CPU time.
 //
-//   fan_cost [QUERIES] [HOLDERS ...]      a table row for each number of holders
+//   fan_out_cost [QUERIES] [ENDPOINTS ...]      prints a table row for each number of endpoints
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -35,12 +35,12 @@
 }
 
 struct Cost {
-  double first_ms = 0, later_ms = 0, idle_ms_a_second = 0;
-  int whole = 0;
+  double first_ms = 0, later_ms = 0, idle_ms_per_s = 0;
+  int complete = 0;
 };
 
-// A status of 200 and marked whole.
-bool AskAll(const net::Fd& fd, int number, int shards) {
+// Sends a query for all shards. Returns whether the answer has status 200 and is marked complete.
+bool QueryAllShards(const net::Fd& fd, int number, int shards) {
   std::string tablets;
   for (int shard = 0; shard < shards; ++shard)
     tablets +=
@@ -64,9 +64,9 @@
   std::vector<std::unique_ptr<test_support::FakeEndpoint>> all;
   for (int cell = 0; cell < endpoints; ++cell) {
     all.push_back(std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
-      auto spread = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
+      auto extra_delay_ms = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
       return test_support::Behaviour{test_support::Act::kServe,
-                                     10'000 + static_cast<net::Micros>(spread) * 1'000};
+                                     10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
     }));
     discovery.Tell(fmt::format("s-{}", cell), all.back()->addr(), cell, "ready");
   }
@@ -78,17 +78,18 @@
   }
   Cost cost;
   net::SteadyClock clock;
-  net::Micros began = clock.Now();
-  double before = coordinator_process.CpuMs();
-  while (clock.Now() - began < 2'000'000) ::usleep(100'000);
-  cost.idle_ms_a_second = (coordinator_process.CpuMs() - before) / 2;
+  net::Micros started_us = clock.Now();
+  double cpu_ms_before = coordinator_process.CpuMs();
+  while (clock.Now() - started_us < 2'000'000) ::usleep(100'000);
+  cost.idle_ms_per_s = (coordinator_process.CpuMs() - cpu_ms_before) / 2;
   net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
-  constexpr int kFirst = 3;  // until nearly all connections are there
-  for (int i = 0; i < kFirst + queries; ++i) {
-    if (i == 0 || i == kFirst) before = coordinator_process.CpuMs();
-    cost.whole += AskAll(fd, i, endpoints);
-    double used = coordinator_process.CpuMs() - before;
-    (i < kFirst ? cost.first_ms : cost.later_ms) = used / (i < kFirst ? i + 1 : i + 1 - kFirst);
+  constexpr int kFirstQueries = 3;  // after these nearly all connections are open
+  for (int i = 0; i < kFirstQueries + queries; ++i) {
+    if (i == 0 || i == kFirstQueries) cpu_ms_before = coordinator_process.CpuMs();
+    cost.complete += QueryAllShards(fd, i, endpoints);
+    double cpu_ms = coordinator_process.CpuMs() - cpu_ms_before;
+    (i < kFirstQueries ? cost.first_ms : cost.later_ms) =
+        cpu_ms / (i < kFirstQueries ? i + 1 : i + 1 - kFirstQueries);
   }
   return cost;
 }
@@ -100,14 +101,15 @@
   std::vector<int> sizes;
   for (int i = 2; i < argc; ++i) sizes.push_back(std::atoi(argv[i]));
   if (sizes.empty()) sizes = {12, 60, 172};
-  test_support::TemporaryDirectory own;
+  test_support::TemporaryDirectory run_directory;
   std::printf(
-      "| holders | CPU ms a query, the first three | later | to a part, us | idle, ms a second | whole |\n"
+      "| endpoints | CPU ms per query, first three | later | us per shard request | idle, ms per s | "
+      "complete |\n"
       "|---|---|---|---|---|---|\n");
   for (int endpoints : sizes) {
-    Cost cost = Measure(endpoints, queries, own.path());
+    Cost cost = Measure(endpoints, queries, run_directory.path());
     std::printf("| %d | %.2f | %.2f | %.1f | %.2f | %d of %d |\n", endpoints, cost.first_ms, cost.later_ms,
-                cost.later_ms * 1e3 / endpoints, cost.idle_ms_a_second, cost.whole, queries + 3);
+                cost.later_ms * 1e3 / endpoints, cost.idle_ms_per_s, cost.complete, queries + 3);
     std::fflush(stdout);
   }
 }
--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -1,9 +1,9 @@
-// Drives the decision module with a random but repeatable world and prints a digest of all its actions, to
-// compare two versions of it: with the same seeds the digests are the same, or the decisions differ. The
-// world reacts to the actions (endpoints queue, fail, stop answering, drain and restart), so a single
-// different action shows in all that follows. Reasons are not part of the digest.
+// Drives the routing module with a reproducible random simulation and prints a digest of all its actions, to
+// compare two versions of the module: if their decisions are the same, so are the digests for the same seeds.
+// The simulation reacts to the actions (endpoints queue, fail, stop answering, drain and restart), so one
+// different action changes everything after it. Reasons are not part of the digest.
 //
-//   replay_digest SEEDS [SECONDS]      one line a seed: seed, events, actions, digest
+//   replay_digest SEEDS [SECONDS]      prints a line per seed: seed, events, actions, digest
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -65,8 +65,8 @@
   return write;
 }
 
-// The seed also picks what is allowed, so that a few seeds meet most combinations.
-Settings SettingsOf(std::uint64_t seed) {
+// The seed also selects which features are allowed, so that a few seeds cover most combinations.
+Settings SettingsForSeed(std::uint64_t seed) {
   Settings settings;
   settings.classes = {SearchClass(), ReportClass(), WriteClass(seed)};
   settings.fleet_size = 2;
@@ -91,42 +91,42 @@
   return settings;
 }
 
-// An order-dependent hash of all actions.
+// A hash of all actions in their order.
 class ActionDigest {
  public:
   void Add(const Action& action) {
-    Mix(action.index());
-    std::visit([this](const auto& what) { AddFields(what); }, action);
+    MixIn(action.index());
+    std::visit([this](const auto& concrete_action) { AddFields(concrete_action); }, action);
   }
   std::uint64_t Value() const { return value_; }
 
  private:
   void AddFields(const Send& send) {
-    Mix(send.shard_request);
-    Mix(send.endpoint.address);
-    Mix(static_cast<std::uint64_t>(send.timeout_us));
+    MixIn(send.shard_request);
+    MixIn(send.endpoint.address);
+    MixIn(static_cast<std::uint64_t>(send.timeout_us));
   }
   void AddFields(const Answer& answer) {
-    Mix(answer.query);
-    Mix(answer.complete ? 1 : 0);
+    MixIn(answer.query);
+    MixIn(answer.complete ? 1 : 0);
   }
   void AddFields(const Reject& reject) {
-    Mix(reject.query);
-    Mix(static_cast<std::uint64_t>(reject.retry_after_us));
+    MixIn(reject.query);
+    MixIn(static_cast<std::uint64_t>(reject.retry_after_us));
   }
-  void AddFields(const Fail& fail) { Mix(fail.query); }
+  void AddFields(const Fail& fail) { MixIn(fail.query); }
   void AddFields(const Cancel& cancel) {
-    Mix(cancel.shard_request);
-    Mix(static_cast<std::uint64_t>(cancel.attempt));
+    MixIn(cancel.shard_request);
+    MixIn(static_cast<std::uint64_t>(cancel.attempt));
   }
-  void AddFields(const Close& close) { Mix(close.endpoint.address); }
+  void AddFields(const Close& close) { MixIn(close.endpoint.address); }
   void AddFields(const SetTimer& timer) {
-    Mix(static_cast<std::uint64_t>(timer.span_us));
-    Mix(timer.label);
+    MixIn(static_cast<std::uint64_t>(timer.span_us));
+    MixIn(timer.label);
   }
   void AddFields(const Subscribe&) {}
 
-  void Mix(std::uint64_t value) {
+  void MixIn(std::uint64_t value) {
     value_ ^= value + 0x9e3779b97f4a7c15ULL + (value_ << 6) + (value_ >> 2);
     value_ *= 0xff51afd7ed558ccdULL;
   }
@@ -134,12 +134,12 @@
   std::uint64_t value_ = 0;
 };
 
-// One router, its clients and its endpoints, in virtual time. The order of random draws is part of the
-// digest.
-class World {
+// Simulates one router, its clients and its endpoints in virtual time. The order in which random numbers are
+// drawn affects the digest.
+class Simulation {
  public:
-  World(std::uint64_t seed, Micros length_us)
-      : random_(seed), length_us_(length_us), router_(SettingsOf(seed), seed * 31 + 7) {}
+  Simulation(std::uint64_t seed, Micros length_us)
+      : random_(seed), length_us_(length_us), router_(SettingsForSeed(seed), seed * 31 + 7) {}
 
   void Run() {
     for (int cell = 0; cell < kCells; ++cell) {
@@ -167,7 +167,7 @@
  private:
   struct FakeEndpoint {
     Endpoint listed;
-    Micros free_us = 0;  // its queue is done then
+    Micros free_us = 0;  // when its queue is empty
     bool unresponsive = false;
     double error_rate = 0;
   };
@@ -177,7 +177,7 @@
     bool operator<(const DueOutcome& other) const { return at_us > other.at_us; }
   };
 
-  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double UniformRandom() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   void ListEndpoints(EndpointListKind kind) {
     EndpointListUpdate update{kind, ++list_version_, {}};
@@ -185,13 +185,13 @@
     events_.emplace_back(update);
   }
 
-  // The rate of queries rises in three steps of five seconds, over and over.
+  // The query rate rises in three steps of five seconds, repeatedly.
   void MaybeReceiveQuery() {
     constexpr Micros kStepUs = 5 * kSecondUs;
     constexpr double kRoundSeconds = 0.005;
     auto step = static_cast<double>((now_ - kStartUs) / kStepUs % 3);
-    double queries_per_s = 20 + 30 * Unit() * step;
-    if (Unit() < queries_per_s * kRoundSeconds) ReceiveQuery();
+    double queries_per_s = 20 + 30 * UniformRandom() * step;
+    if (UniformRandom() < queries_per_s * kRoundSeconds) ReceiveQuery();
   }
 
   void ReceiveQuery() {
@@ -200,7 +200,7 @@
     query.number = ++query_number_;
     query.class_index = static_cast<int>(random_() % 3);
     query.shard_requests = RequestCount(query.class_index);
-    query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * Unit()) * 4e6);
+    query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * UniformRandom()) * 4e6);
     events_.emplace_back(query);
     auto first_shard = static_cast<int>(random_() % kCells);
     double weight_sum = 0;
@@ -210,7 +210,7 @@
       events_.emplace_back(
           ShardRequestReceived{next_id_++, query_number_, (first_shard + i) % kCells, weight, 0, 0});
     }
-    if (Unit() < 0.01) disconnects_.insert({now_ + 300'000, query.id});
+    if (UniformRandom() < 0.01) disconnects_.insert({now_ + 300'000, query.id});
   }
 
   int RequestCount(int class_index) {
@@ -221,11 +221,11 @@
 
   void ChangeFaults() {
     for (auto& [id, endpoint] : endpoints_) {
-      if (Unit() < 0.01) endpoint.unresponsive = !endpoint.unresponsive;
-      if (Unit() < 0.01) endpoint.error_rate = endpoint.error_rate > 0 ? 0 : 0.6;
-      if (Unit() < 0.02) {
+      if (UniformRandom() < 0.01) endpoint.unresponsive = !endpoint.unresponsive;
+      if (UniformRandom() < 0.01) endpoint.error_rate = endpoint.error_rate > 0 ? 0 : 0.6;
+      if (UniformRandom() < 0.02) {
         endpoint.listed.availability = Availability::kDraining;
-      } else if (endpoint.listed.availability == Availability::kDraining && Unit() < 0.3) {
+      } else if (endpoint.listed.availability == Availability::kDraining && UniformRandom() < 0.3) {
         endpoint.listed.availability = Availability::kReady;
         endpoint.listed.started_us = now_;
         endpoint.unresponsive = false;
@@ -256,7 +256,7 @@
     action_count_ += actions.size();
     for (const Action& action : actions) {
       digest_.Add(action);
-      std::visit([this](const auto& what) { Perform(what); }, action);
+      std::visit([this](const auto& concrete_action) { Perform(concrete_action); }, action);
     }
   }
 
@@ -265,14 +265,14 @@
     FakeEndpoint& endpoint = endpoints_[send.endpoint];
     AttemptFinished finished{send.shard_request, attempt, send.endpoint, AttemptOutcome::kOk, 0, true, {}};
     Micros at_us = now_ + send.timeout_us;
-    double chance = Unit();
+    double draw = UniformRandom();
     if (endpoint.unresponsive) {
       finished.code = AttemptOutcome::kTimeout;
-    } else if (chance < endpoint.error_rate) {
+    } else if (draw < endpoint.error_rate) {
       finished.code = static_cast<AttemptOutcome>(1 + random_() % 5);  // kError to kReset
       at_us = std::min(at_us, now_ + 2'000);
     } else {
-      auto work_us = static_cast<Micros>(40'000 + 80'000 * Unit());
+      auto work_us = static_cast<Micros>(40'000 + 80'000 * UniformRandom());
       endpoint.free_us = std::max(endpoint.free_us, now_) + work_us;
       if (endpoint.free_us > at_us) {
         finished.code = AttemptOutcome::kTimeout;
@@ -285,7 +285,7 @@
   }
 
   void Perform(const Cancel& cancel) {
-    if (Unit() >= 0.7) return;  // the answer is faster
+    if (UniformRandom() >= 0.7) return;  // the answer arrives before the cancellation
     AttemptFinished finished{
         cancel.shard_request, cancel.attempt, {}, AttemptOutcome::kCancelled, kRoundUs, true, {}};
     outcomes_.push({now_ + kRoundUs, finished});
@@ -309,8 +309,8 @@
   std::map<EndpointId, FakeEndpoint> endpoints_;
   std::map<Id, int> attempts_;  // sent, by shard request
   std::priority_queue<DueOutcome> outcomes_;
-  std::multimap<Micros, std::uint64_t> timers_;  // labels by time
-  std::multimap<Micros, Id> disconnects_;        // queries by time
+  std::multimap<Micros, std::uint64_t> timers_;  // labels by due time
+  std::multimap<Micros, Id> disconnects_;        // query ids by time
 };
 
 }  // namespace
@@ -319,9 +319,9 @@
   int seeds = argc > 1 ? std::atoi(argv[1]) : 10;
   int seconds = argc > 2 ? std::atoi(argv[2]) : 60;
   for (int seed = 1; seed <= seeds; ++seed) {
-    World world(static_cast<std::uint64_t>(seed), kSecondUs * seconds);
-    world.Run();
-    std::printf("%d %zu %zu %016llx\n", seed, world.EventCount(), world.ActionCount(),
-                static_cast<unsigned long long>(world.Digest()));
+    Simulation simulation(static_cast<std::uint64_t>(seed), kSecondUs * seconds);
+    simulation.Run();
+    std::printf("%d %zu %zu %016llx\n", seed, simulation.EventCount(), simulation.ActionCount(),
+                static_cast<unsigned long long>(simulation.Digest()));
   }
 }
--- a/tests/support/catch_main.cpp
+++ b/tests/support/catch_main.cpp
@@ -1,3 +1,3 @@
-// The main function of a test program made of several files.
+// The main function of a test program with several source files.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tools/test_support/allocation_counter.cpp
+++ b/tools/test_support/allocation_counter.cpp
@@ -9,29 +9,31 @@
 namespace liftrudder::test_support {
 namespace {
 
-std::atomic<std::size_t> allocations{0}, held{0}, most{0};
+std::atomic<std::size_t> allocation_count{0}, held_bytes{0}, peak_bytes{0};
 
 }  // namespace
 
-std::size_t Allocations() { return allocations; }
-std::size_t BytesHeld() { return held; }
-std::size_t MostBytesHeld() { return most; }
-void ForgetMost() { most = held.load(); }
+std::size_t Allocations() { return allocation_count; }
+std::size_t BytesHeld() { return held_bytes; }
+std::size_t MostBytesHeld() { return peak_bytes; }
+void ForgetMost() { peak_bytes = held_bytes.load(); }
 
 namespace {
 
-[[maybe_unused]] void* Take(std::size_t size) {
+[[maybe_unused]] void* CountedAllocate(std::size_t size) {
   void* memory = std::malloc(size);
   if (memory == nullptr) throw std::bad_alloc();
-  allocations.fetch_add(1, std::memory_order_relaxed);
-  std::size_t now = held.fetch_add(::malloc_usable_size(memory)) + ::malloc_usable_size(memory);
-  for (std::size_t before = most; before < now && !most.compare_exchange_weak(before, now);) {
+  allocation_count.fetch_add(1, std::memory_order_relaxed);
+  std::size_t current_bytes =
+      held_bytes.fetch_add(::malloc_usable_size(memory)) + ::malloc_usable_size(memory);
+  for (std::size_t previous_peak = peak_bytes;
+       previous_peak < current_bytes && !peak_bytes.compare_exchange_weak(previous_peak, current_bytes);) {
   }
   return memory;
 }
 
-[[maybe_unused]] void Give(void* memory) {
-  if (memory != nullptr) held.fetch_sub(::malloc_usable_size(memory));
+[[maybe_unused]] void CountedFree(void* memory) {
+  if (memory != nullptr) held_bytes.fetch_sub(::malloc_usable_size(memory));
   std::free(memory);
 }
 
@@ -39,7 +41,7 @@
 }  // namespace liftrudder::test_support
 
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-void* operator new(std::size_t size) { return liftrudder::test_support::Take(size); }
-void operator delete(void* memory) noexcept { liftrudder::test_support::Give(memory); }
-void operator delete(void* memory, std::size_t) noexcept { liftrudder::test_support::Give(memory); }
+void* operator new(std::size_t size) { return liftrudder::test_support::CountedAllocate(size); }
+void operator delete(void* memory) noexcept { liftrudder::test_support::CountedFree(memory); }
+void operator delete(void* memory, std::size_t) noexcept { liftrudder::test_support::CountedFree(memory); }
 #endif
--- a/tools/test_support/allocation_counter.h
+++ b/tools/test_support/allocation_counter.h
@@ -1,5 +1,5 @@
-// Counts the allocations of the program that it is linked into, for tests and measurements. Any thread. A
-// sanitizer brings an allocator of its own: nothing is counted then, and kCounted is false.
+// Counts the heap allocations of the program that it is linked into, for tests and measurements. Thread-safe.
+// Sanitizers replace the allocator: under them nothing is counted, and kCounted is false.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_ALLOCATION_COUNTER_H_
 
@@ -13,10 +13,10 @@
 constexpr bool kCounted = true;
 #endif
 
-// So far, of all threads.
+// The number of allocations so far, by all threads.
 std::size_t Allocations();
 
-// Bytes allocated and not freed now, and the most since the last ForgetMost.
+// Bytes allocated and not freed; their peak since the last ForgetMost; resets the peak to the current value.
 std::size_t BytesHeld();
 std::size_t MostBytesHeld();
 void ForgetMost();
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -16,12 +16,12 @@
 namespace liftrudder::test_support {
 namespace {
 
-[[noreturn]] void Become(const std::string& program, const std::vector<std::string>& arguments) {
-  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // nothing outlives a test that is ended
-  std::vector<char*> all{const_cast<char*>("liftrudder")};
-  for (const std::string& one : arguments) all.push_back(const_cast<char*>(one.c_str()));
-  all.push_back(nullptr);
-  ::execv(program.c_str(), all.data());
+[[noreturn]] void ExecProgram(const std::string& program, const std::vector<std::string>& arguments) {
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // the program dies with the test that started it
+  std::vector<char*> argv{const_cast<char*>("liftrudder")};
+  for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
+  argv.push_back(nullptr);
+  ::execv(program.c_str(), argv.data());
   ::_exit(127);
 }
 
@@ -29,27 +29,27 @@
 
 CoordinatorProcess::CoordinatorProcess(const std::string& program, const std::string& directory,
                                        const std::string& config, const std::vector<std::string>& arguments,
-                                       int passed)
-    : log_(directory + "/log") {
+                                       int listener_fd)
+    : log_path_(directory + "/log") {
   std::string path = directory + "/config.json";
   std::ofstream(path) << config;
-  std::vector<std::string> words = arguments;
-  for (std::string& word : words) {
-    if (word == "$CONFIG") word = path;
+  std::vector<std::string> expanded_arguments = arguments;
+  for (std::string& argument : expanded_arguments) {
+    if (argument == "$CONFIG") argument = path;
   }
-  ::unlink(log_.c_str());
+  ::unlink(log_path_.c_str());
   child_ = ::fork();
   if (child_ == 0) {
-    int log = ::open(log_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-    ::dup2(log, STDERR_FILENO);
+    int log_fd = ::open(log_path_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
+    ::dup2(log_fd, STDERR_FILENO);
     ::setenv("BALANCER_CONFIG", path.c_str(), 1);
-    if (passed >= 0) {
-      ::dup2(passed, 3);
+    if (listener_fd >= 0) {
+      ::dup2(listener_fd, 3);
       ::setenv("BALANCER_PASSED_SOCKET", "3", 1);
     }
-    Become(program, words);
+    ExecProgram(program, expanded_arguments);
   }
-  for (net::Micros waited = 0; addr_.empty() && waited < kPatience; waited += 10'000) {
+  for (net::Micros waited_us = 0; addr_.empty() && waited_us < kPatience; waited_us += 10'000) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
     addr_ = Logged(" listens on ");
   }
@@ -64,7 +64,7 @@
 
 std::string CoordinatorProcess::Log() const {
   std::ostringstream out;
-  out << std::ifstream(log_).rdbuf();
+  out << std::ifstream(log_path_).rdbuf();
   return out.str();
 }
 
@@ -117,22 +117,22 @@
 
 std::pair<int, std::string> RunProgram(const std::string& program,
                                        const std::vector<std::string>& arguments) {
-  int ends[2];
-  if (::pipe(ends) != 0) return {-1, ""};
+  int pipe_fds[2];
+  if (::pipe(pipe_fds) != 0) return {-1, ""};
   pid_t child = ::fork();
   if (child == 0) {
-    ::dup2(ends[1], STDOUT_FILENO);
-    ::dup2(ends[1], STDERR_FILENO);
-    ::close(ends[0]);
-    Become(program, arguments);
+    ::dup2(pipe_fds[1], STDOUT_FILENO);
+    ::dup2(pipe_fds[1], STDERR_FILENO);
+    ::close(pipe_fds[0]);
+    ExecProgram(program, arguments);
   }
-  ::close(ends[1]);
+  ::close(pipe_fds[1]);
   std::string out;
   char buffer[4096];
-  for (ssize_t got = 0; (got = ::read(ends[0], buffer, sizeof buffer)) > 0;) {
+  for (ssize_t got = 0; (got = ::read(pipe_fds[0], buffer, sizeof buffer)) > 0;) {
     out.append(buffer, static_cast<std::size_t>(got));
   }
-  ::close(ends[0]);
+  ::close(pipe_fds[0]);
   int status = 0;
   ::waitpid(child, &status, 0);
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -9,17 +9,17 @@
 namespace liftrudder::test_support {
 namespace {
 
-constexpr net::Micros kSlice = 50'000;
-constexpr net::Micros kBeat = 1'000'000;  // an empty line while nothing changes
-constexpr net::Micros kWait = 1'000'000;
-constexpr std::size_t kPiece = 997;  // bytes of an indented list in a chunk
+constexpr net::Micros kPollTimeoutUs = 50'000;
+constexpr net::Micros kHeartbeatIntervalUs = 1'000'000;  // an empty line is sent while nothing changes
+constexpr net::Micros kSocketTimeoutUs = 1'000'000;
+constexpr std::size_t kChunkBytes = 997;  // an indented list is split into chunks of this size
 
-std::string Chunk(const std::string& text) { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
+std::string FormatChunk(const std::string& text) { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
 
 }  // namespace
 
 FakeDiscovery::FakeDiscovery() : listener_(net::Listen("127.0.0.1:0")), addr_(net::LocalAddress(listener_)) {
-  loop_ = net::Thread([this] { Loop(); });
+  server_thread_ = net::Thread([this] { ServeLoop(); });
 }
 
 FakeDiscovery::~FakeDiscovery() {
@@ -27,7 +27,7 @@
     std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  loop_.Join();
+  server_thread_.Join();
 }
 
 void FakeDiscovery::Tell(const std::string& id, const std::string& endpoint_addr, int cell,
@@ -47,18 +47,19 @@
     all += (all.empty() ? "" : ",") + entry;
   }
   ++version_;
-  std::string chunks = Chunks(Lines(all, false));
-  for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, chunks, kWait);
+  std::string chunks = FormatChunks(FormatList(all, false));
+  for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, chunks, kSocketTimeoutUs);
 }
 
-std::string FakeDiscovery::Chunks(const std::string& list) const {
-  if (!indented_) return Chunk(list + "\n");
+std::string FakeDiscovery::FormatChunks(const std::string& list) const {
+  if (!indented_) return FormatChunk(list + "\n");
   std::string text = "\n" + nlohmann::json::parse(list).dump(4) + "\n\n", out;
-  for (std::size_t at = 0; at < text.size(); at += kPiece) out += Chunk(text.substr(at, kPiece));
+  for (std::size_t at = 0; at < text.size(); at += kChunkBytes)
+    out += FormatChunk(text.substr(at, kChunkBytes));
   return out;
 }
 
-std::string FakeDiscovery::Lines(const std::string& servers, bool full) const {
+std::string FakeDiscovery::FormatList(const std::string& servers, bool full) const {
   return fmt::format(R"({{"version":{},"full":{},"servers":[{}]}})", version_, full, servers);
 }
 
@@ -66,20 +67,20 @@
   std::lock_guard lock(mutex_);
   std::string all;
   for (const auto& [id, entry] : endpoints_) all += (all.empty() ? "" : ",") + entry;
-  return Lines(all, true);
+  return FormatList(all, true);
 }
 
-void FakeDiscovery::Loop() {
+void FakeDiscovery::ServeLoop() {
   net::SteadyClock clock;
-  net::Micros beat_us = clock.Now();
+  net::Micros last_heartbeat_us = clock.Now();
   while (true) {
-    net::Fd fd = net::Accept(listener_, kSlice);
+    net::Fd fd = net::Accept(listener_, kPollTimeoutUs);
     {
       std::lock_guard lock(mutex_);
       if (stopping_) return;
-      if (clock.Now() - beat_us > kBeat) {
-        beat_us = clock.Now();
-        for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, Chunk("\n"), kWait);
+      if (clock.Now() - last_heartbeat_us > kHeartbeatIntervalUs) {
+        last_heartbeat_us = clock.Now();
+        for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, FormatChunk("\n"), kSocketTimeoutUs);
       }
     }
     if (!fd.Valid()) continue;
@@ -87,21 +88,21 @@
     std::string in;
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad &&
-           net::ReadSome(fd, in, kWait) == net::Io::kOk) {
+           net::ReadSome(fd, in, kSocketTimeoutUs) == net::Io::kOk) {
       state = parser.Feed(in);
     }
     if (state != net::HttpParser::State::kDone) continue;
     std::string list = List();
     if (!parser.message().Parameter("watch")) {
-      net::HttpResponse whole;
-      whole.body = list;
-      net::WriteAll(fd, net::Format(whole, true), kWait);
+      net::HttpResponse response;
+      response.body = list;
+      net::WriteAll(fd, net::Format(response, true), kSocketTimeoutUs);
       continue;
     }
     net::WriteAll(fd,
                   "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                      Chunks(list),
-                  kWait);
+                      FormatChunks(list),
+                  kSocketTimeoutUs);
     std::lock_guard lock(mutex_);
     watchers_.push_back(std::move(fd));
   }
--- a/tools/test_support/fake_discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -1,5 +1,5 @@
-// A fake discovery on a loopback port: answers with the endpoint list and streams its changes to watches. One
-// thread of its own; its functions are for any thread.
+// A fake discovery on a loopback port: returns the endpoint list and streams its changes to watches. Runs one
+// thread; its functions are thread-safe.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_DISCOVERY_H_
 
@@ -19,26 +19,27 @@
   FakeDiscovery();
   ~FakeDiscovery();
 
-  // From now on lists are indented, and cut into chunks at any byte.
+  // From now on lists are indented, and chunk boundaries may be at any byte.
   void Indent() { indented_ = true; }
-  // Several endpoints at once, in one change.
+  // One endpoint of a change.
   struct Entry {
     std::string id, addr;
     int cell = 0;
     std::string state = "ready";
   };
+  // Changes several endpoints at once and sends the change to all watches as one list.
   void Tell(const std::vector<Entry>& entries);
 
   const std::string& addr() const { return addr_; }
-  // state: ready, draining or gone (removed). Watches get it at once.
+  // The same for one endpoint. `state`: ready, draining or gone (removed).
   void Tell(const std::string& id, const std::string& endpoint_addr, int cell, const std::string& state);
-  // The full list, as discovery sends it and as a configuration carries a cached one.
+  // The full list, in the format that discovery sends and that a configuration holds as the cached list.
   std::string List() const;
 
  private:
-  void Loop();
-  std::string Lines(const std::string& servers, bool full) const;
-  std::string Chunks(const std::string& list) const;
+  void ServeLoop();
+  std::string FormatList(const std::string& servers, bool full) const;
+  std::string FormatChunks(const std::string& list) const;
 
   net::Fd listener_;
   std::string addr_;
@@ -46,9 +47,9 @@
   bool stopping_ = false;
   std::atomic<bool> indented_{false};
   int version_ = 1;
-  std::map<std::string, std::string> endpoints_;  // id to its JSON
+  std::map<std::string, std::string> endpoints_;  // JSON by id
   std::list<net::Fd> watchers_;
-  net::Thread loop_;
+  net::Thread server_thread_;
 };
 
 }  // namespace liftrudder::test_support
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -1,6 +1,6 @@
-// A fake endpoint that speaks the platform's frames on a loopback port, misbehaves as its script says, and
-// logs every shard request that reaches it. For tests; decides nothing about queries. Threads of its own; its
-// functions are for any thread.
+// A fake endpoint on a loopback port that speaks the platform's frame protocol, misbehaves as its script
+// says, and logs every shard request that it receives. For tests. Runs its own threads; its functions are
+// thread-safe.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_FAKE_ENDPOINT_H_
 
@@ -26,7 +26,7 @@
 };
 
 struct LoggedRequest {
-  std::string shard_request;  // its id: the call id, a dot, the shard
+  std::string shard_request;  // its id: the call id, a dot and the shard number
   net::Micros at_us = 0;
   Act act = Act::kServe;  // how it was answered
   bool given_up = false;  // its cancellation was requested
@@ -34,7 +34,7 @@
 
 class FakeEndpoint {
  public:
-  // Called for each shard request, on the connection's thread; `nth`: how many came before it.
+  // Called for each shard request, on its connection's thread; `nth`: the number of earlier shard requests.
   using Script = std::function<Behaviour(const std::string& shard_request, std::size_t nth)>;
 
   explicit FakeEndpoint(Script script);
@@ -46,31 +46,31 @@
  private:
   struct Connection {
     net::Fd fd;
-    net::Thread reader;
-    std::atomic<bool> over{false};
+    net::Thread read_thread;
+    std::atomic<bool> closed{false};
   };
   struct Reply {
-    std::shared_ptr<Connection> to;
+    std::shared_ptr<Connection> connection;
     std::string shard_request;
     Act act = Act::kServe;
   };
 
   void AcceptLoop();
   void ReadLoop(const std::shared_ptr<Connection>& connection);
-  void Take(const std::shared_ptr<Connection>& connection, std::string_view frame);
-  void AnswerLoop();
+  void HandleFrame(const std::shared_ptr<Connection>& connection, std::string_view frame);
+  void ReplyLoop();
 
   const Script script_;
   net::Fd listener_;
   std::string addr_;
   net::SteadyClock clock_;
   mutable std::mutex mutex_;
-  std::condition_variable due_;
+  std::condition_variable reply_queued_;
   bool stopping_ = false;
   std::vector<LoggedRequest> log_;
   std::multimap<net::Micros, Reply> replies_;
   std::list<std::shared_ptr<Connection>> connections_;
-  net::Thread acceptor_, answerer_;
+  net::Thread accept_thread_, reply_thread_;
 };
 
 }  // namespace liftrudder::test_support
--- a/tools/test_support/temporary_directory.h
+++ b/tools/test_support/temporary_directory.h
@@ -1,4 +1,4 @@
-// A folder of a test's own in the system's temporary folder; removed with the object.
+// A new directory in the system's temporary directory, removed with its contents by the destructor.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_TEMPORARY_DIRECTORY_H_
 
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -8,9 +8,9 @@
 namespace liftrudder::test_support {
 namespace {
 
-constexpr int kSliceMs = 2;
-constexpr int kAtOnce = 256;
-constexpr net::Micros kWriteWait = 1'000'000;
+constexpr int kPollTimeoutMs = 2;
+constexpr int kMaxEvents = 256;
+constexpr net::Micros kWriteTimeoutUs = 1'000'000;
 
 }  // namespace
 
@@ -23,16 +23,16 @@
     listeners_.push_back(net::Listen("127.0.0.1:0"));
     addrs_.push_back(net::LocalAddress(listeners_.back()));
     epoll_event event{EPOLLIN, {}};
-    event.data.u64 = static_cast<std::uint64_t>(i)
-                     << 32;  // a listener's; a connection has its descriptor there
+    // A listener has its index in the upper 32 bits, a connection its descriptor in the lower ones.
+    event.data.u64 = static_cast<std::uint64_t>(i) << 32;
     ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, listeners_.back().Get(), &event);
   }
-  thread_ = net::Thread([this] { Loop(); });
+  server_thread_ = net::Thread([this] { ServeLoop(); });
 }
 
 TestFleet::~TestFleet() {
   stopping_ = true;
-  thread_.Join();
+  server_thread_.Join();
 }
 
 int TestFleet::shard_requests(int endpoint) const {
@@ -45,58 +45,59 @@
   return newest_us_[static_cast<std::size_t>(endpoint)];
 }
 
-void TestFleet::Loop() {
-  std::vector<epoll_event> events(kAtOnce);
+void TestFleet::ServeLoop() {
+  std::vector<epoll_event> events(kMaxEvents);
   while (!stopping_) {
-    int got = ::epoll_wait(epoll_.Get(), events.data(), kAtOnce, kSliceMs);
-    for (int i = 0; i < got; ++i) {
+    int event_count = ::epoll_wait(epoll_.Get(), events.data(), kMaxEvents, kPollTimeoutMs);
+    for (int i = 0; i < event_count; ++i) {
       auto fd = static_cast<int>(events[static_cast<std::size_t>(i)].data.u64 & 0xffffffff);
       if (fd > 0) {
-        auto line = lines_.find(fd);
-        if (line != lines_.end() && !Read(line->second)) lines_.erase(line);
+        auto connection = connections_.find(fd);
+        if (connection != connections_.end() && !Read(connection->second)) connections_.erase(connection);
         continue;
       }
       auto endpoint = static_cast<int>(events[static_cast<std::size_t>(i)].data.u64 >> 32);
-      net::Fd taken = net::Accept(listeners_[static_cast<std::size_t>(endpoint)], 0);
-      if (!taken.Valid()) continue;
+      net::Fd accepted = net::Accept(listeners_[static_cast<std::size_t>(endpoint)], 0);
+      if (!accepted.Valid()) continue;
       ++taken_;
-      int number = taken.Get();
+      int descriptor = accepted.Get();
       epoll_event event{EPOLLIN, {}};
-      event.data.u64 = static_cast<std::uint64_t>(number);
-      ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, number, &event);
-      lines_[number] = {std::move(taken), endpoint, ""};
+      event.data.u64 = static_cast<std::uint64_t>(descriptor);
+      ::epoll_ctl(epoll_.Get(), EPOLL_CTL_ADD, descriptor, &event);
+      connections_[descriptor] = {std::move(accepted), endpoint, ""};
     }
-    net::Micros now = clock_.Now();
-    for (; !replies_.empty() && replies_.front().at_us <= now; replies_.pop_front()) {
-      auto line = lines_.find(replies_.front().fd);
-      if (line != lines_.end()) net::WriteAll(line->second.fd, replies_.front().frame, kWriteWait);
+    net::Micros now_us = clock_.Now();
+    for (; !replies_.empty() && replies_.front().at_us <= now_us; replies_.pop_front()) {
+      auto found = connections_.find(replies_.front().fd);
+      if (found != connections_.end())
+        net::WriteAll(found->second.fd, replies_.front().frame, kWriteTimeoutUs);
     }
   }
 }
 
-bool TestFleet::Read(Line& line) {
-  net::Io got = net::ReadNow(line.fd, line.in);
-  if (got == net::Io::kEnd || got == net::Io::kError) {
-    // The descriptor may be used again: replies that are still due on it are dropped.
-    std::erase_if(replies_, [&](const Reply& reply) { return reply.fd == line.fd.Get(); });
+bool TestFleet::Read(Connection& connection) {
+  net::Io status = net::ReadNow(connection.fd, connection.in);
+  if (status == net::Io::kEnd || status == net::Io::kError) {
+    // Drops the pending replies of this descriptor: the next connection may get the same number.
+    std::erase_if(replies_, [&](const Reply& reply) { return reply.fd == connection.fd.Get(); });
     return false;
   }
-  net::Micros now = clock_.Now();
-  while (line.in.size() >= 4) {
+  net::Micros now_us = clock_.Now();
+  while (connection.in.size() >= 4) {
     std::size_t size = 0;
-    for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<unsigned char>(line.in[i]);
-    if (line.in.size() - 4 < size) break;
-    std::istringstream frame(line.in.substr(4, size));
-    line.in.erase(0, 4 + size);
+    for (std::size_t i = 4; i-- > 0;) size = size << 8 | static_cast<unsigned char>(connection.in[i]);
+    if (connection.in.size() - 4 < size) break;
+    std::istringstream frame(connection.in.substr(4, size));
+    connection.in.erase(0, 4 + size);
     if (frame.get() != 'q') continue;
     std::string shard_request;
     frame >> shard_request;
     std::string answer = "a" + shard_request + " served 1 queue=0,inflight=1\nv";
     std::string text{static_cast<char>(answer.size()), static_cast<char>(answer.size() >> 8), 0, 0};
-    replies_.push_back({now + delay_us_, line.fd.Get(), text + answer});
+    replies_.push_back({now_us + delay_us_, connection.fd.Get(), text + answer});
     std::lock_guard lock(mutex_);
-    ++shard_requests_[static_cast<std::size_t>(line.endpoint)];
-    newest_us_[static_cast<std::size_t>(line.endpoint)] = now;
+    ++shard_requests_[static_cast<std::size_t>(connection.endpoint)];
+    newest_us_[static_cast<std::size_t>(connection.endpoint)] = now_us;
   }
   return true;
 }
--- a/tools/test_support/test_fleet.h
+++ b/tools/test_support/test_fleet.h
@@ -1,5 +1,5 @@
-// Many fake endpoints on one thread, for lists of a thousand: each answers every shard request after the same
-// delay, and what came is counted by endpoint. For tests and measurements; its functions are for any thread.
+// Many fake endpoints on one thread, for endpoint lists of a thousand entries: each answers every shard
+// request after the same delay and counts the requests received. For tests and measurements. Thread-safe.
 #ifndef LIFTRUDDER_TOOLS_TEST_SUPPORT_TEST_FLEET_H_
 #define LIFTRUDDER_TOOLS_TEST_SUPPORT_TEST_FLEET_H_
 
@@ -22,13 +22,13 @@
 
   const std::string& addr(int endpoint) const { return addrs_[static_cast<std::size_t>(endpoint)]; }
   int shard_requests(int endpoint) const;
-  // When the newest shard request came there, by the steady clock; 0: none has.
+  // When the endpoint received its newest shard request, on the steady clock; 0 when it received none.
   net::Micros newest_us(int endpoint) const;
-  // Connections accepted so far, those that have closed included.
+  // Connections accepted so far, including closed ones.
   int taken() const { return taken_; }
 
  private:
-  struct Line {
+  struct Connection {
     net::Fd fd;
     int endpoint = 0;
     std::string in;
@@ -38,14 +38,14 @@
     int fd = -1;
     std::string frame;
   };
-  void Loop();
-  bool Read(Line& line);
+  void ServeLoop();
+  bool Read(Connection& connection);
 
   const net::Micros delay_us_;
   net::SteadyClock clock_;
   std::vector<net::Fd> listeners_;
   std::vector<std::string> addrs_;
-  std::map<int, Line> lines_;  // by descriptor; owned by the thread, as are the replies
+  std::map<int, Connection> connections_;  // by descriptor; used only by the server thread, like `replies_`
   std::deque<Reply> replies_;
   mutable std::mutex mutex_;
   std::vector<int> shard_requests_;
@@ -53,7 +53,7 @@
   std::atomic<int> taken_{0};
   std::atomic<bool> stopping_{false};
   net::Fd epoll_;
-  net::Thread thread_;
+  net::Thread server_thread_;
 };
 
 }  // namespace liftrudder::test_support
