--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -218,7 +218,7 @@
   }
   std::atomic<int> next{0}, answered{0};
   std::vector<std::thread> clients;
-  for (int who = 0; who < kClients; ++who) {
+  for (int client_index = 0; client_index < kClients; ++client_index) {
     clients.emplace_back([&] {
       net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
       for (int i = next.fetch_add(1); i < queries; i = next.fetch_add(1)) {
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -61,14 +61,15 @@
 
 Cost Measure(int endpoints, int queries, const std::string& directory) {
   test_support::FakeDiscovery discovery;
-  std::vector<std::unique_ptr<test_support::FakeEndpoint>> all;
+  std::vector<std::unique_ptr<test_support::FakeEndpoint>> fake_endpoints;
   for (int cell = 0; cell < endpoints; ++cell) {
-    all.push_back(std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
-      auto extra_delay_ms = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
-      return test_support::Behaviour{test_support::Act::kServe,
-                                     10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
-    }));
-    discovery.Tell(fmt::format("s-{}", cell), all.back()->addr(), cell, "ready");
+    fake_endpoints.push_back(
+        std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
+          auto extra_delay_ms = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
+          return test_support::Behaviour{test_support::Act::kServe,
+                                         10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
+        }));
+    discovery.Tell(fmt::format("s-{}", cell), fake_endpoints.back()->addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
                                                        Config(discovery, endpoints));
--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -32,9 +32,10 @@
   return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - from).count();
 }
 
-void PrintTimes(const char* what, std::vector<double>& all) {
-  std::ranges::sort(all);
-  std::printf("%-44s %8.1f us (0.99: %.1f)\n", what, all[all.size() / 2], all[all.size() * 99 / 100]);
+void PrintTimes(const char* label, std::vector<double>& times_us) {
+  std::ranges::sort(times_us);
+  std::printf("%-44s %8.1f us (0.99: %.1f)\n", label, times_us[times_us.size() / 2],
+              times_us[times_us.size() * 99 / 100]);
 }
 
 void MeasureTokens(const char* name, bool ecdsa) {
--- a/simulator/byte_reader.h
+++ b/simulator/byte_reader.h
@@ -17,7 +17,7 @@
 
 namespace liftrudder::simulator {
 
-// A malformed frame; the message gives the problem and mostly its byte offset in the frame.
+// A malformed frame; the message names the problem and, where known, its byte offset in the frame.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/simulator/decoder.h
+++ b/simulator/decoder.h
@@ -24,7 +24,7 @@
 // An event for one instance of the routing module.
 struct InstanceEvent {
   int instance = 0;
-  std::variant<InstanceCreated, InstanceKilled, routing::Event> what;
+  std::variant<InstanceCreated, InstanceKilled, routing::Event> payload;
 };
 
 struct Batch {
--- a/simulator/host.cpp
+++ b/simulator/host.cpp
@@ -51,7 +51,7 @@
   };
   for (InstanceEvent& event : events) {
     const int instance = event.instance;
-    if (auto* created = std::get_if<InstanceCreated>(&event.what)) {
+    if (auto* created = std::get_if<InstanceCreated>(&event.payload)) {
       drop_earlier_events(instance);
       instances_.insert_or_assign(instance, routing::Router(created->settings, created->seed));
       continue;
@@ -60,14 +60,14 @@
       throw WireError("event for instance " + std::to_string(instance) +
                       ", which was never created or was killed");
     }
-    if (std::holds_alternative<InstanceKilled>(event.what)) {
+    if (std::holds_alternative<InstanceKilled>(event.payload)) {
       instances_.erase(instance);
       drop_earlier_events(instance);
       continue;
     }
     auto pending = find(instance);
     if (pending == groups.end()) pending = groups.insert(groups.end(), Pending{instance, {}});
-    pending->events.push_back(std::move(std::get<routing::Event>(event.what)));
+    pending->events.push_back(std::move(std::get<routing::Event>(event.payload)));
   }
   return groups;
 }
--- a/tests/scenario/player.cpp
+++ b/tests/scenario/player.cpp
@@ -19,7 +19,7 @@
 // Bounds a test that hangs; much longer than any statement needs, so that a slow machine fails no test.
 constexpr auto kStatementTimeout = std::chrono::seconds(20);
 constexpr auto kHeartbeatInterval = std::chrono::seconds(1);
-constexpr int kPollMs = 20;
+constexpr int kPollTimeoutMs = 20;
 
 }  // namespace
 
@@ -153,7 +153,7 @@
   add(log_fd_, [this] {
     if (net::ReadSome(log_fd_, log_, 0) == net::Io::kEnd) log_fd_ = net::Fd();
   });
-  if (::poll(fds.data(), fds.size(), kPollMs) <= 0) SendHeartbeat();
+  if (::poll(fds.data(), fds.size(), kPollTimeoutMs) <= 0) SendHeartbeat();
   for (std::size_t i = 0; i < fds.size(); ++i) {
     if (fds[i].revents != 0) actions[i]();
   }
--- a/tests/scenario/player.h
+++ b/tests/scenario/player.h
@@ -61,7 +61,7 @@
   void ExpectCounters(const Statement& statement);
   void Keep(const Statement& statement);
   void Close(const Statement& statement);
-  std::string AwaitEndpointMessage(const std::string& who);
+  std::string AwaitEndpointMessage(const std::string& selector);
 
   // endpoint_statements.cpp: endpoints, and the discovery, zone file and DNS updates that announce them.
   void AddEndpoint(const Statement& statement);
--- a/tests/scenario/statements.cpp
+++ b/tests/scenario/statements.cpp
@@ -57,8 +57,8 @@
   Write(*FindEndpoint(statement.subject).last_expected, net::Format(response, false));
 }
 
-std::string Player::AwaitEndpointMessage(const std::string& who) {
-  const bool any = who == "any";
+std::string Player::AwaitEndpointMessage(const std::string& selector) {
+  const bool any = selector == "any";
   std::string receiver;
   WaitUntil(
       [&] {
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -67,7 +67,7 @@
   Batch batch = Decoder().Decode(Body(2, std::string(kInstance3) + std::string(record)));
   EXPECT_EQ(batch.events.size(), 1u);
   EXPECT_EQ(batch.events.at(0).instance, 3);
-  return std::get<T>(std::get<Event>(batch.events.at(0).what));
+  return std::get<T>(std::get<Event>(batch.events.at(0).payload));
 }
 
 const char* const kSettings = R"({"az":1,"groupSize":3,"ordinal":2,"resolutionUs":5000,"unknown":[1],
@@ -137,7 +137,7 @@
                   "0a9011f2 13b4 0000 00 0000 01 3fc00000 00000000005d1420"
                   "28 0000000b 0000000000000029 02 0000"));
   ASSERT_EQ(batch.events.size(), 1u);
-  auto update = std::get<EndpointListUpdate>(std::get<Event>(batch.events[0].what));
+  auto update = std::get<EndpointListUpdate>(std::get<Event>(batch.events[0].payload));
   EXPECT_EQ(update.kind, EndpointListKind::kCached);
   EXPECT_EQ(update.version, 0x29u);
   ASSERT_EQ(update.endpoints.size(), 2u);
@@ -146,7 +146,7 @@
   EXPECT_EQ(update.endpoints[0].availability, Availability::kReady);
   // Later batches may refer to the numbered list.
   Batch later = decoder.Decode(Body(2, std::string(kInstance3) + "28 0000000b 000000000000002a 01 0000"));
-  EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].what)).endpoints.size(), 2u);
+  EXPECT_EQ(std::get<EndpointListUpdate>(std::get<Event>(later.events[0].payload)).endpoints.size(), 2u);
 }
 
 TEST(Encode, ExamplesOfTheDocument) {
--- a/tests/support/token_issuer.h
+++ b/tests/support/token_issuer.h
@@ -50,7 +50,7 @@
   }
   std::string Pem() const { return ca_.CertificatePem(); }
   // A revocation list of these certificates in PEM, valid for `until_s` seconds from now.
-  std::string Revoked(const std::vector<Issued>& all, long until_s = 3600) const {
+  std::string Revoked(const std::vector<Issued>& certificates, long until_s = 3600) const {
     std::unique_ptr<X509_CRL, decltype(&X509_CRL_free)> list(X509_CRL_new(), X509_CRL_free);
     X509_CRL_set_version(list.get(), 1);
     X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(ca_.certificate.get()));
@@ -58,7 +58,7 @@
     X509_CRL_set1_lastUpdate(list.get(), at.get());
     X509_gmtime_adj(at.get(), until_s);
     X509_CRL_set1_nextUpdate(list.get(), at.get());
-    for (const Issued& revoked : all) {
+    for (const Issued& revoked : certificates) {
       X509_REVOKED* entry = X509_REVOKED_new();
       X509_REVOKED_set_serialNumber(entry, X509_get_serialNumber(revoked.certificate.get()));
       X509_gmtime_adj(at.get(), -30);
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -129,8 +129,8 @@
   ::close(pipe_fds[1]);
   std::string out;
   char buffer[4096];
-  for (ssize_t got = 0; (got = ::read(pipe_fds[0], buffer, sizeof buffer)) > 0;) {
-    out.append(buffer, static_cast<std::size_t>(got));
+  for (ssize_t size_read = 0; (size_read = ::read(pipe_fds[0], buffer, sizeof buffer)) > 0;) {
+    out.append(buffer, static_cast<std::size_t>(size_read));
   }
   ::close(pipe_fds[0]);
   int status = 0;
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -37,17 +37,17 @@
 
 void FakeDiscovery::Tell(const std::vector<Entry>& entries) {
   std::lock_guard lock(mutex_);
-  std::string all;
-  for (const Entry& one : entries) {
+  std::string entries_json;
+  for (const Entry& change : entries) {
     std::string entry = fmt::format(
         R"({{"id":"{}","addr":"{}","zone":"dc1","kind":"k","cell":{},"state":"{}","weight":1.0,"started_ms":0}})",
-        one.id, one.addr, one.cell, one.state);
-    endpoints_[one.id] = entry;
-    if (one.state == "gone") endpoints_.erase(one.id);
-    all += (all.empty() ? "" : ",") + entry;
+        change.id, change.addr, change.cell, change.state);
+    endpoints_[change.id] = entry;
+    if (change.state == "gone") endpoints_.erase(change.id);
+    entries_json += (entries_json.empty() ? "" : ",") + entry;
   }
   ++version_;
-  std::string chunks = FormatChunks(FormatList(all, false));
+  std::string chunks = FormatChunks(FormatList(entries_json, false));
   for (const net::Fd& watcher : watchers_) net::WriteAll(watcher, chunks, kSocketTimeoutUs);
 }
 
@@ -65,9 +65,9 @@
 
 std::string FakeDiscovery::List() const {
   std::lock_guard lock(mutex_);
-  std::string all;
-  for (const auto& [id, entry] : endpoints_) all += (all.empty() ? "" : ",") + entry;
-  return FormatList(all, true);
+  std::string entries_json;
+  for (const auto& [id, entry] : endpoints_) entries_json += (entries_json.empty() ? "" : ",") + entry;
+  return FormatList(entries_json, true);
 }
 
 void FakeDiscovery::ServeLoop() {
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -86,9 +86,10 @@
   if (frame.empty()) return;
   if (frame[0] == 'c') {
     std::string shard_request(frame.substr(1));
-    auto last = std::find_if(log_.rbegin(), log_.rend(),
-                             [&](const LoggedRequest& one) { return one.shard_request == shard_request; });
-    if (last != log_.rend()) last->given_up = true;
+    auto last = std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedRequest& request) {
+      return request.shard_request == shard_request;
+    });
+    if (last != log_.rend()) last->cancellation_requested = true;
     return;
   }
   if (frame[0] != 'q') return;
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -28,8 +28,8 @@
 struct LoggedRequest {
   std::string shard_request;  // its id: the call id, a dot and the shard number
   net::Micros at_us = 0;
-  Act act = Act::kServe;  // how it was answered
-  bool given_up = false;  // its cancellation was requested
+  Act act = Act::kServe;                // how it was answered
+  bool cancellation_requested = false;  // its cancellation was requested
 };
 
 class FakeEndpoint {
