--- a/src/dns/message_reader.cpp
+++ b/src/dns/message_reader.cpp
@@ -8,7 +8,7 @@
 // RFC 1035 section 4.1.4: a length byte with both of these bits set starts a pointer of 14 bits.
 constexpr std::uint32_t kPointerBits = 0xc0;
 constexpr std::uint32_t kPointerHighMask = 0x3f;
-constexpr int kMaxPointers = 32;  // a name with more of them goes in circles
+constexpr int kMaxPointers = 32;  // a name with more is rejected as a loop
 constexpr std::size_t kSrvFixedBytes = 6;
 
 }  // namespace
@@ -52,7 +52,7 @@
       offset_ = target;
       continue;
     }
-    // In text a name is one byte shorter than in wire form.
+    // A name is one byte shorter in text than in wire form.
     if (size > kMaxLabelBytes || name.size() + size > kMaxNameBytes - 1) Fail();
     name += ToLower(ReadBytes(size));
     name.push_back('.');
--- a/src/dns/message_reader.h
+++ b/src/dns/message_reader.h
@@ -11,20 +11,20 @@
 
 namespace liftrudder::dns {
 
-// After the first field that cannot be read, Failed() is true and every later field is empty or 0, so that
-// a caller may check once for several fields.
+// After the first field that cannot be read, Failed() is true and every later field is 0, empty or the root
+// name, so that a caller may check once for several fields.
 class MessageReader {
  public:
-  // `message` must outlive the reader; `offset` is of the first field to read.
+  // `message` must outlive the reader; the first field to read is at `offset`.
   MessageReader(std::string_view message, std::size_t offset) : message_(message), offset_(offset) {}
 
   std::uint16_t ReadUint16() { return static_cast<std::uint16_t>(ReadInt(2)); }
   std::uint32_t ReadUint32() { return ReadInt(4); }
   std::string ReadBytes(std::size_t count);
-  // An absolute name in lower case; it may be compressed.
+  // Returns an absolute name in lower case; in the message it may be compressed.
   std::string ReadName();
 
-  // Has the reader fail, as what was read makes no sense.
+  // Marks the message as malformed, for a field that can be read but is invalid.
   void Fail() { failed_ = true; }
   bool Failed() const { return failed_; }
   std::size_t Offset() const { return offset_; }
@@ -39,7 +39,7 @@
   bool failed_ = false;
 };
 
-// A resource record of any class, as a message has it.
+// A resource record of any class in a message.
 struct ResourceRecord {
   Record record;
   std::uint16_t record_class = 0;
--- a/src/dns/service_endpoints.cpp
+++ b/src/dns/service_endpoints.cpp
@@ -22,7 +22,7 @@
 
 unsigned ByteAt(std::string_view data, std::size_t index) { return static_cast<unsigned char>(data[index]); }
 
-// The value of "KEY=NUMBER" among the strings of one TXT record.
+// Returns the number in the first "KEY=NUMBER" among the strings of one TXT record.
 std::optional<std::int64_t> NumberInStrings(std::string_view strings, std::string_view key) {
   while (!strings.empty()) {
     std::size_t size = ByteAt(strings, 0);
--- a/src/dns/service_endpoints.h
+++ b/src/dns/service_endpoints.h
@@ -1,5 +1,5 @@
-// The endpoints that a zone lists for a service: SRV records name them, A records have their addresses, TXT
-// records their cells and start times. Pure; no I/O.
+// The endpoints that a zone lists for a service: SRV records have their names and ports, A records their
+// addresses, TXT records their cells and start times. No I/O.
 #ifndef LIFTRUDDER_DNS_SERVICE_ENDPOINTS_H_
 #define LIFTRUDDER_DNS_SERVICE_ENDPOINTS_H_
 
@@ -13,8 +13,8 @@
 
 using EndpointsByName = std::map<std::string, coordinator::EndpointEntry>;
 
-// The endpoints of `service`, the owner of the SRV records, by their targets' names. One that has no address
-// or no cell is left out.
+// Returns the endpoints of `service`, the owner of the SRV records, by the names of their targets. Endpoints
+// without an address or a cell are left out.
 EndpointsByName ServiceEndpoints(const Zone& zone, const std::string& service);
 
 }  // namespace liftrudder::dns
--- a/src/dns/update.cpp
+++ b/src/dns/update.cpp
@@ -20,11 +20,11 @@
 constexpr unsigned kOpcodeMask = 0x0f;
 constexpr unsigned kOpcodeUpdate = 5;
 constexpr std::size_t kIpv4Bytes = 4;
-constexpr std::size_t kMinSrvBytes =
-    8;  // RFC 2782: three numbers of two bytes, and a name other than the root
+// RFC 2782: three numbers of two bytes, and a name other than the root.
+constexpr std::size_t kMinSrvBytes = 8;
 
-// RFC 2136 section 2: the zone section names the zone and is checked as it is read; the additional section is
-// not read.
+// RFC 2136 section 2, without the zone section, which is checked as it is read, and the additional section,
+// which is read and ignored.
 struct UpdateMessage {
   std::vector<ResourceRecord> prerequisites;
   std::vector<ResourceRecord> updates;
@@ -41,7 +41,7 @@
   return type == kTypeA || type == kTypeNs || type == kTypeSoa || type == kTypeTxt || type == kTypeSrv;
 }
 
-// Whether TXT data is at least one string, each with its length before it, and nothing else.
+// Returns whether TXT data is one or more strings, each after its length, and nothing else.
 bool IsWellFormedTxt(const std::string& data) {
   std::size_t offset = 0;
   while (offset < data.size()) {
@@ -57,10 +57,10 @@
   return true;
 }
 
-bool IsOfSameSet(const Record& a, const Record& b) { return a.name == b.name && a.type == b.type; }
-bool IsSameRecord(const Record& a, const Record& b) { return IsOfSameSet(a, b) && a.data == b.data; }
+bool IsInSameRrset(const Record& a, const Record& b) { return a.name == b.name && a.type == b.type; }
+bool IsSameRecord(const Record& a, const Record& b) { return IsInSameRrset(a, b) && a.data == b.data; }
 
-// RFC 2136 section 3.2, for a prerequisite that says whether a name or a set of records exists.
+// RFC 2136 section 3.2, for a prerequisite that a name or an RRset exists or does not exist.
 Rcode CheckExistence(const ResourceRecord& prerequisite, const Zone& zone) {
   const Record& wanted = prerequisite.record;
   bool must_exist = prerequisite.record_class == kClassAny;
@@ -75,12 +75,13 @@
   return Rcode::kNoError;
 }
 
-// Section 3.2.3: the zone's sets must have exactly the records that are required of them.
-Rcode CheckExactSets(const std::vector<Record>& required, const Zone& zone) {
+// RFC 2136 section 3.2.3: the zone's RRsets must have exactly the required records.
+Rcode CheckExactRrsets(const std::vector<Record>& required, const Zone& zone) {
   for (const Record& wanted : required) {
-    auto of_set = [&wanted](const Record& record) { return IsOfSameSet(record, wanted); };
+    auto in_rrset = [&wanted](const Record& record) { return IsInSameRrset(record, wanted); };
     auto same = [&wanted](const Record& record) { return IsSameRecord(record, wanted); };
-    bool same_size = std::ranges::count_if(required, of_set) == std::ranges::count_if(zone.records, of_set);
+    bool same_size =
+        std::ranges::count_if(required, in_rrset) == std::ranges::count_if(zone.records, in_rrset);
     if (!same_size || std::ranges::none_of(zone.records, same)) return Rcode::kNxRrset;
   }
   return Rcode::kNoError;
@@ -99,10 +100,10 @@
     Rcode code = CheckExistence(prerequisite, zone);
     if (code != Rcode::kNoError) return code;
   }
-  return CheckExactSets(required, zone);
+  return CheckExactRrsets(required, zone);
 }
 
-// Section 3.4.1, for one update.
+// RFC 2136 section 3.4.1, for one update.
 Rcode PrescanUpdate(const ResourceRecord& update, const Zone& zone) {
   const Record& record = update.record;
   if (!zone.Contains(record.name)) return Rcode::kNotZone;
@@ -128,8 +129,8 @@
   return Rcode::kNoError;
 }
 
-// Section 3.4.2. The zone's own SOA and NS records are never changed.
-void ApplyOne(const ResourceRecord& update, Zone& zone) {
+// RFC 2136 section 3.4.2. SOA and NS records are never added, and those of the origin are never deleted.
+void ApplyUpdateRecord(const ResourceRecord& update, Zone& zone) {
   const Record& record = update.record;
   auto is_protected = [&zone](const Record& other) {
     return other.name == zone.origin && (other.type == kTypeSoa || other.type == kTypeNs);
@@ -155,7 +156,7 @@
   return records;
 }
 
-// Section 3.1: exactly one zone, named by its SOA, and it must be ours.
+// RFC 2136 section 3.1: exactly one zone, given by the name of its SOA, and it must be `zone`.
 Rcode CheckZoneSection(MessageReader& reader, std::uint16_t count, const Zone& zone) {
   if (count != 1) return Rcode::kFormErr;
   std::string name = reader.ReadName();
@@ -177,18 +178,18 @@
   return message;
 }
 
-Rcode Update(MessageReader& reader, const SectionCounts& counts, Zone& zone) {
+Rcode ProcessUpdate(MessageReader& reader, const SectionCounts& counts, Zone& zone) {
   auto message = ReadUpdate(reader, counts, zone);
   if (!message) return message.error();
   Rcode code = CheckPrerequisites(message->prerequisites, zone);
   if (code == Rcode::kNoError) code = Prescan(message->updates, zone);
   if (code != Rcode::kNoError) return code;
-  for (const ResourceRecord& update : message->updates) ApplyOne(update, zone);
+  for (const ResourceRecord& update : message->updates) ApplyUpdateRecord(update, zone);
   return Rcode::kNoError;
 }
 
-// Section 3.8: the id, the opcode and the result; all sections are empty.
-std::string Response(std::string_view id, unsigned opcode, Rcode code) {
+// RFC 2136 section 3.8: the message's id and opcode, and the Rcode; all sections are empty.
+std::string MakeResponse(std::string_view id, unsigned opcode, Rcode code) {
   std::string response(id);
   response.push_back(static_cast<char>(kResponseFlag | opcode << kOpcodeShift));
   response.push_back(static_cast<char>(code));
@@ -206,8 +207,8 @@
   counts.update = reader.ReadUint16();
   counts.additional = reader.ReadUint16();
   unsigned opcode = static_cast<unsigned char>(message[kFlagsOffset]) >> kOpcodeShift & kOpcodeMask;
-  Rcode code = opcode == kOpcodeUpdate ? Update(reader, counts, zone) : Rcode::kNotImp;
-  return Response(message.substr(0, kIdBytes), opcode, code);
+  Rcode code = opcode == kOpcodeUpdate ? ProcessUpdate(reader, counts, zone) : Rcode::kNotImp;
+  return MakeResponse(message.substr(0, kIdBytes), opcode, code);
 }
 
 }  // namespace liftrudder::dns
--- a/src/dns/update.h
+++ b/src/dns/update.h
@@ -1,5 +1,5 @@
-// Applies RFC 2136 dynamic updates to a zone: a message as a whole, or nothing of it. No I/O, no locks; the
-// messages are those of DNS over TCP, without their length prefix.
+// Applies RFC 2136 dynamic updates to a zone; a message is applied as a whole or not at all. No I/O, no
+// locks; the messages are those of DNS over TCP without the length prefix.
 #ifndef LIFTRUDDER_DNS_UPDATE_H_
 #define LIFTRUDDER_DNS_UPDATE_H_
 
@@ -25,8 +25,8 @@
   kNotZone = 10,
 };
 
-// Applies one message to the zone and returns the response to it, whose Rcode says what was wrong if the zone
-// is as it was. Empty for a message that is too short for a header, which cannot be responded to.
+// Applies one message to the zone and returns the response. If its Rcode is not kNoError, the zone is
+// unchanged. Returns an empty string for a message that is too short for a header, which cannot be answered.
 std::string ApplyUpdate(std::string_view message, Zone& zone);
 
 }  // namespace liftrudder::dns
--- a/src/dns/wire_names.h
+++ b/src/dns/wire_names.h
@@ -1,4 +1,4 @@
-// Names that zones and the operator's file use.
+// Names in zones and in the operator's file.
 #ifndef LIFTRUDDER_DNS_WIRE_NAMES_H_
 #define LIFTRUDDER_DNS_WIRE_NAMES_H_
 
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -1,5 +1,4 @@
-// A DNS zone in memory: its records, and domain names in text and in wire form. Plain data and pure
-// functions; no I/O, no locks.
+// A DNS zone in memory: its records, and domain names in text and in wire form. No I/O, no locks.
 #ifndef LIFTRUDDER_DNS_ZONE_H_
 #define LIFTRUDDER_DNS_ZONE_H_
 
@@ -38,17 +37,17 @@
   std::string origin;  // the owner of the SOA record
   std::vector<Record> records;
 
-  // Whether a name is the origin or below it.
+  // Returns whether a name is the origin or below it.
   bool Contains(std::string_view name) const;
 };
 
-// `text` in lower case, in ASCII alone, as names compare (RFC 4343).
+// Returns `text` with its ASCII letters in lower case, since names ignore their case (RFC 4343).
 std::string ToLower(std::string_view text);
 
-// The wire form of an absolute name; nothing when it does not end in a dot, or a label or the name is too
-// long.
+// Returns the wire form of an absolute name; nothing if it does not end in a dot, a label is empty, or a
+// label or the name is too long.
 std::optional<std::string> WireName(std::string_view name);
-// The text form, in lower case, of an uncompressed name in wire form.
+// Returns the text form, in lower case, of an uncompressed name in wire form.
 std::string NameFromWire(std::string_view wire);
 
 }  // namespace liftrudder::dns
--- a/src/dns/zone_error.h
+++ b/src/dns/zone_error.h
@@ -21,13 +21,13 @@
   kStringTooLong,
   kNoSoaRecord,
   kOutsideZone,  // a record's name is not in the zone
-  kNotLoopback,  // updates are not to be taken on this address
+  kNotLoopback,  // the address for updates is not loopback
 };
 
-// Ends the start-up; what() has the line and the value at fault.
+// Aborts the start-up; what() has the line and the value at fault.
 class ZoneError : public std::runtime_error {
  public:
-  // `line`: from 1; 0 when the error is not in a line of its own.
+  // `line` counts from 1; 0 if the error belongs to no single line.
   ZoneError(ZoneErrorCode code, std::size_t line, const std::string& problem, std::string value);
 
   ZoneErrorCode code() const { return code_; }
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -20,7 +20,7 @@
 
 // The words of one directive or record, which may span several lines.
 struct Entry {
-  bool starts_with_owner = false;  // the first word begins its line, so it is the owner's name
+  bool starts_with_owner = false;  // the first word is at the start of its line, so it is the owner
   std::size_t line = 0;            // of the first word
   std::vector<std::string> words;
 };
@@ -31,14 +31,14 @@
   explicit EntryReader(std::string_view text) : text_(text) {}
 
   std::vector<Entry> ReadAll() {
-    for (; at_ < text_.size(); ++at_) ReadNext(text_[at_]);
+    for (; position_ < text_.size(); ++position_) ReadNext(text_[position_]);
     EndLine();
     if (depth_ != 0) throw ZoneError(ZoneErrorCode::kUnbalancedParenthesis, 0, "'(' without ')'", "");
     return std::move(entries_);
   }
 
  private:
-  // `c` is at at_. Leaves at_ on the last character that it has read.
+  // `c` is the character at position_. Leaves position_ at the last character that it has read.
   void ReadNext(char c) {
     if (c == ';') return SkipComment();
     if (c == '\n') return EndLine();
@@ -51,10 +51,10 @@
   }
 
   void SkipComment() {
-    while (at_ + 1 < text_.size() && text_[at_ + 1] != '\n') ++at_;
+    while (position_ + 1 < text_.size() && text_[position_ + 1] != '\n') ++position_;
   }
 
-  // Within parentheses an entry goes on in the next line.
+  // Ends the entry, unless an open parenthesis continues it in the next line.
   void EndLine() {
     bool entry_ends = depth_ == 0;
     if (entry_ends && !entry_.words.empty()) entries_.push_back(std::move(entry_));
@@ -77,27 +77,27 @@
   }
 
   std::string QuotedWord() {
-    auto end = text_.find('"', at_ + 1);
+    auto end = text_.find('"', position_ + 1);
     if (end == std::string_view::npos) {
-      std::string rest(text_.substr(at_, text_.find('\n', at_) - at_));
-      throw ZoneError(ZoneErrorCode::kUnterminatedString, line_, "open quote", rest);
+      std::string rest(text_.substr(position_, text_.find('\n', position_) - position_));
+      throw ZoneError(ZoneErrorCode::kUnterminatedString, line_, "unterminated quoted string", rest);
     }
-    std::string word(text_.substr(at_ + 1, end - at_ - 1));
-    at_ = end;
+    std::string word(text_.substr(position_ + 1, end - position_ - 1));
+    position_ = end;
     return word;
   }
 
   std::string PlainWord() {
-    auto end = std::min(text_.find_first_of(kWordDelimiters, at_), text_.size());
-    std::string word(text_.substr(at_, end - at_));
-    at_ = end - 1;
+    auto end = std::min(text_.find_first_of(kWordDelimiters, position_), text_.size());
+    std::string word(text_.substr(position_, end - position_));
+    position_ = end - 1;
     return word;
   }
 
   const std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::size_t line_ = 1;
-  int depth_ = 0;  // of open parentheses
+  int depth_ = 0;  // number of open parentheses
   bool at_line_start_ = true;
   Entry entry_;
   std::vector<Entry> entries_;
@@ -158,27 +158,28 @@
 
   void ApplyDirective(const std::string& directive, const Entry& entry) {
     if (entry.words.size() != 2 || (directive != "$origin" && directive != "$ttl")) {
-      Fail(ZoneErrorCode::kUnsupportedDirective, "is not supported", directive);
+      Fail(ZoneErrorCode::kUnsupportedDirective, "is not supported; only $ORIGIN and $TTL with one value are",
+           directive);
     }
     if (directive == "$origin") {
-      origin_ = Absolute(entry.words[1]);
+      origin_ = AbsoluteName(entry.words[1]);
     } else {
-      ttl_ = Number<std::uint32_t>(entry.words[1]);
+      ttl_ = ParseNumber<std::uint32_t>(entry.words[1]);
     }
   }
 
   // [owner] {ttl | "IN"} type fields...
   void AddRecord(const Entry& entry) {
     std::size_t next = 0;
-    if (entry.starts_with_owner) owner_ = Absolute(entry.words[next++]);
+    if (entry.starts_with_owner) owner_ = AbsoluteName(entry.words[next++]);
     Record record{owner_, 0, ttl_, {}};
     for (; next < entry.words.size(); ++next) {
       const std::string& word = entry.words[next];
       if (ToLower(word) == "in") continue;
       if (!IsNumber(word)) break;
-      record.ttl = Number<std::uint32_t>(word);
+      record.ttl = ParseNumber<std::uint32_t>(word);
     }
-    if (next == entry.words.size()) Fail(ZoneErrorCode::kMissingType, "a record without a type");
+    if (next == entry.words.size()) Fail(ZoneErrorCode::kMissingType, "a record has no type");
     std::optional<std::uint16_t> type = TypeOf(entry.words[next]);
     if (!type) Fail(ZoneErrorCode::kUnsupportedType, "the type is not supported", entry.words[next]);
     record.type = *type;
@@ -207,7 +208,7 @@
     ExpectFields(fields, 1);
     in_addr address{};
     if (inet_pton(AF_INET, fields[0].c_str(), &address) != 1) {
-      Fail(ZoneErrorCode::kBadAddress, "no IPv4 address", fields[0]);
+      Fail(ZoneErrorCode::kBadAddress, "is not an IPv4 address", fields[0]);
     }
     return {reinterpret_cast<const char*>(&address), sizeof(address)};
   }
@@ -216,7 +217,7 @@
     std::string data;
     for (const std::string& text : fields) {
       if (text.size() > kMaxTxtStringBytes) {
-        Fail(ZoneErrorCode::kStringTooLong, "a TXT string is too long", text);
+        Fail(ZoneErrorCode::kStringTooLong, "a TXT string has more than 255 bytes", text);
       }
       AppendInt(data, static_cast<std::uint8_t>(text.size()));
       data += text;
@@ -228,7 +229,7 @@
   std::string SrvData(Fields fields) const {
     ExpectFields(fields, 4);
     std::string data;
-    for (const std::string& number : fields.first(3)) AppendInt(data, Number<std::uint16_t>(number));
+    for (const std::string& number : fields.first(3)) AppendInt(data, ParseNumber<std::uint16_t>(number));
     return data + NameData(fields[3]);
   }
 
@@ -236,45 +237,45 @@
   std::string SoaData(Fields fields) const {
     ExpectFields(fields, 7);
     std::string data = NameData(fields[0]) + NameData(fields[1]);
-    for (const std::string& number : fields.subspan(2)) AppendInt(data, Number<std::uint32_t>(number));
+    for (const std::string& number : fields.subspan(2)) AppendInt(data, ParseNumber<std::uint32_t>(number));
     return data;
   }
 
   void ExpectFields(Fields fields, std::size_t count) const {
     if (fields.size() == count) return;
-    Fail(ZoneErrorCode::kFieldCount, fmt::format("{} fields expected", count),
+    Fail(ZoneErrorCode::kFieldCount, fmt::format("the type takes {} fields", count),
          fmt::format("{}", fmt::join(fields, " ")));
   }
 
   template <typename T>
-  T Number(const std::string& word) const {
+  T ParseNumber(const std::string& word) const {
     T value{};
     const char* word_end = word.data() + word.size();
     auto [end, error] = std::from_chars(word.data(), word_end, value);
     if (word.empty() || error != std::errc() || end != word_end) {
-      Fail(ZoneErrorCode::kBadNumber, "is not a number that fits", word);
+      Fail(ZoneErrorCode::kBadNumber, "is not a number or is out of range", word);
     }
     return value;
   }
 
   std::string NameData(const std::string& word) const {
-    std::string name = Absolute(word);
+    std::string name = AbsoluteName(word);
     std::optional<std::string> wire = WireName(name);
-    if (!wire) Fail(ZoneErrorCode::kBadName, "is no name", name);
+    if (!wire) Fail(ZoneErrorCode::kBadName, "is not a domain name", name);
     return *wire;
   }
 
-  std::string Absolute(std::string_view name) const {
+  std::string AbsoluteName(std::string_view name) const {
     if (name == "@") return origin_;
     if (name.ends_with('.')) return ToLower(name);
     return ToLower(name) + "." + (origin_ == "." ? "" : origin_);
   }
 
   Zone zone_;
-  std::string origin_ = ".";  // of relative names; the zone's own origin is where its SOA record is
+  std::string origin_ = ".";  // appended to relative names; zone_.origin is the owner of the SOA record
   std::string owner_;         // of the last record
   std::uint32_t ttl_ = 0;
-  std::size_t line_ = 0;  // of the entry in hand
+  std::size_t line_ = 0;  // of the current entry
 };
 
 }  // namespace
--- a/src/dns/zone_file.h
+++ b/src/dns/zone_file.h
@@ -1,5 +1,5 @@
 // Reads zone files (RFC 1035 section 5): $ORIGIN, $TTL, parentheses, quoted strings, comments, and records of
-// the types SOA, NS, A, TXT and SRV. Pure; no I/O.
+// the types SOA, NS, A, TXT and SRV. No I/O.
 #ifndef LIFTRUDDER_DNS_ZONE_FILE_H_
 #define LIFTRUDDER_DNS_ZONE_FILE_H_
 
--- a/src/dns/zone_source.cpp
+++ b/src/dns/zone_source.cpp
@@ -15,13 +15,13 @@
 using coordinator::Micros;
 using routing::Availability;
 
-constexpr Micros kStopCheckUs = 200'000;         // how soon a wait notices that the source is stopping
+constexpr Micros kStopCheckUs = 200'000;         // how often a wait checks for a stop
 constexpr Micros kMessageTimeoutUs = 2'000'000;  // between two parts of a message
 constexpr Micros kIdleTimeoutUs = 30'000'000;    // between two messages
 constexpr std::size_t kLengthPrefixBytes = 2;    // RFC 1035 section 4.2.2
 constexpr std::string_view kLoopbackPrefix = "127.";
 
-// Removes one message from the front of `input`; nothing as long as it is incomplete.
+// Removes one message from the front of `input`; returns nothing while it is incomplete.
 std::optional<std::string> TakeMessage(std::string& input) {
   if (input.size() < kLengthPrefixBytes) return std::nullopt;
   std::size_t high = static_cast<unsigned char>(input[0]);
@@ -52,8 +52,8 @@
   options.service = member(wire_names::kZoneService);
   options.update_listen = member(wire_names::kZoneUpdateListen);
   if (!options.update_listen.empty() && !options.update_listen.starts_with(kLoopbackPrefix)) {
-    throw ZoneError(ZoneErrorCode::kNotLoopback, 0, "updates are taken on a loopback address only",
-                    options.update_listen);
+    throw ZoneError(ZoneErrorCode::kNotLoopback, 0,
+                    "[update_listen] must be a loopback address (127.0.0.0/8)", options.update_listen);
   }
   return options;
 }
@@ -108,8 +108,8 @@
   return true;
 }
 
-// An endpoint that appears in an update has most likely just been started: taken for a warm one it could be
-// overloaded. One that is ready already keeps the start time it was published with.
+// An endpoint that appears in an update has most likely just been started, and without slow start it could be
+// overloaded. An endpoint that is ready already keeps its published start time.
 void ZoneSource::FillStartTime(EndpointEntry& entry, const EndpointEntry* published_ready,
                                bool initial) const {
   if (entry.endpoint.started_us != 0) return;
--- a/src/dns/zone_source.h
+++ b/src/dns/zone_source.h
@@ -1,6 +1,6 @@
 // A zone as the source of the endpoint list: read from a file at start-up, then changed by RFC 2136 updates
-// over TCP. An endpoint whose records are removed is draining. Serves one connection at a time, on a thread
-// of its own; the zone belongs to the constructor and then to that thread.
+// over TCP. An endpoint whose records are removed is published as draining. Serves one connection at a time
+// on its own thread; only the constructor and then that thread use the zone.
 #ifndef LIFTRUDDER_DNS_ZONE_SOURCE_H_
 #define LIFTRUDDER_DNS_ZONE_SOURCE_H_
 
@@ -20,7 +20,7 @@
 
 class ZoneSource {
  public:
-  // Publishes the zone's endpoints of `service` at once. Takes updates on `listener` if it is valid. The
+  // Publishes the zone's endpoints of `service`, then accepts updates on `listener` if it is valid. The
   // references must outlive the source.
   ZoneSource(Zone zone, std::string service, net::Fd listener,
              coordinator::EndpointRegistry& endpoint_registry, coordinator::Coordinator& coordinator,
@@ -32,12 +32,13 @@
  private:
   void AcceptConnections();
   void Serve(const net::Fd& client);
-  // Applies the complete messages at the front of `input`, and responds. Whether the connection may go on.
+  // Applies the complete messages at the front of `input`, and responds. Returns whether to keep the
+  // connection.
   bool ApplyMessages(const net::Fd& client, std::string& input);
 
-  // Publishes how the zone's endpoints differ from what was published before.
+  // Publishes all endpoints the first time, afterwards those that differ from what was published.
   void Publish(bool initial);
-  // Sets an endpoint's start time where its zone does not state it.
+  // Sets an endpoint's start time if its zone does not state one.
   void FillStartTime(coordinator::EndpointEntry& entry, const coordinator::EndpointEntry* published_ready,
                      bool initial) const;
 
@@ -50,17 +51,17 @@
   EndpointsByName published_;  // draining ones included
   std::uint64_t version_ = 0;
   std::atomic<bool> stopping_{false};
-  net::Thread thread_;  // last, so that it starts when all else is there
+  net::Thread thread_;  // last, since it uses the other members
 };
 
-// What the operator's file says of a zone. `file` is empty when it names none.
+// The zone's settings in the operator's file. `file` is empty if it names no zone.
 struct ZoneOptions {
   std::string file;
   std::string service;
-  std::string update_listen;  // "host:port"; empty: no updates are taken
+  std::string update_listen;  // "host:port"; empty: no updates are accepted
 };
 
-// Throws ZoneError when updates are to be taken on an address that is not loopback.
+// Throws ZoneError if `update_listen` is not a loopback address.
 ZoneOptions ParseZoneOptions(std::string_view text);
 
 }  // namespace liftrudder::dns
--- a/tests/dns/service_endpoints_test.cpp
+++ b/tests/dns/service_endpoints_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace liftrudder;
 
-TEST_CASE("a zone lists the endpoints of a service that have an address and a cell") {
+TEST_CASE("endpoints of a service are listed if they have an address and a cell") {
   dns::Zone zone = dns::ParseZone(
       "$ORIGIN Z.\n@ 60 IN SOA ns root 1 2 3 4 5\n_s SRV 0 1 9200 a ; first\n_s SRV 0 1 9201 b\n"
       "a A 127.0.0.1\n  TXT \"cell=3\" \"started_ms=7\"\nb A 127.0.0.2\n");
