--- a/src/identity/authenticator.cpp
+++ b/src/identity/authenticator.cpp
@@ -32,7 +32,7 @@
   return authorization;
 }
 
-// The tenant that the certificate's names are listed under; an empty tenant: none of them is.
+// Finds the tenant that lists the certificate's names; the tenant is empty if none does.
 tl::expected<Caller, AuthenticationError> CallerOfCertificate(const PermissionTable& table,
                                                               const std::vector<std::string>& names) {
   Caller caller;
@@ -40,16 +40,17 @@
     auto owner = table.tenant_by_certificate.find(name);
     if (owner == table.tenant_by_certificate.end()) continue;
     if (caller.tenant.empty()) {
-      // Never the same text as a token's subject: the two have separate quotas.
+      // The prefix keeps the certificate's quota apart from that of a token whose subject is the same name.
       caller = {owner->second, "certificate " + name};
     } else if (caller.tenant != owner->second) {
-      return Unauthenticated("a certificate with names of two tenants", caller.tenant);
+      return Unauthenticated("certificate has names of two tenants", caller.tenant);
     }
   }
   return caller;
 }
 
-// Cached tokens were verified under these, and quotas are made from them once.
+// Whether a member changed that only a restart can change: cached tokens were verified with the first three,
+// and the quotas are created once from the other two.
 bool NeedsRestart(const PermissionTable& before, const PermissionTable& after) {
   return after.issuer != before.issuer || after.audience != before.audience ||
          after.clock_skew_us != before.clock_skew_us || after.work_per_s != before.work_per_s ||
@@ -81,22 +82,23 @@
     PermissionTable permission_table) {
   std::shared_ptr<const PermissionTable> before = this->permission_table();
   if (NeedsRestart(*before, permission_table)) {
-    return tl::unexpected(
-        ReadError{"identity", "issuer, audience, skewS, workPerS and mostOpen change with a restart only"});
+    return tl::unexpected(ReadError{
+        "identity",
+        "[issuer], [audience], [skewS], [workPerS] and [mostOpen] can be changed only by a restart"});
   }
   Changes changes;
   for (const auto& [name, permissions] : before->tenants) {
-    if (!permission_table.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' is gone", name));
+    if (!permission_table.tenants.contains(name)) changes.push_back(fmt::format("tenant '{}' removed", name));
   }
   for (auto& [name, permissions] : permission_table.tenants) {
     auto old = before->tenants.find(name);
     if (old == before->tenants.end()) {
-      changes.push_back(fmt::format("tenant '{}' is new", name));
+      changes.push_back(fmt::format("tenant '{}' added", name));
     } else if (*old->second == *permissions) {
-      // The same object stays: scrolls compare it to see whether their tenant's permissions have changed.
+      // Keeps the object: scrolls compare pointers to detect that their tenant's permissions have changed.
       permissions = old->second;
     } else {
-      changes.push_back(fmt::format("tenant '{}' has other permissions", name));
+      changes.push_back(fmt::format("permissions of tenant '{}' changed", name));
     }
   }
   std::lock_guard lock(mutex_);
@@ -118,17 +120,18 @@
     auto token = token_verifier_.Verify(*token_text, now_us);
     if (!token) return Unauthenticated(std::string(Name(token.error())));
     bool other_tenant = !caller->tenant.empty() && caller->tenant != token->tenant;
-    if (other_tenant) return Unauthenticated("a token of another tenant than the certificate", token->tenant);
+    if (other_tenant) return Unauthenticated("token and certificate name different tenants", token->tenant);
     *caller = {std::move(token->tenant), std::move(token->subject)};
   } else if (caller->tenant.empty()) {
     bool no_certificate = credentials.certificate_names.empty();
-    return Unauthenticated(no_certificate ? "no token" : "no token, and no tenant for the certificate");
+    return Unauthenticated(no_certificate ? "no token" : "no token, and no tenant lists the certificate");
   }
   auto found = table->tenants.find(caller->tenant);
   if (found == table->tenants.end()) return Unauthenticated("unknown tenant", caller->tenant);
   const Networks& networks = found->second->networks;
   if (!networks.empty() && !networks.Contains(credentials.address)) {
-    return tl::unexpected(AuthenticationError{Kind::kForbidden, "not from this network", caller->tenant});
+    return tl::unexpected(AuthenticationError{
+        Kind::kForbidden, "client address is outside the tenant's networks", caller->tenant});
   }
   return Principal{std::move(caller->tenant), std::move(caller->subject), found->second};
 }
--- a/src/identity/authenticator.h
+++ b/src/identity/authenticator.h
@@ -1,5 +1,5 @@
 // Authenticates requests: verifies the token, matches the client's certificate, and looks up the tenant's
-// permissions. Keys and permissions are handed in; files are read elsewhere. Any thread.
+// permissions. The caller reads the files and passes in keys and permissions. Authenticator is thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
 #define LIFTRUDDER_IDENTITY_AUTHENTICATOR_H_
 
@@ -17,7 +17,8 @@
 
 namespace liftrudder::identity {
 
-// An authenticated caller, with the permissions that hold for this request whatever changes meanwhile.
+// An authenticated caller, with the permissions that apply to this request even if they are replaced
+// meanwhile.
 struct Principal {
   std::string tenant;
   std::string subject;
@@ -29,7 +30,7 @@
   const std::string* authorization = nullptr;  // the header's text; null: absent
   std::string address;                         // of the client
   std::vector<std::string> certificate_names;  // as net::TlsPeer has them; empty: no certificate
-  std::string certificate_error;               // why the certificate is no longer good; empty: it is good
+  std::string certificate_error;               // why the certificate is no longer valid; empty: it is valid
 };
 
 struct AuthenticationError {
@@ -38,8 +39,8 @@
     kForbidden,        // 403: authenticated, but not from this network
   };
   Kind kind = Kind::kUnauthenticated;
-  std::string reason;  // for the audit log alone: it would tell a forger how far it came
-  std::string tenant;  // where one was established
+  std::string reason;  // for the audit log only: it would tell a forger which check failed
+  std::string tenant;  // empty if none was determined
 };
 
 class Authenticator {
@@ -48,12 +49,12 @@
 
   // One line of text for each change, for the audit log.
   using Changes = std::vector<std::string>;
-  // The new version holds for all requests from now on. On an error nothing changes.
+  // Each replaces the current version for all later requests. On an error nothing changes.
   tl::expected<Changes, ReadError> ReplaceKeys(std::string_view text);
   tl::expected<Changes, ReadError> ReplacePermissions(PermissionTable permission_table);
 
-  // The token names the caller; without one, the certificate does. Where both name a tenant it must be the
-  // same, so that a stolen token is useless on another tenant's connection.
+  // The token identifies the caller; without one, the certificate does. If both name a tenant, the two must
+  // match, so that a stolen token is useless on another tenant's connection.
   tl::expected<Principal, AuthenticationError> Authenticate(const Credentials& credentials, Micros now_us);
 
   std::shared_ptr<const PermissionTable> permission_table() const;
@@ -64,11 +65,11 @@
   std::shared_ptr<const PermissionTable> permission_table_;  // guarded by mutex_
 };
 
-// Limits the lines that rejected callers can cause in the audit log. Not thread-safe.
+// Limits the rate of audit log lines about rejected callers. Not thread-safe.
 class AuditLimiter {
  public:
-  // Nothing: this line is not to be written. Otherwise the number of lines suppressed since the last written
-  // one.
+  // Returns the number of lines suppressed since the last written one, or nothing if this line is suppressed
+  // too.
   std::optional<std::int64_t> TryWrite(Micros now_us);
 
  private:
--- a/src/identity/base64url.h
+++ b/src/identity/base64url.h
@@ -1,5 +1,5 @@
 // base64url without padding (RFC 4648 section 5, as used by RFC 7515 section 2), strict: every value has
-// exactly one encoding. Plain functions for any thread.
+// exactly one encoding. Thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_BASE64URL_H_
 #define LIFTRUDDER_IDENTITY_BASE64URL_H_
 
@@ -9,8 +9,9 @@
 
 namespace liftrudder::identity {
 
-// Nothing where a character is outside the alphabet (padding, blanks and line ends included), the length is
-// impossible, or the remaining bits are not zero: two texts for one signature would be two tokens to a cache.
+// Returns nothing if a character is outside the alphabet (padding, blanks and line ends included), the length
+// is impossible, or the trailing bits are not zero: with two encodings of its signature, one token would have
+// two cache entries.
 std::optional<std::string> DecodeBase64Url(std::string_view text);
 
 std::string EncodeBase64Url(std::string_view bytes);
--- a/src/identity/json_members.h
+++ b/src/identity/json_members.h
@@ -1,5 +1,4 @@
-// Reads the members of one object in an operator's file and remembers the first thing that is wrong. For one
-// thread.
+// Reads the members of one object in the operator's file and keeps the first error. Not thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
 #define LIFTRUDDER_IDENTITY_JSON_MEMBERS_H_
 
@@ -18,27 +17,27 @@
 
 namespace liftrudder::identity {
 
-// The range that a number must lie in, and its value where the member is absent.
+// The range that a number must lie in, and its value if the member is absent.
 struct NumberRange {
   std::int64_t min = 0;
   std::int64_t max = 0;
   std::int64_t fallback = 0;
 };
 
-// Unknown members are an error: a misspelt permission would otherwise be silently not in force.
+// Unknown members are an error: a misspelt permission would otherwise be ignored silently.
 class JsonMembers {
  public:
-  // `where` begins each error. The object must outlive this.
+  // `where` is the place that errors name. `object` must outlive the reader.
   JsonMembers(const nlohmann::json& object, std::string where) : object_(object), where_(std::move(where)) {
-    if (!object.is_object()) Fail("is not an object");
+    if (!object.is_object()) Fail("must be a JSON object");
   }
 
-  // A bool, a string or a list of strings; an absent member leaves `value` as it is.
+  // Reads a bool, a string or a list of strings; an absent member leaves `value` as it is.
   template <typename T>
   void Read(const char* name, T& value) {
     const nlohmann::json* member = Find(name);
     if (member == nullptr) return;
-    if (!HasType<T>(*member)) return Fail(fmt::format("[{}] is of another kind", name));
+    if (!HasType<T>(*member)) return Fail(fmt::format("[{}] has the wrong type", name));
     member->get_to(value);
   }
 
@@ -51,7 +50,7 @@
     return fits ? member->get<std::int64_t>() : range.fallback;
   }
 
-  // Null where there is no such member, or where this is not an object.
+  // Returns null if there is no such member, or if the value is not an object.
   const nlohmann::json* Find(const char* name) {
     known_.insert(name);
     if (!object_.is_object()) return nullptr;
@@ -59,7 +58,7 @@
     return found == object_.end() ? nullptr : &*found;
   }
 
-  // After all members have been read: the others are errors.
+  // Makes every member that has not been read an error; call it last.
   void RejectUnknown() {
     if (!object_.is_object()) return;
     for (const auto& [name, value] : object_.items()) {
@@ -67,7 +66,7 @@
     }
   }
 
-  // Only the first call counts.
+  // Only the first error is kept.
   void Fail(const std::string& problem) {
     if (!error_) error_ = ReadError{where_, problem};
   }
--- a/src/identity/key_parser.cpp
+++ b/src/identity/key_parser.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using Problem = std::optional<std::string>;  // nothing: no problem
+using Problem = std::optional<std::string>;  // what is wrong; nothing if all is well
 
 constexpr std::size_t kCoordinateBytes = 32;  // of Ed25519 and P-256 alike
 constexpr double kMaxUnixSeconds = 1e11;
@@ -27,18 +27,18 @@
 constexpr std::array kKeyStates = {KeyState::kAnnounced, KeyState::kActive, KeyState::kRetiring,
                                    KeyState::kWithdrawn};
 
-// Empty where the member is absent or not a string.
+// Returns an empty string if the member is absent or not a string.
 std::string StringMember(const Json& object, const char* name) {
   auto found = object.find(name);
   bool is_string = found != object.end() && found->is_string();
   return is_string ? found->get<std::string>() : std::string();
 }
 
-std::shared_ptr<EVP_PKEY> Own(EVP_PKEY* key) { return {key, EVP_PKEY_free}; }
+std::shared_ptr<EVP_PKEY> TakeOwnership(EVP_PKEY* key) { return {key, EVP_PKEY_free}; }
 
 std::shared_ptr<EVP_PKEY> MakeEd25519Key(const std::string& x) {
   const auto* bytes = reinterpret_cast<const unsigned char*>(x.data());
-  return Own(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytes, x.size()));
+  return TakeOwnership(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytes, x.size()));
 }
 
 using ParametersPtr = std::unique_ptr<OSSL_PARAM, decltype(&OSSL_PARAM_free)>;
@@ -55,7 +55,7 @@
   return {built ? OSSL_PARAM_BLD_to_param(builder.get()) : nullptr, OSSL_PARAM_free};
 }
 
-// Null for a point that is not on the curve, which OpenSSL checks.
+// Returns null if OpenSSL finds that the point is not on the curve.
 std::shared_ptr<EVP_PKEY> MakeP256Key(const std::string& x, const std::string& y) {
   using ContextPtr = std::unique_ptr<EVP_PKEY_CTX, decltype(&EVP_PKEY_CTX_free)>;
   ParametersPtr parameters = MakeP256Parameters(x, y);
@@ -63,7 +63,7 @@
   if (!parameters || !context || EVP_PKEY_fromdata_init(context.get()) != 1) return nullptr;
   EVP_PKEY* raw_key = nullptr;
   if (EVP_PKEY_fromdata(context.get(), &raw_key, EVP_PKEY_PUBLIC_KEY, parameters.get()) != 1) return nullptr;
-  std::shared_ptr<EVP_PKEY> key = Own(raw_key);
+  std::shared_ptr<EVP_PKEY> key = TakeOwnership(raw_key);
   ContextPtr check(EVP_PKEY_CTX_new_from_pkey(nullptr, raw_key, nullptr), EVP_PKEY_CTX_free);
   bool is_on_curve = check && EVP_PKEY_public_check(check.get()) == 1;
   return is_on_curve ? key : nullptr;
@@ -75,7 +75,7 @@
   return digest;
 }
 
-// Whether the key may be in a set at all: public, and for verifying signatures.
+// Checks that the key is public and meant for verifying signatures.
 Problem CheckPurpose(const Json& object) {
   for (const char* member : kPrivateMembers) {
     if (object.contains(member)) {
@@ -92,7 +92,7 @@
   return std::nullopt;
 }
 
-// A coordinate of the public key, in bytes.
+// Returns the bytes of a coordinate of the public key; nothing if there are not 32 in base64url.
 std::optional<std::string> Coordinate(const Json& object, const char* name) {
   auto bytes = DecodeBase64Url(StringMember(object, name));
   if (!bytes || bytes->size() != kCoordinateBytes) return std::nullopt;
--- a/src/identity/key_parser.h
+++ b/src/identity/key_parser.h
@@ -1,4 +1,4 @@
-// Parses one key of a JWK set (RFC 7517, RFC 8037). A plain function for any thread.
+// Parses one key of a JWK set (RFC 7517, RFC 8037). Thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_KEY_PARSER_H_
 #define LIFTRUDDER_IDENTITY_KEY_PARSER_H_
 
@@ -10,9 +10,9 @@
 
 namespace liftrudder::identity {
 
-// What is wrong with a key, as the end of a sentence that begins with the key's place in its set.
+// What is wrong with a key. `problem` completes a sentence that begins with the key's position in its set.
 struct KeyError {
-  std::string kid;  // empty: it has none
+  std::string kid;  // empty if the key has none
   std::string problem;
 };
 
--- a/src/identity/keys.h
+++ b/src/identity/keys.h
@@ -1,5 +1,5 @@
-// The public keys that sign callers' tokens: parsed from a JWK set (RFC 7517, RFC 8037), each in a state of
-// its life cycle. No I/O, no clock. A KeySet is immutable and may be read by any thread.
+// The public keys that verify callers' tokens: parsed from a JWK set (RFC 7517, RFC 8037), each in a state of
+// its life cycle. Does no I/O and reads no clock. A KeySet is immutable and thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_KEYS_H_
 #define LIFTRUDDER_IDENTITY_KEYS_H_
 
@@ -30,34 +30,34 @@
 enum class Algorithm { kEdDsa, kEs256 };  // RFC 8037 section 3.1 (Ed25519 alone), RFC 7518 section 3.4
 
 enum class KeyState {
-  kAnnounced,  // known; its signatures do not count yet
+  kAnnounced,  // its signatures are not accepted yet
   kActive,
-  kRetiring,  // its signatures count until `retires_at_us`
-  kWithdrawn  // its signatures count no more, and its kid may not come back as another key
+  kRetiring,  // its signatures are accepted until `retires_at_us`
+  kWithdrawn  // its signatures are rejected, and its kid must not name another key later
 };
 
 std::string_view Name(KeyState state);
 
-// SHA-256 of a key's required members (RFC 7638): the identity of a key, whatever its kid.
+// SHA-256 of a key's required members (RFC 7638): identifies a key independently of its kid.
 using Thumbprint = std::array<unsigned char, 32>;
 
 struct Key {
   std::string kid;
   Algorithm algorithm = Algorithm::kEdDsa;
   KeyState state = KeyState::kActive;
-  Micros retires_at_us = 0;  // of a retiring key
+  Micros retires_at_us = 0;  // for a retiring key only
   Thumbprint thumbprint{};
   std::shared_ptr<EVP_PKEY> public_key;
 };
 
 class KeySet {
  public:
-  // Beside RFC 7517's members a key may have "state" (active where absent) and, while retiring, "until" (Unix
-  // seconds). A set with a private member, another kind of key or use, a point off its curve, a duplicate key
-  // or a duplicate kid is rejected as a whole.
+  // In addition to RFC 7517's members, a key may have "state" (active if absent) and, while retiring, "until"
+  // (Unix seconds). A set with a private member, an unsupported type or use of a key, a P-256 point off its
+  // curve, a duplicate key or a duplicate kid is rejected as a whole.
   static tl::expected<std::shared_ptr<const KeySet>, ReadError> Parse(std::string_view text);
 
-  // Null: no such key.
+  // Returns null if there is no such key.
   const Key* Find(std::string_view kid) const;
   const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
 
@@ -67,16 +67,16 @@
   std::map<std::string, Key, std::less<>> keys_;
 };
 
-// One line of text for each key that differs, for the log and the `keys` sub-command.
+// Returns one line of text for each key that differs, for the log and the `keys` sub-command.
 std::vector<std::string> Differences(const KeySet& before, const KeySet& after);
 
-// Remembers which key each kid has named since the program started. A kid must not come to name another key:
+// Records which key each kid has named since the program started. A kid must never be reused for another key:
 // tokens of the old key would be checked against the new one, and an audit line with that kid would be
 // ambiguous. Not thread-safe.
 class KeyIdRegistry {
  public:
-  // Registers the kids of a set. On an error (a kid names another key, or kMaxKnownKeyIds are known) nothing
-  // changes.
+  // Registers the kids of a set. On an error (a kid names another key than before, or more than
+  // kMaxKnownKeyIds would be known) nothing changes.
   std::optional<ReadError> Register(const KeySet& keys);
 
  private:
--- a/src/identity/permissions.cpp
+++ b/src/identity/permissions.cpp
@@ -54,23 +54,24 @@
   if (networks) {
     permissions.networks = std::move(*networks);
   } else {
-    members.Fail(
-        fmt::format("[networks] '{}' is no prefix such as 10.1.0.0/16 or fd00::/8", networks.error().text));
+    members.Fail(fmt::format("[networks] '{}' is not a prefix such as 10.1.0.0/16 or fd00::/8",
+                             networks.error().text));
   }
-  // An empty list that admits everybody would be a trap for an operator who empties it to lock a tenant out.
+  // An empty list is an error: an operator who empties it to lock a tenant out would otherwise admit any
+  // address.
   bool is_present = members.Find(wire_names::kNetworks) != nullptr;
-  if (is_present && prefixes.empty()) members.Fail("[networks] names none; leave it out for any");
-  if (prefixes.size() > kMaxNetworks) members.Fail(fmt::format("[networks] has over {}", kMaxNetworks));
+  if (is_present && prefixes.empty()) members.Fail("[networks] is empty; leave it out to allow any address");
+  if (prefixes.size() > kMaxNetworks) members.Fail(fmt::format("[networks] has over {} items", kMaxNetworks));
 }
 
 void ReadCertificates(JsonMembers& members, const std::vector<std::string>& names, Permissions& permissions) {
   for (const std::string& name : names) {
     if (IsCertificateName(name)) continue;
     members.Fail(
-        fmt::format("[certificates] '{}' is no name such as dns:a.example, uri:urn:a or email:a@b", name));
+        fmt::format("[certificates] '{}' is not a name such as dns:a.example, uri:urn:a or email:a@b", name));
   }
   if (names.size() > kMaxCertificates) {
-    members.Fail(fmt::format("[certificates] has over {}", kMaxCertificates));
+    members.Fail(fmt::format("[certificates] has over {} items", kMaxCertificates));
   }
   permissions.certificates.insert(names.begin(), names.end());
 }
@@ -108,7 +109,7 @@
   table.work_per_s = members.ReadNumber(wire_names::kWorkPerSecond, kWorkPerSecond);
   table.max_open_queries = members.ReadNumber(wire_names::kMaxOpenQueries, kOpenQueries);
   bool only_one = (table.work_per_s == 0) != (table.max_open_queries == 0);
-  if (only_one) members.Fail("[workPerS] and [mostOpen] go together");
+  if (only_one) members.Fail("[workPerS] and [mostOpen] must be set together");
   table.max_cached_tokens =
       static_cast<std::size_t>(members.ReadNumber(wire_names::kMaxCachedTokens, kCachedTokens));
 }
@@ -120,8 +121,9 @@
 
 std::optional<ReadError> AddTenant(PermissionTable& table, const std::string& name, const Json& value) {
   if (!IsTenantName(name)) {
-    return ReadError{"identity", fmt::format("a tenant's name has 1 to {} bytes, none a control character",
-                                             kMaxClaimBytes)};
+    return ReadError{
+        "identity",
+        fmt::format("a tenant's name must have 1 to {} bytes and no control character", kMaxClaimBytes)};
   }
   std::string where = fmt::format("identity: tenant '{}'", name);
   auto permissions = ParsePermissions(value, where);
@@ -129,8 +131,8 @@
   for (const std::string& certificate : permissions->certificates) {
     auto [owner, is_new] = table.tenant_by_certificate.emplace(certificate, name);
     if (!is_new) {
-      return ReadError{
-          where, fmt::format("[certificates] '{}' is tenant '{}''s already", certificate, owner->second)};
+      return ReadError{where, fmt::format("[certificates] '{}' already belongs to tenant '{}'", certificate,
+                                          owner->second)};
     }
   }
   table.tenants[name] = std::make_shared<const Permissions>(std::move(*permissions));
@@ -179,9 +181,9 @@
   Require(members, wire_names::kAudience, table.audience);
   const Json* tenants = members.Find(wire_names::kTenants);
   bool has_tenants = tenants != nullptr && tenants->is_object() && !tenants->empty();
-  if (!has_tenants) members.Fail("[tenants] names none");
+  if (!has_tenants) members.Fail("[tenants] must be an object with at least one tenant");
   if (members.error()) return tl::unexpected(*members.error());
-  if (tenants->size() > kMaxTenants) members.Fail(fmt::format("[tenants] has over {}", kMaxTenants));
+  if (tenants->size() > kMaxTenants) members.Fail(fmt::format("[tenants] has over {} items", kMaxTenants));
   for (const auto& [name, value] : tenants->items()) {
     if (auto error = AddTenant(table, name, value)) return tl::unexpected(std::move(*error));
   }
--- a/src/identity/permissions.h
+++ b/src/identity/permissions.h
@@ -1,6 +1,5 @@
-// What each tenant may ask for and from where: parsed from the operator's file, then looked up for each
-// request. No I/O. A PermissionTable is immutable once parsed; a request keeps the Permissions that it was
-// admitted with.
+// The permissions of each tenant: parsed from the operator's file, then looked up for each request. No I/O. A
+// PermissionTable is immutable once parsed; a request keeps the Permissions that it was admitted with.
 #ifndef LIFTRUDDER_IDENTITY_PERMISSIONS_H_
 #define LIFTRUDDER_IDENTITY_PERMISSIONS_H_
 
@@ -50,9 +49,9 @@
   bool partial = true;                         // partial results
   bool scrolls = true;
   bool pages = false;                  // /-/metrics and /-/why, which show data of all tenants
-  double weight = 1;                   // of the tenant's share of the work, where work is limited
-  std::string filter;                  // a query that all searches are confined to; empty: none
-  Networks networks;                   // empty: from anywhere
+  double weight = 1;                   // relative share of the limits on all tenants
+  std::string filter;                  // a query that restricts all searches; empty: none
+  Networks networks;                   // empty: any address
   std::set<std::string> certificates;  // names in clients' certificates, for instance dns:a.example
 
   bool operator==(const Permissions&) const = default;
@@ -65,14 +64,14 @@
   std::string audience;
   Micros clock_skew_us = 5'000'000;
   std::size_t max_cached_tokens = 1024;
-  // Limits on all tenants together, shared out by weight; both 0: no limits. Work is counted in shard
+  // Limits on all tenants together, divided by weight; both 0: no limits. Work is counted in shard
   // requests.
   std::int64_t work_per_s = 0;
   std::int64_t max_open_queries = 0;
   std::map<std::string, std::shared_ptr<const Permissions>, std::less<>> tenants;
   std::map<std::string, std::string, std::less<>> tenant_by_certificate;
 
-  // The "identity" member of the operator's file.
+  // Parses the "identity" member of the operator's file.
   static tl::expected<PermissionTable, ReadError> Parse(std::string_view text);
 };
 
--- a/src/identity/read_error.h
+++ b/src/identity/read_error.h
@@ -1,4 +1,4 @@
-// The error of every reader in this module: what was read, and what is wrong with it. Plain data.
+// The error of every parser in this module: what was parsed, and what is wrong with it.
 #ifndef LIFTRUDDER_IDENTITY_READ_ERROR_H_
 #define LIFTRUDDER_IDENTITY_READ_ERROR_H_
 
--- a/src/identity/signature.cpp
+++ b/src/identity/signature.cpp
@@ -9,25 +9,26 @@
 namespace liftrudder::identity {
 namespace {
 
-constexpr std::size_t kSignatureBytes = 64;  // of Ed25519, and of the two numbers of ES256
+constexpr std::size_t kSignatureBytes = 64;  // of Ed25519, and of r and s of ES256 together
 
 const unsigned char* Bytes(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-// ES256 writes its two numbers side by side; OpenSSL expects them in DER. Empty: out of memory.
+// Converts an ES256 signature, r and s concatenated, to the DER that OpenSSL expects; empty if out of memory.
 std::string ToDer(std::string_view signature) {
-  std::unique_ptr<ECDSA_SIG, decltype(&ECDSA_SIG_free)> numbers(ECDSA_SIG_new(), ECDSA_SIG_free);
+  std::unique_ptr<ECDSA_SIG, decltype(&ECDSA_SIG_free)> ecdsa_signature(ECDSA_SIG_new(), ECDSA_SIG_free);
   BIGNUM* r = BN_bin2bn(Bytes(signature), kSignatureBytes / 2, nullptr);
   BIGNUM* s = BN_bin2bn(Bytes(signature) + kSignatureBytes / 2, kSignatureBytes / 2, nullptr);
-  bool owned = numbers && r != nullptr && s != nullptr && ECDSA_SIG_set0(numbers.get(), r, s) == 1;
+  bool owned =
+      ecdsa_signature && r != nullptr && s != nullptr && ECDSA_SIG_set0(ecdsa_signature.get(), r, s) == 1;
   if (!owned) {
     BN_free(r);
     BN_free(s);
     return "";
   }
   unsigned char* der = nullptr;
-  int size = i2d_ECDSA_SIG(numbers.get(), &der);
+  int size = i2d_ECDSA_SIG(ecdsa_signature.get(), &der);
   if (size <= 0) return "";
   std::string text(reinterpret_cast<char*>(der), static_cast<std::size_t>(size));
   OPENSSL_free(der);
--- a/src/identity/signature.h
+++ b/src/identity/signature.h
@@ -1,4 +1,4 @@
-// Verifies a signature over a token with a public key. A plain function for any thread.
+// Verifies a signature over a token with a public key. Thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_SIGNATURE_H_
 #define LIFTRUDDER_IDENTITY_SIGNATURE_H_
 
@@ -8,7 +8,7 @@
 
 namespace liftrudder::identity {
 
-// `signature`: 64 raw bytes, as Ed25519 and ES256 (RFC 7518 section 3.4) have them.
+// `signature` is the 64 raw bytes of Ed25519 or ES256 (RFC 7518 section 3.4); any other length is invalid.
 bool VerifySignature(const Key& key, std::string_view signed_text, std::string_view signature);
 
 }  // namespace liftrudder::identity
--- a/src/identity/signing.cpp
+++ b/src/identity/signing.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kCoordinateBytes = 32;  // of P-256, and of each number of its signature
+constexpr std::size_t kCoordinateBytes = 32;  // of Ed25519 and P-256 keys, and of r and s of ES256
 constexpr std::size_t kMaxDerSignatureBytes = 128;
 
 int NoPassphrase(char*, int, int, void*) { return -1; }
@@ -35,7 +35,7 @@
                                 EVP_PKEY_free);
   ERR_clear_error();
   if (key == nullptr) {
-    return tl::unexpected(ReadError{"", "no private key without a passphrase is in the file"});
+    return tl::unexpected(ReadError{"", "the file has no private key in PEM without a passphrase"});
   }
   bool is_supported = EVP_PKEY_is_a(key.get(), "ED25519") == 1 || IsP256(key.get());
   if (!is_supported) return tl::unexpected(ReadError{"", "the key is neither Ed25519 nor P-256"});
@@ -76,18 +76,18 @@
                  reinterpret_cast<const unsigned char*>(text.data()), text.size());
   out.resize(size);
   if (!is_ecdsa_) return out;
-  // RFC 7518 section 3.4: the two numbers side by side, not DER.
+  // RFC 7518 section 3.4 wants r and s concatenated, not DER.
   const auto* der = reinterpret_cast<const unsigned char*>(out.data());
-  std::unique_ptr<ECDSA_SIG, decltype(&ECDSA_SIG_free)> both(
+  std::unique_ptr<ECDSA_SIG, decltype(&ECDSA_SIG_free)> ecdsa_signature(
       d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(size)), ECDSA_SIG_free);
   std::string raw(2 * kCoordinateBytes, '\0');
   auto* bytes = reinterpret_cast<unsigned char*>(raw.data());
-  BN_bn2binpad(ECDSA_SIG_get0_r(both.get()), bytes, kCoordinateBytes);
-  BN_bn2binpad(ECDSA_SIG_get0_s(both.get()), bytes + kCoordinateBytes, kCoordinateBytes);
+  BN_bn2binpad(ECDSA_SIG_get0_r(ecdsa_signature.get()), bytes, kCoordinateBytes);
+  BN_bn2binpad(ECDSA_SIG_get0_s(ecdsa_signature.get()), bytes + kCoordinateBytes, kCoordinateBytes);
   return raw;
 }
 
-std::string SigningKey::Raw(const std::string& header, const std::string& claims) const {
+std::string SigningKey::RawToken(const std::string& header, const std::string& claims) const {
   std::string text = EncodeBase64Url(header) + "." + EncodeBase64Url(claims);
   return text + "." + EncodeBase64Url(Sign(text));
 }
@@ -97,7 +97,7 @@
 }
 
 std::string SigningKey::Token(const std::string& kid, const Json& claims) const {
-  return Raw(Header(kid), claims.dump());
+  return RawToken(Header(kid), claims.dump());
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/signing.h
+++ b/src/identity/signing.h
@@ -1,5 +1,5 @@
-// Signs tokens with a private key, for trying an installation out and for tests: the coordinator issues no
-// tokens in service. No I/O. For one thread.
+// Signs tokens with a private key, to try out an installation and for tests; the coordinator itself issues no
+// tokens. No I/O. Not thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_SIGNING_H_
 #define LIFTRUDDER_IDENTITY_SIGNING_H_
 
@@ -16,16 +16,16 @@
 
 class SigningKey {
  public:
-  // Ed25519 or P-256, in PEM without a passphrase.
+  // Parses an Ed25519 or P-256 private key in PEM without a passphrase.
   static tl::expected<SigningKey, ReadError> Parse(const std::string& pem);
-  // The key must be one of these two.
+  // `key` must be an Ed25519 or P-256 private key.
   explicit SigningKey(std::shared_ptr<evp_pkey_st> key);
 
-  // The public half, as a member of a key set.
+  // Returns the public key as a JWK.
   nlohmann::json Jwk(const std::string& kid) const;
   std::string Token(const std::string& kid, const nlohmann::json& claims) const;
-  // A token of any header and claims, valid or not.
-  std::string Raw(const std::string& header, const std::string& claims) const;
+  // Signs any header and claims, valid or not.
+  std::string RawToken(const std::string& header, const std::string& claims) const;
   std::string Header(const std::string& kid) const;
   std::string Sign(const std::string& text) const;
 
--- a/src/identity/strict_json.cpp
+++ b/src/identity/strict_json.cpp
@@ -11,13 +11,13 @@
 
 using Json = nlohmann::json;
 
-// Thrown by the parser's callback, caught where the parser is called: the only way to stop it, and depth has
-// to be bounded before the parser's own stack is.
+// Thrown by the parser's callback and caught in ParseStrictJson: the parser cannot be stopped in another way,
+// and deep nesting must be rejected before it exhausts the parser's own stack.
 struct RejectedJson {
   ReadError error;
 };
 
-// Follows the parser through the text and stops it at the first violation.
+// The parser's callback; stops the parser at a duplicate member or too deep nesting.
 class StructureChecker {
  public:
   explicit StructureChecker(std::size_t max_depth) : max_depth_(max_depth) {}
@@ -39,7 +39,7 @@
   }
 
   const std::size_t max_depth_;
-  std::vector<std::set<std::string>> open_objects_;  // names of the members seen so far, by nesting
+  std::vector<std::set<std::string>> open_objects_;  // member names seen so far, outermost object first
 };
 
 }  // namespace
--- a/src/identity/strict_json.h
+++ b/src/identity/strict_json.h
@@ -1,6 +1,6 @@
-// Parses JSON that an untrusted party signed or an operator wrote: bounded in bytes and depth, and without
-// duplicate members, since one parser would take the first and another the last (RFC 7515 section 4). A plain
-// function for any thread.
+// Parses JSON from untrusted clients and from operators, with limits on its bytes and its depth. Duplicate
+// members are an error, since one parser would take the first and another the last (RFC 7515 section 4).
+// Thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_STRICT_JSON_H_
 #define LIFTRUDDER_IDENTITY_STRICT_JSON_H_
 
--- a/src/identity/token.cpp
+++ b/src/identity/token.cpp
@@ -28,7 +28,7 @@
   std::string_view header;
   std::string_view payload;
   std::string_view signature;
-  std::string_view signed_text;  // header and payload with their dot
+  std::string_view signed_text;  // header, dot and payload
 };
 
 struct Header {
@@ -36,7 +36,7 @@
   std::string kid;
 };
 
-std::optional<Sections> Split(std::string_view token) {
+std::optional<Sections> SplitSections(std::string_view token) {
   auto first_dot = token.find('.');
   auto last_dot = token.rfind('.');
   if (first_dot == std::string_view::npos || first_dot == last_dot) return std::nullopt;
@@ -139,7 +139,7 @@
 tl::expected<VerifiedToken, TokenError> VerifyToken(std::string_view token, const KeySet& keys,
                                                     const TokenRequirements& requirements, Micros now_us) {
   if (token.size() > kMaxTokenBytes) return tl::unexpected(TokenError::kTooLong);
-  auto sections = Split(token);
+  auto sections = SplitSections(token);
   if (!sections) return tl::unexpected(TokenError::kNotCompact);
   auto header_text = DecodeBase64Url(sections->header);
   auto payload = DecodeBase64Url(sections->payload);
@@ -149,7 +149,7 @@
   if (!header) return tl::unexpected(header.error());
   const Key* key = keys.Find(header->kid);
   if (key == nullptr) return tl::unexpected(TokenError::kUnknownKey);
-  // The key decides how it signs; the header must only agree, so that an attacker cannot choose.
+  // The key determines the algorithm; the header must agree, so that an attacker cannot choose one.
   bool claims_es256 = header->algorithm == "ES256";
   bool is_es256 = key->algorithm == Algorithm::kEs256;
   if (claims_es256 != is_es256) return tl::unexpected(TokenError::kWrongAlgorithm);
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -1,6 +1,6 @@
 // Callers' compact tokens (JWS, RFC 7515, with the claims of RFC 7519): parsed strictly and verified against
-// a KeySet at a given time, with the exact reason of a rejection. No I/O, no clock. Plain functions for any
-// thread.
+// a KeySet at a given time, with the exact reason for a rejection. Does no I/O and reads no clock.
+// Thread-safe.
 #ifndef LIFTRUDDER_IDENTITY_TOKEN_H_
 #define LIFTRUDDER_IDENTITY_TOKEN_H_
 
@@ -15,18 +15,18 @@
 namespace liftrudder::identity {
 
 constexpr std::size_t kMaxTokenBytes = 4096;
-constexpr std::size_t kMaxClaimBytes = 256;  // of a name in a claim or header
+constexpr std::size_t kMaxClaimBytes = 256;  // of a string in a header or in claims
 
 enum class TokenError {
   kTooLong,
   kNotCompact,   // not three sections separated by two dots
   kBadEncoding,  // a section that is not strict base64url
   kBadHeader,    // not JSON, a duplicate member, a member of another type
-  kCritical,     // `crit`: an extension that this program does not know (RFC 7515 section 4.1.11)
-  kNoAlgorithm,  // `none`, or one that is neither EdDSA nor ES256
+  kCritical,     // `crit` (RFC 7515 section 4.1.11) or `b64` (RFC 7797): extensions are not supported
+  kNoAlgorithm,  // absent, `none`, or neither EdDSA nor ES256
   kNoKid,
   kUnknownKey,
-  kWrongAlgorithm,  // the header's does not fit the key
+  kWrongAlgorithm,  // the header's algorithm differs from the key's
   kKeyAnnounced,
   kKeyRetired,
   kKeyWithdrawn,
@@ -41,22 +41,22 @@
   kNoTenant,  // no tenant, or no subject
 };
 
-// The reason as the audit log shows it.
+// Returns the error's name in the audit log.
 std::string_view Name(TokenError error);
 
 struct TokenRequirements {
   std::string issuer;
   std::string audience;
   Micros clock_skew_us = 5'000'000;        // tolerated in both directions
-  Micros max_lifetime_us = 86400'000'000;  // from `iat`, or from now where it is absent, to `exp`
+  Micros max_lifetime_us = 86400'000'000;  // from `iat`, or from now if it is absent, to `exp`
 };
 
 struct VerifiedToken {
   std::string tenant;
   std::string subject;
   std::string kid;
-  Thumbprint key{};          // that signed it
-  Micros valid_from_us = 0;  // with the tolerated skew, as is the next
+  Thumbprint key{};          // the one that signed the token
+  Micros valid_from_us = 0;  // both times include the tolerated clock skew
   Micros valid_until_us = 0;
 };
 
@@ -64,8 +64,8 @@
 tl::expected<VerifiedToken, TokenError> VerifyToken(std::string_view token, const KeySet& keys,
                                                     const TokenRequirements& requirements, Micros now_us);
 
-// Why signatures of this key do not count now, going by its state alone; nothing: they count. A null key is
-// one that has left the set, which withdraws it.
+// Returns why signatures of this key are not accepted now, by its state alone; nothing if they are. A null
+// key is one that was removed from the set, which withdraws it.
 std::optional<TokenError> CheckKeyState(const Key* key, Micros now_us);
 
 }  // namespace liftrudder::identity
--- a/src/identity/token_verifier.cpp
+++ b/src/identity/token_verifier.cpp
@@ -19,7 +19,7 @@
   for (auto entry = cache_.begin(); entry != cache_.end();) {
     const Key* key = keys_->Find(entry->second.token.kid);
     bool withdrawn = key == nullptr || key->state == KeyState::kWithdrawn;
-    if (withdrawn) by_age_.erase(entry->second.age);
+    if (withdrawn) by_last_use_.erase(entry->second.last_use);
     entry = withdrawn ? cache_.erase(entry) : std::next(entry);
   }
   return std::nullopt;
@@ -52,7 +52,7 @@
   const Key* key = keys_->Find(verified->kid);
   if (auto error = CheckKeyState(key, now_us)) return tl::unexpected(*error);
   if (key->thumbprint != verified->key) return tl::unexpected(TokenError::kUnknownKey);
-  Cache(digest, *verified);
+  AddToCache(digest, *verified);
   return verified;
 }
 
@@ -67,18 +67,18 @@
   // The clock may have been set back.
   if (now_us < token.valid_from_us) return tl::unexpected(TokenError::kNotYet);
   if (key->thumbprint != token.key) return std::nullopt;
-  by_age_.splice(by_age_.end(), by_age_, found->second.age);
+  by_last_use_.splice(by_last_use_.end(), by_last_use_, found->second.last_use);
   return token;
 }
 
-void TokenVerifier::Cache(const Digest& digest, const VerifiedToken& token) {
+void TokenVerifier::AddToCache(const Digest& digest, const VerifiedToken& token) {
   if (max_cached_tokens_ == 0 || cache_.contains(digest)) return;
   while (cache_.size() >= max_cached_tokens_) {
-    cache_.erase(by_age_.front());
-    by_age_.pop_front();
+    cache_.erase(by_last_use_.front());
+    by_last_use_.pop_front();
   }
-  by_age_.push_back(digest);
-  cache_.emplace(digest, CacheEntry{token, std::prev(by_age_.end())});
+  by_last_use_.push_back(digest);
+  cache_.emplace(digest, CacheEntry{token, std::prev(by_last_use_.end())});
 }
 
 }  // namespace liftrudder::identity
--- a/src/identity/token_verifier.h
+++ b/src/identity/token_verifier.h
@@ -1,9 +1,9 @@
-// Verifies callers' tokens against the current KeySet, with a bounded cache of tokens that were verified, so
-// that a token seen before costs one hash. Keys and time are arguments. Any thread; the lock is held for map
-// look-ups only, never while a signature is verified.
+// Verifies callers' tokens against the current KeySet, with a bounded cache of verified tokens, so that a
+// token seen before costs one hash. Keys and time are arguments. Thread-safe; the lock is held for operations
+// on maps only, never while a signature is verified.
 //
-// A cached token counts only as long as the very key that signed it still does, so withdrawing a key takes
-// effect for cached tokens from the moment the new set is in place.
+// A cached token is accepted only while the key that signed it is, so withdrawing a key takes effect for
+// cached tokens as soon as the new set is in place.
 #ifndef LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
 #define LIFTRUDDER_IDENTITY_TOKEN_VERIFIER_H_
 
@@ -25,7 +25,7 @@
  public:
   TokenVerifier(TokenRequirements requirements, std::size_t max_cached_tokens);
 
-  // The set replaces the current one for all calls from now on. On an error nothing changes.
+  // Replaces the current set for all later calls. On an error nothing changes.
   std::optional<ReadError> ReplaceKeys(std::shared_ptr<const KeySet> keys);
   std::shared_ptr<const KeySet> keys() const;
 
@@ -34,25 +34,26 @@
   std::size_t CachedTokens() const;
 
  private:
-  using Digest = std::array<unsigned char, 32>;  // SHA-256 of a token: the cache holds no secret
+  using Digest = std::array<unsigned char, 32>;  // SHA-256 of a token, so that the cache holds no secret
   struct CacheEntry {
     VerifiedToken token;
-    std::list<Digest>::iterator age;
+    std::list<Digest>::iterator last_use;
   };
 
-  // These are called with mutex_ held.
-  // Nothing: not in the cache, or signed by a key that is not in the set any more.
+  // Both need mutex_ to be held.
+  // Returns nothing if the token is not in the cache, or if its kid now names another key than the one that
+  // signed it.
   std::optional<tl::expected<VerifiedToken, TokenError>> FindCached(const Digest& digest, Micros now_us);
-  void Cache(const Digest& digest, const VerifiedToken& token);
+  void AddToCache(const Digest& digest, const VerifiedToken& token);
 
   const TokenRequirements requirements_;
   const std::size_t max_cached_tokens_;
 
-  mutable std::mutex mutex_;  // guards all that follows
+  mutable std::mutex mutex_;  // guards all members below
   std::shared_ptr<const KeySet> keys_;
   KeyIdRegistry known_kids_;
   std::map<Digest, CacheEntry> cache_;
-  std::list<Digest> by_age_;  // least recently used first
+  std::list<Digest> by_last_use_;  // least recently used first
 };
 
 }  // namespace liftrudder::identity
--- a/src/identity/wire_names.h
+++ b/src/identity/wire_names.h
@@ -1,5 +1,5 @@
-// Names in the operator's file, in key sets and in tokens. They are interfaces and never change; the code
-// uses the terms at the right.
+// Names in the operator's file, in key sets and in tokens. They are external interfaces and never change; the
+// constants are named by the terms of the code.
 #ifndef LIFTRUDDER_IDENTITY_WIRE_NAMES_H_
 #define LIFTRUDDER_IDENTITY_WIRE_NAMES_H_
 
@@ -25,7 +25,7 @@
 constexpr char kWeight[] = "weight";
 constexpr char kFilter[] = "filter";
 
-// Key sets: RFC 7517, RFC 8037 and two members of our own.
+// Key sets: RFC 7517, RFC 8037 and two members that only this program defines.
 constexpr char kKeys[] = "keys";
 constexpr char kKeyId[] = "kid";
 constexpr char kKeyType[] = "kty";
--- a/tests/identity/identity_fuzz.cpp
+++ b/tests/identity/identity_fuzz.cpp
@@ -1,8 +1,7 @@
-// The parsers of tokens, key sets and tenants' permissions on arbitrary bytes. With clang this is a libFuzzer
-// target
-// (-DLIFTRUDDER_FUZZ=ON); built as an ordinary program it plays the corpus and a fixed number of inputs made
-// from it, the same each time. No accepted token but those signed here, and no key set that reads differently
-// twice.
+// Fuzzes the parsers of tokens, key sets and tenants' permissions. With clang this is a libFuzzer target
+// (-DLIFTRUDDER_FUZZ=ON); built as an ordinary program it runs the corpus and a fixed number of mutations of
+// it, the same in each run. Guards against accepting a token that was not signed here, and against a key set
+// that parses differently the second time.
 #include <array>
 #include <cstdio>
 #include <cstdlib>
@@ -22,9 +21,9 @@
 constexpr Micros kNow = 1'800'000'000LL * 1'000'000;
 const TokenRequirements kRequirements{"issuer", "gatherer"};
 
-void Need(bool holds, const char* what) {
+void RequireInvariant(bool holds, const char* what) {
   if (holds) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "invariant violated: %s\n", what);
   std::abort();
 }
 
@@ -41,13 +40,13 @@
                    {"nbf", kNow / 1'000'000 - 60},
                    {"tenant", "north"},
                    {"sub", "t"}};
-    signed_here.insert(signer.Token("a", claims));
+    signed_tokens.insert(signer.Token("a", claims));
     claims["aud"] = {"other", "gatherer"};
-    signed_here.insert(signer.Token("a", claims));
+    signed_tokens.insert(signer.Token("a", claims));
     key_set = set.dump();
   }
   std::shared_ptr<const KeySet> keys;
-  std::set<std::string, std::less<>> signed_here;
+  std::set<std::string, std::less<>> signed_tokens;
   std::string key_set;
 };
 const Fixture& TestFixture() {
@@ -60,22 +59,23 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   std::string_view text(reinterpret_cast<const char*>(data), size);
   bool accepted = VerifyToken(text, *TestFixture().keys, kRequirements, kNow).has_value();
-  Need(accepted == TestFixture().signed_here.contains(text), "exactly the tokens signed here are accepted");
+  RequireInvariant(accepted == TestFixture().signed_tokens.contains(text),
+                   "exactly the tokens signed here are accepted");
   auto set = KeySet::Parse(text);
-  auto again = KeySet::Parse(text);
-  Need(set.has_value() == again.has_value(), "a key set parses the same twice");
+  auto set_again = KeySet::Parse(text);
+  RequireInvariant(set.has_value() == set_again.has_value(), "a key set parses the same twice");
   if (set) {
-    Need((*set)->keys().size() <= kMaxKeys, "keys are bounded");
+    RequireInvariant((*set)->keys().size() <= kMaxKeys, "keys are bounded");
     for (const auto& [kid, key] : (*set)->keys()) {
-      Need(kid == key.kid && !kid.empty() && kid.size() <= kMaxKeyIdBytes, "a key has its kid");
-      Need(key.public_key != nullptr, "an accepted key can verify");
+      RequireInvariant(kid == key.kid && !kid.empty() && kid.size() <= kMaxKeyIdBytes, "a key has its kid");
+      RequireInvariant(key.public_key != nullptr, "an accepted key can verify");
     }
-    Need(Differences(**set, **again).empty(), "a key set does not differ from itself");
+    RequireInvariant(Differences(**set, **set_again).empty(), "a key set does not differ from itself");
   } else {
-    Need(!set.error().Message().empty(), "a rejected key set says why");
+    RequireInvariant(!set.error().Message().empty(), "a rejected key set says why");
   }
   auto table = PermissionTable::Parse(text);
-  if (!table) Need(!table.error().Message().empty(), "a rejected permission table says why");
+  if (!table) RequireInvariant(!table.error().Message().empty(), "a rejected permission table says why");
   return 0;
 }
 
@@ -88,7 +88,7 @@
 
 namespace {
 
-constexpr int kInputs = 30'000;  // made from the corpus; some three seconds
+constexpr int kMutations = 30'000;  // mutations of the corpus; they take about three seconds
 
 std::string Mutate(std::string text, const std::vector<std::string>& corpus, std::mt19937_64& random) {
   for (int changes = 1 + static_cast<int>(random() % 3); changes > 0; --changes) {
@@ -118,7 +118,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::vector<std::string> corpus(TestFixture().signed_here.begin(), TestFixture().signed_here.end());
+  std::vector<std::string> corpus(TestFixture().signed_tokens.begin(), TestFixture().signed_tokens.end());
   corpus.push_back(TestFixture().key_set);
   std::vector<std::filesystem::path> files;
   for (const auto& entry : std::filesystem::directory_iterator(argc > 1 ? argv[1] : ".")) {
@@ -129,13 +129,13 @@
     std::ifstream in(file, std::ios::binary);
     corpus.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
   }
-  auto play = [](const std::string& text) {
+  auto run_input = [](const std::string& text) {
     LLVMFuzzerTestOneInput(reinterpret_cast<const unsigned char*>(text.data()), text.size());
   };
-  for (const std::string& text : corpus) play(text);
+  for (const std::string& text : corpus) run_input(text);
   std::mt19937_64 random(1);
-  for (int i = 0; i < kInputs; ++i) play(Mutate(corpus[random() % corpus.size()], corpus, random));
-  std::printf("%zu kept inputs and %d made from them\n", corpus.size(), kInputs);
+  for (int i = 0; i < kMutations; ++i) run_input(Mutate(corpus[random() % corpus.size()], corpus, random));
+  std::printf("%zu inputs of the corpus and %d mutations of them\n", corpus.size(), kMutations);
   return files.empty() ? 1 : 0;
 }
 #endif
--- a/tests/opensearch/access_control_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -176,7 +176,7 @@
        {std::tuple("/tenants/north/netwroks", Json::array({"10.0.0.0/8"}),
                    "tenant 'north': [netwroks] is not known"),
         {"/tenants/north/networks", Json::array({"10.0.0.0/33"}), "tenant 'north': [networks] '10.0.0.0/33'"},
-        {"/tenants/north/networks", Json::array(), "names none"},
+        {"/tenants/north/networks", Json::array(), "[networks] is empty"},
         {"/tenants/north/indices", Json("x"), "[indices]"},
         {"/tenants/a\nb", Json::object(), "control character"},
         {"/tenants/north/filter", Json::object(), "[filter]"},
--- a/tests/support/token_signer.h
+++ b/tests/support/token_signer.h
@@ -1,4 +1,4 @@
-// What the issuer of callers' tokens would hold: a key pair of the tests' own, made anew each time.
+// A signer of callers' tokens for tests, with a new key pair each time.
 #ifndef LIFTRUDDER_TESTS_SUPPORT_TOKEN_SIGNER_H_
 #define LIFTRUDDER_TESTS_SUPPORT_TOKEN_SIGNER_H_
 
@@ -19,7 +19,7 @@
       : SigningKey(
             {ecdsa ? EVP_EC_gen("P-256") : EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519"), EVP_PKEY_free}) {}
 
-  // Always the same key pair, for inputs that are kept.
+  // Always the same key pair, for inputs of a stored corpus.
   explicit Signer(const std::array<unsigned char, 32>& ed25519)
       : SigningKey({EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, ed25519.data(), ed25519.size()),
                     EVP_PKEY_free}) {}
