--- a/tests/opensearch/access_control_test.cpp
+++ b/tests/opensearch/access_control_test.cpp
@@ -180,7 +180,7 @@
        {std::tuple("/tenants/north/netwroks", Json::array({"10.0.0.0/8"}),
                    "tenant 'north': [netwroks] is not known"),
         {"/tenants/north/networks", Json::array({"10.0.0.0/33"}), "tenant 'north': [networks] '10.0.0.0/33'"},
-        {"/tenants/north/networks", Json::array(), "names none"},
+        {"/tenants/north/networks", Json::array(), "[networks] is empty"},
         {"/tenants/north/indices", Json("x"), "[indices]"},
         {"/tenants/a\nb", Json::object(), "control character"},
         {"/tenants/north/filter", Json::object(), "[filter]"},
