--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -208,7 +208,7 @@
     endpoints.push_back(std::make_unique<test_support::FakeEndpoint>([](const std::string&, std::size_t) {
       return test_support::Behaviour{test_support::Act::kServe, 3'000};
     }));
-    discovery.Tell(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
+    discovery.UpdateEndpoint(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
                                                        Config(discovery, bytes));
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -69,7 +69,7 @@
           return test_support::Behaviour{test_support::Act::kServe,
                                          10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
         }));
-    discovery.Tell(fmt::format("s-{}", cell), fake_endpoints.back()->addr(), cell, "ready");
+    discovery.UpdateEndpoint(fmt::format("s-{}", cell), fake_endpoints.back()->addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
                                                        Config(discovery, endpoints));
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -40,7 +40,7 @@
     std::vector<test_support::FakeDiscovery::Entry> all;
     all.reserve(kMaxEndpoints);
     for (int i = 0; i < kMaxEndpoints; ++i) all.push_back({fmt::format("h{}", i), fleet.addr(i), i});
-    discovery.Tell(all);
+    discovery.UpdateEndpoints(all);
   }
   int ShardRequestsReceived() const {
     int sum = 0;
@@ -198,10 +198,10 @@
   CHECK(stats["app_cluster_size"] == kMaxEndpoints);
   CHECK(stats["app_cluster_unhealthy"] == 0);
   // One endpoint drains (listed but avoided), then is removed; a query for its shard is rejected or fails.
-  environment.discovery.Tell("h2", environment.fleet.addr(2), 2, "draining");
+  environment.discovery.UpdateEndpoint("h2", environment.fleet.addr(2), 2, "draining");
   WaitUntil([&] { return admin.Stats()["app_cluster_unhealthy"] == 1; }, "one avoided");
   CHECK(admin.Stats()["app_cluster_size"] == kMaxEndpoints);
-  environment.discovery.Tell("h2", environment.fleet.addr(2), 2, "gone");
+  environment.discovery.UpdateEndpoint("h2", environment.fleet.addr(2), 2, "gone");
   // The size of the list changes at once, the number of avoided endpoints in the next decision round.
   WaitUntil([&] { return admin.Stats()["app_cluster_size"] == kMaxEndpoints - 1; }, "one less");
   WaitUntil([&] { return admin.Stats()["app_cluster_unhealthy"] == 0; }, "none avoided");
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -307,7 +307,7 @@
           }
           return behaviour;
         }));
-    discovery.Tell("s-" + std::to_string(cell), endpoints.back()->addr(), cell, "ready");
+    discovery.UpdateEndpoint("s-" + std::to_string(cell), endpoints.back()->addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
                                                        Config(discovery, directory));
@@ -337,7 +337,7 @@
   wait_for_requests(800);
   silence = true;
   wait_for_requests(1600);
-  discovery.Tell("s-2", endpoints[2]->addr(), 2, "draining");
+  discovery.UpdateEndpoint("s-2", endpoints[2]->addr(), 2, "draining");
   wait_for_requests(3000);
   silence = false;
   for (int client_index = kClients; client_index < kClients + kBurstClients; ++client_index) {
@@ -460,7 +460,7 @@
     return test_support::Behaviour{Act::kServe, 1'500'000};  // longer than the listener stays open
   });
   for (int cell = 0; cell < kEndpoints; ++cell) {
-    discovery.Tell("s-" + std::to_string(cell), endpoint.addr(), cell, "ready");
+    discovery.UpdateEndpoint("s-" + std::to_string(cell), endpoint.addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, temporary_directory.path(),
                                                        Config(discovery, temporary_directory.path()));
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -83,10 +83,10 @@
     "a list that grows from 4 endpoints to 1,024 is served within the limits, also while half of it drains") {
   test_support::TestFleet fleet(kMaxEndpoints, kServeUs);
   test_support::FakeDiscovery discovery;
-  discovery.Indent();
+  discovery.EnableIndentation();
   std::vector<test_support::FakeDiscovery::Entry> few, rest;
   for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Id(i), fleet.addr(i), i});
-  discovery.Tell(few);
+  discovery.UpdateEndpoints(few);
   test_support::TemporaryDirectory directory;
   test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, directory.path(), Config(discovery));
   INFO(coordinator.Log());
@@ -94,7 +94,7 @@
   // The program listens before its watch is open. If the rest were added now, both parts could arrive as one
   // list, which would not grow.
   WaitForLog(coordinator, fmt::format(", full: {} entries", few.size()));
-  discovery.Tell(rest);
+  discovery.UpdateEndpoints(rest);
   WaitForLog(coordinator, fmt::format("{} entries", rest.size()));
 
   for (int round = 0; round < 3; ++round) {
@@ -107,7 +107,7 @@
   std::vector<test_support::FakeDiscovery::Entry> draining;
   std::vector<int> before;
   for (int i = 0; i < kMaxEndpoints; i += 2) draining.push_back({Id(i), fleet.addr(i), i, "draining"});
-  discovery.Tell(draining);
+  discovery.UpdateEndpoints(draining);
   WaitForLog(coordinator, fmt::format("{} entries", draining.size()));
   for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(fleet.shard_requests(i));
   for (int round = 0; round < 3; ++round) {
--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -270,7 +270,7 @@
     std::vector<test_support::FakeDiscovery::Entry> entries;
     entries.reserve(kEndpoints);
     for (int i = 0; i < kEndpoints; ++i) entries.push_back({fmt::format("h{}", i), fleet_.addr(i), i});
-    discovery_.Tell(entries);
+    discovery_.UpdateEndpoints(entries);
     process_ = std::make_unique<test_support::CoordinatorProcess>(LIFTRUDDER_PROGRAM, directory_.path(),
                                                                   CoordinatorConfig(discovery_));
     INFO(process_->Log());
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -30,12 +30,12 @@
   server_thread_.Join();
 }
 
-void FakeDiscovery::Tell(const std::string& id, const std::string& endpoint_addr, int cell,
-                         const std::string& state) {
-  Tell({{id, endpoint_addr, cell, state}});
+void FakeDiscovery::UpdateEndpoint(const std::string& id, const std::string& endpoint_addr, int cell,
+                                   const std::string& state) {
+  UpdateEndpoints({{id, endpoint_addr, cell, state}});
 }
 
-void FakeDiscovery::Tell(const std::vector<Entry>& entries) {
+void FakeDiscovery::UpdateEndpoints(const std::vector<Entry>& entries) {
   std::lock_guard lock(mutex_);
   std::string entries_json;
   for (const Entry& change : entries) {
--- a/tools/test_support/fake_discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -20,7 +20,7 @@
   ~FakeDiscovery();
 
   // From now on lists are indented, and chunk boundaries may be at any byte.
-  void Indent() { indented_ = true; }
+  void EnableIndentation() { indented_ = true; }
   // One endpoint of a change.
   struct Entry {
     std::string id, addr;
@@ -28,11 +28,12 @@
     std::string state = "ready";
   };
   // Changes several endpoints at once and sends the change to all watches as one list.
-  void Tell(const std::vector<Entry>& entries);
+  void UpdateEndpoints(const std::vector<Entry>& entries);
 
   const std::string& addr() const { return addr_; }
   // The same for one endpoint. `state`: ready, draining or gone (removed).
-  void Tell(const std::string& id, const std::string& endpoint_addr, int cell, const std::string& state);
+  void UpdateEndpoint(const std::string& id, const std::string& endpoint_addr, int cell,
+                      const std::string& state);
   // The full list, in the format that discovery sends and that a configuration holds as the cached list.
   std::string List() const;
 
