--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -206,7 +206,7 @@
   std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
   for (int cell = 0; cell < kEndpoints; ++cell) {
     endpoints.push_back(std::make_unique<test_support::FakeEndpoint>([](const std::string&, std::size_t) {
-      return test_support::Behaviour{test_support::Act::kServe, 3'000};
+      return test_support::PlannedResponse{test_support::ResponseKind::kServe, 3'000};
     }));
     discovery.UpdateEndpoint(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
   }
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -66,8 +66,8 @@
     fake_endpoints.push_back(
         std::make_unique<test_support::FakeEndpoint>([cell](const std::string&, std::size_t nth) {
           auto extra_delay_ms = (static_cast<std::size_t>(cell) * 7919 + nth * 104729) % 100;
-          return test_support::Behaviour{test_support::Act::kServe,
-                                         10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
+          return test_support::PlannedResponse{test_support::ResponseKind::kServe,
+                                               10'000 + static_cast<net::Micros>(extra_delay_ms) * 1'000};
         }));
     discovery.UpdateEndpoint(fmt::format("s-{}", cell), fake_endpoints.back()->addr(), cell, "ready");
   }
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -27,7 +27,7 @@
 using decision_log::Progress;
 using decision_log::Verdict;
 using liftrudder::routing::AttemptOutcome;
-using test_support::Act;
+using test_support::ResponseKind;
 
 namespace {
 
@@ -42,8 +42,8 @@
 
 // What endpoints and clients observed.
 struct Observations {
-  std::map<std::string, std::vector<test_support::LoggedRequest>> endpoints;  // by endpoint id
-  std::map<std::string, ClientResult> clients;                                // by call id
+  std::map<std::string, std::vector<test_support::ReceivedRequest>> endpoints;  // by endpoint id
+  std::map<std::string, ClientResult> clients;                                  // by call id
 };
 
 bool ReachedEndpoint(const decision_log::AttemptTrace& attempt) {
@@ -55,10 +55,10 @@
 class TraceComparison {
  public:
   explicit TraceComparison(const Observations& observations) : observations_(observations) {
-    for (const auto& [endpoint, log] : observations.endpoints) {
-      for (const test_support::LoggedRequest& request : log) {
-        logged_[{endpoint, request.shard_request}].push_back(&request);
-        ++logged_by_query_[request.shard_request.substr(0, request.shard_request.rfind('.'))];
+    for (const auto& [endpoint, received_requests] : observations.endpoints) {
+      for (const test_support::ReceivedRequest& request : received_requests) {
+        received_[{endpoint, request.shard_request}].push_back(&request);
+        ++received_by_query_[request.shard_request.substr(0, request.shard_request.rfind('.'))];
       }
     }
   }
@@ -71,7 +71,7 @@
 
  private:
   using Attempts = std::vector<const decision_log::AttemptTrace*>;
-  using LoggedRequests = std::vector<const test_support::LoggedRequest*>;
+  using ReceivedRequests = std::vector<const test_support::ReceivedRequest*>;
 
   void Report(const std::string& id, const std::string& what) { differences_.push_back(id + ": " + what); }
 
@@ -91,8 +91,8 @@
     if (result.status == 200 && shard_responses != trace.shard_responses) {
       Report(trace.call_id, "the client got another number of shard responses");
     }
-    auto logged = logged_by_query_.find(trace.call_id);
-    std::size_t all = logged == logged_by_query_.end() ? 0 : logged->second;
+    auto received = received_by_query_.find(trace.call_id);
+    std::size_t all = received == received_by_query_.end() ? 0 : received->second;
     if (all != explained) {
       Report(trace.call_id,
              fmt::format("the endpoints logged {} attempts, of which {} are explained", all, explained));
@@ -116,7 +116,7 @@
     if (result.status == 429 && trace.verdict != Verdict::kRejected) Report(id, "not recorded as rejected");
   }
 
-  // Returns how many of the endpoints' logged requests the attempts explain.
+  // Returns how many of the endpoints' received requests the attempts explain.
   std::size_t CompareShardRequest(const decision_log::QueryTrace& trace,
                                   const decision_log::ShardRequestTrace& shard_request) {
     std::string id = fmt::format("{}.{}", trace.call_id, shard_request.shard);
@@ -130,7 +130,7 @@
     }
     std::size_t explained = 0;
     for (auto& [endpoint, attempts] : sent) {
-      explained += CompareWithLog(id, endpoint, std::move(attempts), trace.arrived_us);
+      explained += CompareWithReceivedRequests(id, endpoint, std::move(attempts), trace.arrived_us);
     }
     return explained;
   }
@@ -150,10 +150,10 @@
     if (before.outcome != attempt.after) Report(id, "a retry after another outcome");
   }
 
-  std::size_t CompareWithLog(const std::string& id, const std::string& endpoint, Attempts attempts,
-                             net::Micros arrived_us) {
-    auto found = logged_.find({endpoint, id});
-    const LoggedRequests requests = found == logged_.end() ? LoggedRequests{} : found->second;
+  std::size_t CompareWithReceivedRequests(const std::string& id, const std::string& endpoint,
+                                          Attempts attempts, net::Micros arrived_us) {
+    auto found = received_.find({endpoint, id});
+    const ReceivedRequests requests = found == received_.end() ? ReceivedRequests{} : found->second;
     // An endpoint may not have read a request that was written completely before a reset for another shard
     // request ended the shared connection.
     auto unread = [](const auto* attempt) { return attempt->cause == Cause::kConnectionLost; };
@@ -166,37 +166,40 @@
       return 0;
     }
     for (std::size_t i = 0; i < requests.size(); ++i) {
-      CompareEnd(id, *attempts[i], requests[i]->act);
+      CompareEnd(id, *attempts[i], requests[i]->response_kind);
       net::Micros sent_us = arrived_us + attempts[i]->at_us;
       if (requests[i]->at_us + 2'000 < sent_us) Report(id, "logged before it was sent");
     }
     return requests.size();
   }
 
-  void CompareEnd(const std::string& id, const decision_log::AttemptTrace& attempt, Act act) {
+  void CompareEnd(const std::string& id, const decision_log::AttemptTrace& attempt,
+                  ResponseKind response_kind) {
     bool fits = true;
-    if (attempt.cause == Cause::kServed) fits = act == Act::kServe && attempt.outcome == AttemptOutcome::kOk;
+    if (attempt.cause == Cause::kServed)
+      fits = response_kind == ResponseKind::kServe && attempt.outcome == AttemptOutcome::kOk;
     if (attempt.cause == Cause::kEndpointError) {
-      fits = act == Act::kBreak && attempt.outcome == AttemptOutcome::kError;
+      fits = response_kind == ResponseKind::kError && attempt.outcome == AttemptOutcome::kError;
     }
     if (attempt.cause == Cause::kEndpointRejected) {
-      fits = act == Act::kSkip && attempt.outcome == AttemptOutcome::kOverloaded;
+      fits = response_kind == ResponseKind::kReject && attempt.outcome == AttemptOutcome::kOverloaded;
     }
     // A reset for one shard request ends all those on the shared connection.
     if (attempt.cause == Cause::kConnectionLost) fits = attempt.outcome == AttemptOutcome::kReset;
     if (attempt.cause == Cause::kInvalidResponse) fits = attempt.outcome == AttemptOutcome::kError;
     if (!fits) Report(id, fmt::format("the attempt at {} ended otherwise", attempt.endpoint.id));
     // Only the coordinator, or the loss of a connection, ends an attempt without a response.
-    if (act == Act::kSilent && attempt.cause != Cause::kCancelled && attempt.cause != Cause::kExpired &&
-        attempt.cause != Cause::kConnectionLost && attempt.cause != Cause::kInvalidResponse) {
+    if (response_kind == ResponseKind::kSilent && attempt.cause != Cause::kCancelled &&
+        attempt.cause != Cause::kExpired && attempt.cause != Cause::kConnectionLost &&
+        attempt.cause != Cause::kInvalidResponse) {
       Report(id, fmt::format("{} gave no response", attempt.endpoint.id));
     }
   }
 
   const Observations& observations_;
-  std::map<std::pair<std::string, std::string>, LoggedRequests>
-      logged_;                                          // by endpoint and shard request's id
-  std::map<std::string, std::size_t> logged_by_query_;  // by call id
+  std::map<std::pair<std::string, std::string>, ReceivedRequests>
+      received_;                                          // by endpoint and shard request's id
+  std::map<std::string, std::size_t> received_by_query_;  // by call id
   std::vector<std::string> differences_;
 };
 
@@ -289,23 +292,23 @@
         [cell, &silence](const std::string& shard_request, std::size_t nth) {
           std::uint64_t random_bits =
               decision_log::HashId(shard_request + std::to_string(cell) + (nth % 2 == 0 ? "a" : "b"));
-          test_support::Behaviour behaviour;
-          behaviour.delay_us = 1'000 + static_cast<net::Micros>(random_bits >> 40) % 14'000;
+          test_support::PlannedResponse planned_response;
+          planned_response.delay_us = 1'000 + static_cast<net::Micros>(random_bits >> 40) % 14'000;
           std::uint64_t draw = random_bits % 200;
           if (cell == 5 && silence) {
-            behaviour.act = Act::kSilent;
+            planned_response.response_kind = ResponseKind::kSilent;
           } else if (draw < 8) {
-            behaviour.act = Act::kSkip;
+            planned_response.response_kind = ResponseKind::kReject;
           } else if (draw < 14) {
-            behaviour.act = Act::kBreak;
+            planned_response.response_kind = ResponseKind::kError;
           } else if (draw < 17) {
-            behaviour.act = Act::kReset;
+            planned_response.response_kind = ResponseKind::kReset;
           } else if (draw < 19) {
-            behaviour.act = Act::kSpoil;
+            planned_response.response_kind = ResponseKind::kMalformed;
           } else if (draw < 20) {
-            behaviour.act = Act::kSilent;
+            planned_response.response_kind = ResponseKind::kSilent;
           }
-          return behaviour;
+          return planned_response;
         }));
     discovery.UpdateEndpoint("s-" + std::to_string(cell), endpoints.back()->addr(), cell, "ready");
   }
@@ -323,14 +326,14 @@
                 seen[static_cast<std::size_t>(client_index)]);
     });
   }
-  // Events are timed by the number of requests that the endpoints have logged, not by a clock.
-  auto count_logged_requests = [&] {
+  // Events are timed by the number of requests that the endpoints have received, not by a clock.
+  auto count_received_requests = [&] {
     std::size_t all = 0;
-    for (const auto& endpoint : endpoints) all += endpoint->Log().size();
+    for (const auto& endpoint : endpoints) all += endpoint->ReceivedRequests().size();
     return all;
   };
   auto wait_for_requests = [&](std::size_t shard_requests) {
-    for (int i = 0; i < 2000 && count_logged_requests() < shard_requests; ++i) {
+    for (int i = 0; i < 2000 && count_received_requests() < shard_requests; ++i) {
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
   };
@@ -374,7 +377,8 @@
     rejected_at_intake += result.status == 503 ? 1 : 0;
   }
   for (int cell = 0; cell < kEndpoints; ++cell) {
-    observations.endpoints["s-" + std::to_string(cell)] = endpoints[static_cast<std::size_t>(cell)]->Log();
+    observations.endpoints["s-" + std::to_string(cell)] =
+        endpoints[static_cast<std::size_t>(cell)]->ReceivedRequests();
   }
 
   decision_log::RecordFile record = decision_log::RecordFile::Open(directory + "/why.record");
@@ -457,7 +461,8 @@
   test_support::TemporaryDirectory temporary_directory;
   test_support::FakeDiscovery discovery;
   test_support::FakeEndpoint endpoint([](const std::string&, std::size_t) {
-    return test_support::Behaviour{Act::kServe, 1'500'000};  // longer than the listener stays open
+    // Longer than the listener stays open.
+    return test_support::PlannedResponse{ResponseKind::kServe, 1'500'000};
   });
   for (int cell = 0; cell < kEndpoints; ++cell) {
     discovery.UpdateEndpoint("s-" + std::to_string(cell), endpoint.addr(), cell, "ready");
@@ -468,7 +473,7 @@
   int status = 0;
   std::thread client(
       [&] { status = test_support::Fetch(coordinator_process.addr(), Request("last", 1, 0)).status; });
-  while (endpoint.Log().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+  while (endpoint.ReceivedRequests().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   CHECK(coordinator_process.Stop() >= 0);
   client.join();
   CHECK(status == 200);
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -44,9 +44,9 @@
   for (const auto& connection : connections_) connection->read_thread.Join();
 }
 
-std::vector<LoggedRequest> FakeEndpoint::Log() const {
+std::vector<ReceivedRequest> FakeEndpoint::ReceivedRequests() const {
   std::lock_guard lock(mutex_);
-  return log_;
+  return received_requests_;
 }
 
 void FakeEndpoint::AcceptLoop() {
@@ -86,10 +86,10 @@
   if (frame.empty()) return;
   if (frame[0] == 'c') {
     std::string shard_request(frame.substr(1));
-    auto last = std::find_if(log_.rbegin(), log_.rend(), [&](const LoggedRequest& request) {
-      return request.shard_request == shard_request;
-    });
-    if (last != log_.rend()) last->cancellation_requested = true;
+    auto last =
+        std::find_if(received_requests_.rbegin(), received_requests_.rend(),
+                     [&](const ReceivedRequest& request) { return request.shard_request == shard_request; });
+    if (last != received_requests_.rend()) last->cancellation_requested = true;
     return;
   }
   if (frame[0] != 'q') return;
@@ -100,10 +100,11 @@
     std::size_t length = 0;
     line >> shard_request >> shard >> list >> length;
     frame.remove_prefix(std::min(frame.size(), frame.find('\n') + 1 + length));
-    Behaviour behaviour = script_(shard_request, log_.size());
-    log_.push_back({shard_request, clock_.Now(), behaviour.act, false});
-    if (behaviour.act == Act::kSilent) continue;
-    replies_.emplace(clock_.Now() + behaviour.delay_us, Reply{connection, shard_request, behaviour.act});
+    PlannedResponse planned = script_(shard_request, received_requests_.size());
+    received_requests_.push_back({shard_request, clock_.Now(), planned.response_kind, false});
+    if (planned.response_kind == ResponseKind::kSilent) continue;
+    replies_.emplace(clock_.Now() + planned.delay_us,
+                     Reply{connection, shard_request, planned.response_kind});
     reply_queued_.notify_one();
   }
 }
@@ -123,13 +124,15 @@
     Reply reply = std::move(replies_.begin()->second);
     replies_.erase(replies_.begin());
     lock.unlock();
-    const char* status = reply.act == Act::kBreak ? "broke" : reply.act == Act::kSkip ? "skipped" : "served";
-    switch (reply.act) {
-      case Act::kReset:
+    const char* status = reply.response_kind == ResponseKind::kError    ? "broke"
+                         : reply.response_kind == ResponseKind::kReject ? "skipped"
+                                                                        : "served";
+    switch (reply.response_kind) {
+      case ResponseKind::kReset:
         reply.connection->closed = true;
         Reset(reply.connection->fd);
         break;
-      case Act::kSpoil:
+      case ResponseKind::kMalformed:
         net::WriteAll(reply.connection->fd, Frame("z no such letter"), kWriteTimeoutUs);
         break;
       default:
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -18,30 +18,30 @@
 
 namespace liftrudder::test_support {
 
-enum class Act { kServe, kBreak, kSkip, kReset, kSilent, kSpoil };
+enum class ResponseKind { kServe, kError, kReject, kReset, kSilent, kMalformed };
 
-struct Behaviour {
-  Act act = Act::kServe;
+struct PlannedResponse {
+  ResponseKind response_kind = ResponseKind::kServe;
   net::Micros delay_us = 0;
 };
 
-struct LoggedRequest {
+struct ReceivedRequest {
   std::string shard_request;  // its id: the call id, a dot and the shard number
   net::Micros at_us = 0;
-  Act act = Act::kServe;                // how it was answered
-  bool cancellation_requested = false;  // its cancellation was requested
+  ResponseKind response_kind = ResponseKind::kServe;  // how it was answered
+  bool cancellation_requested = false;                // its cancellation was requested
 };
 
 class FakeEndpoint {
  public:
   // Called for each shard request, on its connection's thread; `nth`: the number of earlier shard requests.
-  using Script = std::function<Behaviour(const std::string& shard_request, std::size_t nth)>;
+  using Script = std::function<PlannedResponse(const std::string& shard_request, std::size_t nth)>;
 
   explicit FakeEndpoint(Script script);
   ~FakeEndpoint();
 
   const std::string& addr() const { return addr_; }
-  std::vector<LoggedRequest> Log() const;
+  std::vector<ReceivedRequest> ReceivedRequests() const;
 
  private:
   struct Connection {
@@ -52,7 +52,7 @@
   struct Reply {
     std::shared_ptr<Connection> connection;
     std::string shard_request;
-    Act act = Act::kServe;
+    ResponseKind response_kind = ResponseKind::kServe;
   };
 
   void AcceptLoop();
@@ -67,7 +67,7 @@
   mutable std::mutex mutex_;
   std::condition_variable reply_queued_;
   bool stopping_ = false;
-  std::vector<LoggedRequest> log_;
+  std::vector<ReceivedRequest> received_requests_;
   std::multimap<net::Micros, Reply> replies_;
   std::list<std::shared_ptr<Connection>> connections_;
   net::Thread accept_thread_, reply_thread_;
