--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -123,7 +123,7 @@
   std::size_t start = 0;
   int warm_up = queries / 4;
   for (int i = 0; i < queries + warm_up; ++i) {
-    if (i == warm_up) start = test_support::Allocations();
+    if (i == warm_up) start = test_support::AllocationCount();
     coordinator::QueryRequest request;
     request.received_us = clock.Now();
     request.deadline_us = request.received_us + 4'000'000;
@@ -138,7 +138,7 @@
     while (unanswered.load() > 4) std::this_thread::yield();
   }
   while (unanswered.load() > 0) std::this_thread::yield();
-  std::size_t used = test_support::Allocations() - start;
+  std::size_t used = test_support::AllocationCount() - start;
   done = true;
   coordinator.Stop();
   loop.join();
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -204,17 +204,18 @@
     decision_log::Question question;
     question.filter.limit = 500;
     question.json = json;
-    test_support::ForgetMost();
-    std::size_t before = test_support::BytesHeld();
+    test_support::ResetPeakAllocatedBytes();
+    std::size_t before = test_support::AllocatedBytes();
     CHECK(decision_log::AnswerFrom(f.recorder.record_file(), question).body.size() > 100'000);
     // The reply, whose capacity doubles as it grows, and one decoded query of the largest kind.
-    if (test_support::kCounted) {
-      CHECK(test_support::MostBytesHeld() - before < 3 * decision_log::kMaxReplyBytes);
+    if (test_support::kAllocationsCounted) {
+      CHECK(test_support::PeakAllocatedBytes() - before < 3 * decision_log::kMaxReplyBytes);
     }
     question.filter.id = "wide";
-    test_support::ForgetMost();
+    test_support::ResetPeakAllocatedBytes();
     CHECK(decision_log::AnswerFrom(f.recorder.record_file(), question).status == 200);
-    if (test_support::kCounted) CHECK(test_support::MostBytesHeld() - before < 8 * 1024 * 1024);
+    if (test_support::kAllocationsCounted)
+      CHECK(test_support::PeakAllocatedBytes() - before < 8 * 1024 * 1024);
   }
 }
 
@@ -269,7 +270,7 @@
   for (int i = 0; i < 20'000; ++i) ids.push_back("query-" + std::to_string(i));
   std::vector<decision_log::RecordedShardRequest> shard_requests(6, {1, 0.1, 100});
   std::size_t claimed = f.recorder.ClaimedBytes();
-  std::size_t before = test_support::Allocations();
+  std::size_t before = test_support::AllocationCount();
   for (int i = 0; i < 20'000; ++i) {
     f.Advance(7'000);
     std::uint32_t query = f.next_query;
@@ -285,9 +286,9 @@
     f.End(query, i % 50 == 0 ? Verdict::kRejected : Verdict::kComplete);
     f.recorder.Flush();
   }
-  if (test_support::kCounted) {
+  if (test_support::kAllocationsCounted) {
     CHECK(before > 0);  // allocations are counted at all
-    CHECK(test_support::Allocations() == before);
+    CHECK(test_support::AllocationCount() == before);
   }
   CHECK(f.recorder.ClaimedBytes() == claimed);
   CHECK(claimed <= kRecordBytes);
--- a/tools/test_support/allocation_counter.cpp
+++ b/tools/test_support/allocation_counter.cpp
@@ -9,14 +9,14 @@
 namespace liftrudder::test_support {
 namespace {
 
-std::atomic<std::size_t> allocation_count{0}, held_bytes{0}, peak_bytes{0};
+std::atomic<std::size_t> allocation_count{0}, allocated_bytes{0}, peak_bytes{0};
 
 }  // namespace
 
-std::size_t Allocations() { return allocation_count; }
-std::size_t BytesHeld() { return held_bytes; }
-std::size_t MostBytesHeld() { return peak_bytes; }
-void ForgetMost() { peak_bytes = held_bytes.load(); }
+std::size_t AllocationCount() { return allocation_count; }
+std::size_t AllocatedBytes() { return allocated_bytes; }
+std::size_t PeakAllocatedBytes() { return peak_bytes; }
+void ResetPeakAllocatedBytes() { peak_bytes = allocated_bytes.load(); }
 
 namespace {
 
@@ -25,7 +25,7 @@
   if (memory == nullptr) throw std::bad_alloc();
   allocation_count.fetch_add(1, std::memory_order_relaxed);
   std::size_t current_bytes =
-      held_bytes.fetch_add(::malloc_usable_size(memory)) + ::malloc_usable_size(memory);
+      allocated_bytes.fetch_add(::malloc_usable_size(memory)) + ::malloc_usable_size(memory);
   for (std::size_t previous_peak = peak_bytes;
        previous_peak < current_bytes && !peak_bytes.compare_exchange_weak(previous_peak, current_bytes);) {
   }
@@ -33,7 +33,7 @@
 }
 
 [[maybe_unused]] void CountedFree(void* memory) {
-  if (memory != nullptr) held_bytes.fetch_sub(::malloc_usable_size(memory));
+  if (memory != nullptr) allocated_bytes.fetch_sub(::malloc_usable_size(memory));
   std::free(memory);
 }
 
