--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -220,7 +220,7 @@
   std::vector<std::thread> clients;
   for (int client_index = 0; client_index < kClients; ++client_index) {
     clients.emplace_back([&] {
-      net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
+      net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kTestTimeoutUs);
       for (int i = next.fetch_add(1); i < queries; i = next.fetch_add(1)) {
         std::string tablets, in;
         for (int shard_request = 0; shard_request < kShardRequests; ++shard_request) {
@@ -233,11 +233,11 @@
             fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: b-{}\r\nX-Call-Class: search\r\n"
                         "X-Budget: 3.5\r\nContent-Length: {}\r\n\r\n{}",
                         i, body.size(), body),
-            test_support::kPatience);
+            test_support::kTestTimeoutUs);
         net::HttpParser parser(net::HttpParser::Kind::kResponse);
         auto state = net::HttpParser::State::kHead;
         while (state != net::HttpParser::State::kDone &&
-               net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk) {
+               net::ReadSome(fd, in, test_support::kTestTimeoutUs) == net::Io::kOk) {
           state = parser.Feed(in);
         }
         answered += parser.message().status == 200 ? 1 : 0;
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -50,11 +50,11 @@
                 fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: b-{}\r\nX-Call-Class: search\r\n"
                             "X-Budget: 1.3\r\nContent-Length: {}\r\n\r\n{}",
                             number, body.size(), body),
-                test_support::kPatience);
+                test_support::kTestTimeoutUs);
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   auto state = net::HttpParser::State::kHead;
   while (state != net::HttpParser::State::kDone &&
-         net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk)
+         net::ReadSome(fd, in, test_support::kTestTimeoutUs) == net::Io::kOk)
     state = parser.Feed(in);
   return parser.message().status == 200 && parser.message().body.starts_with("{\"full\":true");
 }
@@ -83,7 +83,7 @@
   double cpu_ms_before = coordinator_process.CpuMs();
   while (clock.Now() - started_us < 2'000'000) ::usleep(100'000);
   cost.idle_ms_per_s = (coordinator_process.CpuMs() - cpu_ms_before) / 2;
-  net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
+  net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kTestTimeoutUs);
   constexpr int kFirstQueries = 3;  // after these nearly all connections are open
   for (int i = 0; i < kFirstQueries + queries; ++i) {
     if (i == 0 || i == kFirstQueries) cpu_ms_before = coordinator_process.CpuMs();
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -55,7 +55,7 @@
 // Requests at the admin address.
 struct AdminClient {
   explicit AdminClient(const test_support::CoordinatorProcess& coordinator)
-      : addr(coordinator.Logged("are answered at ")) {}
+      : addr(coordinator.LoggedTextAfter("are answered at ")) {}
   net::HttpMessage Call(const std::string& method, const std::string& path) const {
     return test_support::Fetch(addr, fmt::format("{} {} HTTP/1.1\r\nHost: g\r\n\r\n", method, path));
   }
@@ -73,7 +73,7 @@
 struct Client {
   // Returns the status; 0: the connection ended without an answer.
   int Query(const std::string& addr, const std::string& id, const std::string& class_name, int shards) {
-    if (!fd.Valid()) fd = net::Connect(addr, test_support::kPatience);
+    if (!fd.Valid()) fd = net::Connect(addr, test_support::kTestTimeoutUs);
     std::string shard_requests;
     for (int i = 0; i < shards; ++i) {
       shard_requests +=
@@ -86,11 +86,11 @@
         fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\nX-Budget: 8\r\n"
                     "Content-Length: {}\r\n\r\n{}",
                     id, class_name, body.size(), body),
-        test_support::kPatience);
+        test_support::kTestTimeoutUs);
     net::HttpParser parser(net::HttpParser::Kind::kResponse);
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone &&
-           net::ReadSome(fd, pending, test_support::kPatience) == net::Io::kOk) {
+           net::ReadSome(fd, pending, test_support::kTestTimeoutUs) == net::Io::kOk) {
       state = parser.Feed(pending);
     }
     if (state != net::HttpParser::State::kDone || parser.message().close) fd = net::Fd();
@@ -102,7 +102,7 @@
 template <typename Condition>
 void WaitUntil(Condition&& holds, const char* what) {
   net::SteadyClock clock;
-  for (net::Micros until = clock.Now() + test_support::kPatience; clock.Now() < until;) {
+  for (net::Micros until = clock.Now() + test_support::kTestTimeoutUs; clock.Now() < until;) {
     if (holds()) return;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
@@ -143,8 +143,8 @@
   // Idle connections and incomplete requests, far more than the server keeps, do not block other clients.
   std::vector<net::Fd> idle_connections;
   for (int i = 0; i < 100; ++i) {
-    idle_connections.push_back(net::Connect(admin.addr, test_support::kPatience));
-    if (i % 2 == 0) net::WriteAll(idle_connections.back(), "GET /stats HT", test_support::kPatience);
+    idle_connections.push_back(net::Connect(admin.addr, test_support::kTestTimeoutUs));
+    if (i % 2 == 0) net::WriteAll(idle_connections.back(), "GET /stats HT", test_support::kTestTimeoutUs);
   }
   CHECK(admin.Call("GET", "/healthcheck").status == 200);
   CHECK(coordinator.Stop() >= 0);
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -32,7 +32,7 @@
 namespace {
 
 constexpr int kEndpoints = 6, kClients = 24, kQueriesPerClient = 100, kBurstClients = 40;
-using test_support::kPatience;
+using test_support::kTestTimeoutUs;
 
 struct ClientResult {
   int status = 0;  // 0: the client disconnected before its answer
@@ -254,8 +254,8 @@
     random_bits ^= random_bits << 13, random_bits ^= random_bits >> 7, random_bits ^= random_bits << 17;
     int kind = static_cast<int>((random_bits >> 20) % 3);
     std::string id = fmt::format("c{}-{}", client_index, i), in;
-    if (!fd.Valid()) fd = net::Connect(addr, kPatience);
-    net::WriteAll(fd, Request(id, kind, random_bits >> 32), kPatience);
+    if (!fd.Valid()) fd = net::Connect(addr, kTestTimeoutUs);
+    net::WriteAll(fd, Request(id, kind, random_bits >> 32), kTestTimeoutUs);
     ClientResult result;
     result.class_name = names[kind];
     if (random_bits % 40 == 0) {
@@ -266,7 +266,7 @@
     }
     net::HttpParser parser(net::HttpParser::Kind::kResponse);
     auto state = net::HttpParser::State::kHead;
-    while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk) {
+    while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kTestTimeoutUs) == net::Io::kOk) {
       state = parser.Feed(in);
     }
     if (state == net::HttpParser::State::kDone) {
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -70,7 +70,7 @@
 
 void WaitForLog(const test_support::CoordinatorProcess& coordinator, const std::string& text) {
   net::SteadyClock clock;
-  for (net::Micros until = clock.Now() + test_support::kPatience; clock.Now() < until;) {
+  for (net::Micros until = clock.Now() + test_support::kTestTimeoutUs; clock.Now() < until;) {
     if (coordinator.Log().find(text) != std::string::npos) return;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -288,7 +288,7 @@
     return test_support::Get(process_->addr(), target);
   }
   net::HttpMessage Admin(const std::string& path) const {
-    return test_support::Fetch(process_->Logged("are answered at "),
+    return test_support::Fetch(process_->LoggedTextAfter("are answered at "),
                                fmt::format("GET {} HTTP/1.1\r\nHost: g\r\n\r\n", path));
   }
 
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -49,13 +49,13 @@
     }
     ExecProgram(program, expanded_arguments);
   }
-  for (net::Micros waited_us = 0; addr_.empty() && waited_us < kPatience; waited_us += 10'000) {
+  for (net::Micros waited_us = 0; addr_.empty() && waited_us < kTestTimeoutUs; waited_us += 10'000) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    addr_ = Logged(" listens on ");
+    addr_ = LoggedTextAfter(" listens on ");
   }
 }
 
-std::string CoordinatorProcess::Logged(const std::string& mark) const {
+std::string CoordinatorProcess::LoggedTextAfter(const std::string& mark) const {
   std::string text = Log();
   auto at = text.find(mark);
   auto end = at == std::string::npos ? at : text.find('\n', at);
@@ -99,12 +99,12 @@
 }
 
 net::HttpMessage Fetch(const std::string& addr, const std::string& request) {
-  net::Fd fd = net::Connect(addr, kPatience);
+  net::Fd fd = net::Connect(addr, kTestTimeoutUs);
   net::HttpParser parser(net::HttpParser::Kind::kResponse, std::size_t{1} << 22);
-  if (!fd.Valid() || net::WriteAll(fd, request, kPatience).status != net::Io::kOk) return {};
+  if (!fd.Valid() || net::WriteAll(fd, request, kTestTimeoutUs).status != net::Io::kOk) return {};
   std::string in;
   auto state = net::HttpParser::State::kHead;
-  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk) {
+  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kTestTimeoutUs) == net::Io::kOk) {
     state = parser.Feed(in);
   }
   if (state != net::HttpParser::State::kDone) return {};
--- a/tools/test_support/coordinator_process.h
+++ b/tools/test_support/coordinator_process.h
@@ -14,7 +14,7 @@
 
 namespace liftrudder::test_support {
 
-constexpr net::Micros kPatience = 20'000'000;  // bounds a test that hangs; no result depends on it
+constexpr net::Micros kTestTimeoutUs = 20'000'000;  // bounds a test that hangs; no result depends on it
 
 class CoordinatorProcess {
  public:
@@ -28,7 +28,7 @@
 
   const std::string& addr() const { return addr_; }
   // The rest of the first log line that contains `mark`, after it; empty while there is no such line.
-  std::string Logged(const std::string& mark) const;
+  std::string LoggedTextAfter(const std::string& mark) const;
   pid_t pid() const { return child_; }
   std::string Log() const;
   void Signal(int signal) const;
