--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -130,12 +130,12 @@
   std::printf(
       "1,024 endpoints: %ld KB at most, %ld descriptors, %ld threads, %d connections accepted for 6 x 1,024 "
       "shard requests\n",
-      max_memory_kb, CountDescriptors(coordinator.pid()), threads, fleet.taken());
+      max_memory_kb, CountDescriptors(coordinator.pid()), threads, fleet.accepted_connections());
   if (!LIFTRUDDER_SANITIZED) CHECK(max_memory_kb <= kMemoryMb * 1024);
   CHECK(threads <= 12);
   CHECK(CountDescriptors(coordinator.pid()) <= kDescriptorLimit);
   // Most connections are reused, although there are fewer descriptors than endpoints.
-  CHECK(fleet.taken() < 6 * kMaxEndpoints);
+  CHECK(fleet.accepted_connections() < 6 * kMaxEndpoints);
   std::string log = coordinator.Log();
   CHECK(log.find("connect to endpoint") == std::string::npos);
   CHECK(log.find(" error ") == std::string::npos);
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -17,7 +17,7 @@
 TestFleet::TestFleet(int endpoints, net::Micros delay_us)
     : delay_us_(delay_us),
       shard_requests_(static_cast<std::size_t>(endpoints)),
-      newest_us_(static_cast<std::size_t>(endpoints)),
+      last_request_us_(static_cast<std::size_t>(endpoints)),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   for (int i = 0; i < endpoints; ++i) {
     listeners_.push_back(net::Listen("127.0.0.1:0"));
@@ -40,9 +40,9 @@
   return shard_requests_[static_cast<std::size_t>(endpoint)];
 }
 
-net::Micros TestFleet::newest_us(int endpoint) const {
+net::Micros TestFleet::last_request_us(int endpoint) const {
   std::lock_guard lock(mutex_);
-  return newest_us_[static_cast<std::size_t>(endpoint)];
+  return last_request_us_[static_cast<std::size_t>(endpoint)];
 }
 
 void TestFleet::ServeLoop() {
@@ -59,7 +59,7 @@
       auto endpoint = static_cast<int>(events[static_cast<std::size_t>(i)].data.u64 >> 32);
       net::Fd accepted = net::Accept(listeners_[static_cast<std::size_t>(endpoint)], 0);
       if (!accepted.Valid()) continue;
-      ++taken_;
+      ++accepted_connections_;
       int descriptor = accepted.Get();
       epoll_event event{EPOLLIN, {}};
       event.data.u64 = static_cast<std::uint64_t>(descriptor);
@@ -97,7 +97,7 @@
     replies_.push_back({now_us + delay_us_, connection.fd.Get(), text + answer});
     std::lock_guard lock(mutex_);
     ++shard_requests_[static_cast<std::size_t>(connection.endpoint)];
-    newest_us_[static_cast<std::size_t>(connection.endpoint)] = now_us;
+    last_request_us_[static_cast<std::size_t>(connection.endpoint)] = now_us;
   }
   return true;
 }
--- a/tools/test_support/test_fleet.h
+++ b/tools/test_support/test_fleet.h
@@ -22,10 +22,10 @@
 
   const std::string& addr(int endpoint) const { return addrs_[static_cast<std::size_t>(endpoint)]; }
   int shard_requests(int endpoint) const;
-  // When the endpoint received its newest shard request, on the steady clock; 0 when it received none.
-  net::Micros newest_us(int endpoint) const;
+  // When the endpoint received its last shard request, on the steady clock; 0 when it received none.
+  net::Micros last_request_us(int endpoint) const;
   // Connections accepted so far, including closed ones.
-  int taken() const { return taken_; }
+  int accepted_connections() const { return accepted_connections_; }
 
  private:
   struct Connection {
@@ -49,8 +49,8 @@
   std::deque<Reply> replies_;
   mutable std::mutex mutex_;
   std::vector<int> shard_requests_;
-  std::vector<net::Micros> newest_us_;
-  std::atomic<int> taken_{0};
+  std::vector<net::Micros> last_request_us_;
+  std::atomic<int> accepted_connections_{0};
   std::atomic<bool> stopping_{false};
   net::Fd epoll_;
   net::Thread server_thread_;
