--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -123,7 +123,7 @@
   std::size_t start = 0;
   int warm_up = queries / 4;
   for (int i = 0; i < queries + warm_up; ++i) {
-    if (i == warm_up) start = test_support::Allocations();
+    if (i == warm_up) start = test_support::AllocationCount();
     coordinator::QueryRequest request;
     request.received_us = clock.Now();
     request.deadline_us = request.received_us + 4'000'000;
@@ -138,7 +138,7 @@
     while (unanswered.load() > 4) std::this_thread::yield();
   }
   while (unanswered.load() > 0) std::this_thread::yield();
-  std::size_t used = test_support::Allocations() - start;
+  std::size_t used = test_support::AllocationCount() - start;
   done = true;
   coordinator.Stop();
   loop.join();
@@ -206,9 +206,9 @@
   std::vector<std::unique_ptr<test_support::FakeEndpoint>> endpoints;
   for (int cell = 0; cell < kEndpoints; ++cell) {
     endpoints.push_back(std::make_unique<test_support::FakeEndpoint>([](const std::string&, std::size_t) {
-      return test_support::Behaviour{test_support::Act::kServe, 3'000};
+      return test_support::PlannedResponse{test_support::ResponseKind::kServe, 3'000};
     }));
-    discovery.Tell(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
+    discovery.UpdateEndpoint(fmt::format("s-{}", cell), endpoints.back()->addr(), cell, "ready");
   }
   test_support::CoordinatorProcess coordinator_process(LIFTRUDDER_PROGRAM, directory,
                                                        Config(discovery, bytes));
@@ -220,7 +220,7 @@
   std::vector<std::thread> clients;
   for (int client_index = 0; client_index < kClients; ++client_index) {
     clients.emplace_back([&] {
-      net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kPatience);
+      net::Fd fd = net::Connect(coordinator_process.addr(), test_support::kTestTimeoutUs);
       for (int i = next.fetch_add(1); i < queries; i = next.fetch_add(1)) {
         std::string tablets, in;
         for (int shard_request = 0; shard_request < kShardRequests; ++shard_request) {
@@ -233,11 +233,11 @@
             fmt::format("POST /api HTTP/1.1\r\nHost: g\r\nX-Call-Id: b-{}\r\nX-Call-Class: search\r\n"
                         "X-Budget: 3.5\r\nContent-Length: {}\r\n\r\n{}",
                         i, body.size(), body),
-            test_support::kPatience);
+            test_support::kTestTimeoutUs);
         net::HttpParser parser(net::HttpParser::Kind::kResponse);
         auto state = net::HttpParser::State::kHead;
         while (state != net::HttpParser::State::kDone &&
-               net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk) {
+               net::ReadSome(fd, in, test_support::kTestTimeoutUs) == net::Io::kOk) {
           state = parser.Feed(in);
         }
         answered += parser.message().status == 200 ? 1 : 0;
--- a/tests/app/wide_query_test.cpp
+++ b/tests/app/wide_query_test.cpp
@@ -70,7 +70,7 @@
 
 void WaitForLog(const test_support::CoordinatorProcess& coordinator, const std::string& text) {
   net::SteadyClock clock;
-  for (net::Micros until = clock.Now() + test_support::kPatience; clock.Now() < until;) {
+  for (net::Micros until = clock.Now() + test_support::kTestTimeoutUs; clock.Now() < until;) {
     if (coordinator.Log().find(text) != std::string::npos) return;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
@@ -83,10 +83,10 @@
     "a list that grows from 4 endpoints to 1,024 is served within the limits, also while half of it drains") {
   test_support::TestFleet fleet(kMaxEndpoints, kServeUs);
   test_support::FakeDiscovery discovery;
-  discovery.Indent();
+  discovery.EnableIndentation();
   std::vector<test_support::FakeDiscovery::Entry> few, rest;
   for (int i = 0; i < kMaxEndpoints; ++i) (i < kFirst ? few : rest).push_back({Id(i), fleet.addr(i), i});
-  discovery.Tell(few);
+  discovery.UpdateEndpoints(few);
   test_support::TemporaryDirectory directory;
   test_support::CoordinatorProcess coordinator(LIFTRUDDER_PROGRAM, directory.path(), Config(discovery));
   INFO(coordinator.Log());
@@ -94,7 +94,7 @@
   // The program listens before its watch is open. If the rest were added now, both parts could arrive as one
   // list, which would not grow.
   WaitForLog(coordinator, fmt::format(", full: {} entries", few.size()));
-  discovery.Tell(rest);
+  discovery.UpdateEndpoints(rest);
   WaitForLog(coordinator, fmt::format("{} entries", rest.size()));
 
   for (int round = 0; round < 3; ++round) {
@@ -107,7 +107,7 @@
   std::vector<test_support::FakeDiscovery::Entry> draining;
   std::vector<int> before;
   for (int i = 0; i < kMaxEndpoints; i += 2) draining.push_back({Id(i), fleet.addr(i), i, "draining"});
-  discovery.Tell(draining);
+  discovery.UpdateEndpoints(draining);
   WaitForLog(coordinator, fmt::format("{} entries", draining.size()));
   for (int i = 0; i < kMaxEndpoints; i += 2) before.push_back(fleet.shard_requests(i));
   for (int round = 0; round < 3; ++round) {
@@ -130,12 +130,12 @@
   std::printf(
       "1,024 endpoints: %ld KB at most, %ld descriptors, %ld threads, %d connections accepted for 6 x 1,024 "
       "shard requests\n",
-      max_memory_kb, CountDescriptors(coordinator.pid()), threads, fleet.taken());
+      max_memory_kb, CountDescriptors(coordinator.pid()), threads, fleet.accepted_connections());
   if (!LIFTRUDDER_SANITIZED) CHECK(max_memory_kb <= kMemoryMb * 1024);
   CHECK(threads <= 12);
   CHECK(CountDescriptors(coordinator.pid()) <= kDescriptorLimit);
   // Most connections are reused, although there are fewer descriptors than endpoints.
-  CHECK(fleet.taken() < 6 * kMaxEndpoints);
+  CHECK(fleet.accepted_connections() < 6 * kMaxEndpoints);
   std::string log = coordinator.Log();
   CHECK(log.find("connect to endpoint") == std::string::npos);
   CHECK(log.find(" error ") == std::string::npos);
