--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -60,7 +60,7 @@
 net::HttpResponse AdminHandler::FiguresText() {
   refresh_();
   net::HttpResponse response;
-  response.type = wire::kFiguresContentType;
+  response.content_type = wire::kFiguresContentType;
   response.body = figures_.Text();
   return response;
 }
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -189,7 +189,7 @@
   bool valid = true;
   try {
     if (read_status == Io::kOk) {
-      valid = connection.reader->Take(connection.received, oldest, responses) &&
+      valid = connection.reader->Decode(connection.received, oldest, responses) &&
               connection.received.size() <= kMaxIncompleteResponseBytes;
     }
     if (read_status == Io::kEnd) connection.reader->End(oldest, responses);
--- a/src/net/endpoint_protocol.h
+++ b/src/net/endpoint_protocol.h
@@ -28,7 +28,7 @@
   // Removes complete responses from the front of `in` and appends them to `out`. Returns false when the bytes
   // violate the protocol. `oldest` is the id of the attempt longest in flight on this connection, for
   // protocols whose responses carry no id; empty when none is in flight.
-  virtual bool Take(std::string& in, const std::string& oldest, std::vector<EndpointResponse>& out) = 0;
+  virtual bool Decode(std::string& in, const std::string& oldest, std::vector<EndpointResponse>& out) = 0;
   // Called when the endpoint has closed the connection: appends the response that this completes, if any.
   virtual void End(const std::string& /*oldest*/, std::vector<EndpointResponse>& /*out*/) {}
 };
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -107,7 +107,7 @@
   return path.substr(0, path.find('?'));
 }
 
-std::string Unescape(std::string_view text) {
+std::string PercentDecode(std::string_view text) {
   std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned code = 0;
@@ -133,7 +133,7 @@
       continue;
     }
     QueryParameter next = NextParameter(query);
-    parameters.emplace_back(Unescape(next.name), Unescape(next.value));
+    parameters.emplace_back(PercentDecode(next.name), PercentDecode(next.value));
   }
   return parameters;
 }
@@ -322,7 +322,7 @@
 std::string Format(const HttpResponse& response, bool close) {
   std::string out =
       fmt::format("HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n", response.status,
-                  ReasonPhrase(response.status), response.type, response.body.size());
+                  ReasonPhrase(response.status), response.content_type, response.body.size());
   for (const auto& [name, value] : response.headers) {
     fmt::format_to(std::back_inserter(out), "{}: {}\r\n", name, value);
   }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -96,7 +96,7 @@
 
 struct HttpResponse {
   int status = 200;
-  std::string type = "application/json";
+  std::string content_type = "application/json";
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
   bool close = false;  // close the connection after this response
@@ -106,7 +106,7 @@
 std::string Format(const HttpResponse& response, bool close);
 
 // Decodes percent-encoding and plus signs in a part of a target.
-std::string Unescape(std::string_view text);
+std::string PercentDecode(std::string_view text);
 
 }  // namespace liftrudder::net
 
--- a/src/net/object_stream.cpp
+++ b/src/net/json_object_splitter.cpp
@@ -1,17 +1,17 @@
-#include "net/object_stream.h"
+#include "net/json_object_splitter.h"
 
 #include <fmt/format.h>
 
 namespace liftrudder::net {
 
-bool ObjectStream::Fail(std::string_view what, char byte) {
+bool JsonObjectSplitter::Fail(std::string_view what, char byte) {
   error_ =
       fmt::format("{}: byte 0x{:02x} at offset {}", what, static_cast<unsigned char>(byte), stream_bytes_);
   return false;
 }
 
 // Consumes one byte inside a string.
-bool ObjectStream::ConsumeStringByte(char c) {
+bool JsonObjectSplitter::ConsumeStringByte(char c) {
   constexpr unsigned char kFirstPrintable = 0x20;
   // Control characters are not allowed here, so a line break reveals a missing closing quote.
   if (static_cast<unsigned char>(c) < kFirstPrintable) return Fail("control character inside a string", c);
@@ -22,7 +22,7 @@
 }
 
 // Consumes one byte; returns false if it cannot belong to a JSON object.
-bool ObjectStream::ConsumeByte(char c) {
+bool JsonObjectSplitter::ConsumeByte(char c) {
   if (in_string_) return ConsumeStringByte(c);
   bool white_space = c == ' ' || c == '\n' || c == '\r' || c == '\t';
   if (depth_ == 0 && c != '{') {
@@ -34,7 +34,7 @@
   return true;
 }
 
-bool ObjectStream::Feed(std::string_view bytes, const OnObject& each) {
+bool JsonObjectSplitter::Feed(std::string_view bytes, const OnObject& each) {
   if (!error_.empty()) return false;
   std::size_t begin = 0;  // where the open object begins or continues in `bytes`
   for (std::size_t i = 0; i < bytes.size(); ++i) {
--- a/src/net/object_stream.h
+++ b/src/net/json_object_splitter.h
@@ -1,8 +1,8 @@
 // Splits a stream of JSON objects into complete objects by their brackets and quotes. Objects may be
 // separated by any white space, span lines, and arrive in pieces split at any byte. Their content is checked
 // only as far as that requires. No I/O, no threads; buffers at most one object.
-#ifndef LIFTRUDDER_NET_OBJECT_STREAM_H_
-#define LIFTRUDDER_NET_OBJECT_STREAM_H_
+#ifndef LIFTRUDDER_NET_JSON_OBJECT_SPLITTER_H_
+#define LIFTRUDDER_NET_JSON_OBJECT_SPLITTER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace liftrudder::net {
 
-class ObjectStream {
+class JsonObjectSplitter {
  public:
-  explicit ObjectStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
+  explicit JsonObjectSplitter(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
   using OnObject = std::function<void(std::string_view object)>;
   // Calls `each` for every object that these bytes complete; its text is valid during the call. Returns false
@@ -43,4 +43,4 @@
 
 }  // namespace liftrudder::net
 
-#endif  // LIFTRUDDER_NET_OBJECT_STREAM_H_
+#endif  // LIFTRUDDER_NET_JSON_OBJECT_SPLITTER_H_
--- a/src/opensearch/access_control.cpp
+++ b/src/opensearch/access_control.cpp
@@ -199,7 +199,7 @@
       out.other_parameters.append("&").append(parameter);
       continue;
     }
-    std::string value = net::Unescape(parameter.substr(std::min(parameter.size(), name.size() + 1)));
+    std::string value = net::PercentDecode(parameter.substr(std::min(parameter.size(), name.size() + 1)));
     out.has_query = out.has_query || name == wire::kQueryString;
     if (out.members.find(fmt::format(R"("{}":)", known->member)) != std::string::npos) {
       return tl::unexpected(BadRequest(fmt::format("parameter [{}] is there twice", name)));
--- a/src/opensearch/endpoint_protocol.cpp
+++ b/src/opensearch/endpoint_protocol.cpp
@@ -12,7 +12,7 @@
 
 class SearchResponseReader : public net::ResponseReader {
  public:
-  bool Take(std::string& in, const std::string& oldest, std::vector<net::EndpointResponse>& out) override {
+  bool Decode(std::string& in, const std::string& oldest, std::vector<net::EndpointResponse>& out) override {
     if (oldest.empty()) return false;  // a response without a request in flight
     switch (parser_.Feed(in)) {
       case net::HttpParser::State::kBad:
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -85,7 +85,7 @@
   if (path == wire::kExplainPath) return net::ExplainPage(explain_service_, request);
   if (path != wire::kMetricsPath) return std::nullopt;
   net::HttpResponse response;
-  response.type = "text/plain";
+  response.content_type = "text/plain";
   response.body = counters_.Text();
   return response;
 }
--- a/src/opensearch/requests.cpp
+++ b/src/opensearch/requests.cpp
@@ -66,8 +66,8 @@
 tl::expected<ScrollRequest, ApiError> ReadScroll(const net::HttpMessage& request) {
   ScrollRequest scroll;
   std::string keep_alive;
-  if (auto value = request.Parameter(wire::kScrollId)) scroll.id = net::Unescape(*value);
-  if (auto value = request.Parameter(wire::kScroll)) keep_alive = net::Unescape(*value);
+  if (auto value = request.Parameter(wire::kScrollId)) scroll.id = net::PercentDecode(*value);
+  if (auto value = request.Parameter(wire::kScroll)) keep_alive = net::PercentDecode(*value);
   if (!request.body.empty()) {
     if (!json::Valid(request.body)) return tl::unexpected(UnreadableBody("the body is not JSON"));
     if (auto value = json::ParseString(json::FindMember(request.body, wire::kScrollId))) scroll.id = *value;
--- a/src/opensearch/routes.cpp
+++ b/src/opensearch/routes.cpp
@@ -16,7 +16,7 @@
   while (!path.empty()) {
     path.remove_prefix(1);
     std::string_view segment = path.substr(0, path.find('/'));
-    if (!segment.empty()) segments.push_back(net::Unescape(segment));
+    if (!segment.empty()) segments.push_back(net::PercentDecode(segment));
     path.remove_prefix(segment.size());
   }
   return segments;
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -120,7 +120,7 @@
 }
 
 std::optional<ApiError> SearchReader::ReadParameter(std::string_view name, std::string_view raw) {
-  std::string value = net::Unescape(raw);
+  std::string value = net::PercentDecode(raw);
   if (name == wire::kFrom || name == wire::kSize) return ReadFromOrSize(name, value);
   if (name == wire::kSort) {
     sorted = true;
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -11,7 +11,7 @@
 #include "config/endpoint_list.h"
 #include "log/log.h"
 #include "net/http.h"
-#include "net/object_stream.h"
+#include "net/json_object_splitter.h"
 #include "platform/wire_names.h"
 
 namespace liftrudder::platform {
@@ -57,7 +57,7 @@
 
   net::Fd fd;
   net::HttpParser parser;
-  net::ObjectStream lists;
+  net::JsonObjectSplitter lists;
   std::string pending;
   coordinator::Micros last_activity_us;
   bool caught_up = false;  // set by the first read after the response header
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -64,7 +64,7 @@
  public:
   explicit FrameReader(const std::vector<std::string>& load_names) : load_names_(load_names) {}
 
-  bool Take(std::string& in, const std::string&, std::vector<net::EndpointResponse>& out) override {
+  bool Decode(std::string& in, const std::string&, std::vector<net::EndpointResponse>& out) override {
     std::string_view rest = in;
     bool usable = true;
     while (usable && rest.size() >= kLengthBytes) {
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -95,7 +95,7 @@
   if (path == wire::kReadyPath || path == wire::kHealthyPath) return net::HttpResponse{};
   if (path == wire::kCountersPath) {
     net::HttpResponse response;
-    response.type = "text/plain";
+    response.content_type = "text/plain";
     response.body = counters_.Text();
     return response;
   }
--- a/tests/platform/endpoint_list_test.cpp
+++ b/tests/platform/endpoint_list_test.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 
 #include "config/config.h"
-#include "net/object_stream.h"
+#include "net/json_object_splitter.h"
 
 using namespace liftrudder;
 using Json = nlohmann::json;
@@ -37,12 +37,12 @@
   return *rc::gen::elementOf(std::vector<std::string>{"", "\n", "\r\n", "\n\n", " \t", "\n  \n"});
 }
 
-std::vector<std::string> FeedInPieces(net::ObjectStream& stream, std::string_view text, std::size_t size,
-                                      bool& ok) {
+std::vector<std::string> FeedInPieces(net::JsonObjectSplitter& splitter, std::string_view text,
+                                      std::size_t size, bool& ok) {
   std::vector<std::string> parsed;
   ok = true;
   for (std::size_t at = 0; ok && at < text.size(); at += size) {
-    ok = stream.Feed(text.substr(at, size), [&parsed](std::string_view one) { parsed.emplace_back(one); });
+    ok = splitter.Feed(text.substr(at, size), [&parsed](std::string_view one) { parsed.emplace_back(one); });
   }
   return parsed;
 }
@@ -65,11 +65,11 @@
       text += RandomWhitespace() + input.back().dump(*rc::gen::inRange(-1, 4)) + RandomWhitespace();
     }
     for (std::size_t size = 1; size <= text.size(); ++size) {
-      net::ObjectStream stream(text.size());
+      net::JsonObjectSplitter splitter(text.size());
       bool ok = false;
-      std::vector<std::string> parsed = FeedInPieces(stream, text, size, ok);
+      std::vector<std::string> parsed = FeedInPieces(splitter, text, size, ok);
       RC_ASSERT(ok);
-      RC_ASSERT(!stream.open());
+      RC_ASSERT(!splitter.open());
       RC_ASSERT(parsed.size() == input.size());
       for (std::size_t i = 0; i < input.size(); ++i) RC_ASSERT(Json::parse(parsed[i]) == input[i]);
     }
@@ -80,26 +80,26 @@
   rc::check([] {
     auto text =
         *rc::gen::container<std::string>(rc::gen::elementOf(std::string("{{{}}}[[]]\"\"\\\n ,:a\x01")));
-    net::ObjectStream whole(32);
+    net::JsonObjectSplitter whole(32);
     bool ok = false;
     auto parsed = FeedInPieces(whole, text, std::max<std::size_t>(1, text.size()), ok);
     for (std::size_t size = 1; size < text.size(); ++size) {
-      net::ObjectStream stream(32);
+      net::JsonObjectSplitter splitter(32);
       bool same = false;
-      RC_ASSERT(FeedInPieces(stream, text, size, same) == parsed);
-      RC_ASSERT(same == ok && stream.error() == whole.error() && stream.open() == whole.open());
+      RC_ASSERT(FeedInPieces(splitter, text, size, same) == parsed);
+      RC_ASSERT(same == ok && splitter.error() == whole.error() && splitter.open() == whole.open());
     }
   });
 }
 
 TEST_CASE("an invalid byte or an oversized object is an error with its position, and ends the stream") {
   auto error_of = [](std::string_view text) {
-    net::ObjectStream stream(12);
+    net::JsonObjectSplitter splitter(12);
     bool ok = true;
-    FeedInPieces(stream, text, 1, ok);
+    FeedInPieces(splitter, text, 1, ok);
     CHECK_FALSE(ok);
-    CHECK_FALSE(stream.Feed("{}", [](std::string_view) { FAIL("an object after the error"); }));
-    return stream.error();
+    CHECK_FALSE(splitter.Feed("{}", [](std::string_view) { FAIL("an object after the error"); }));
+    return splitter.error();
   };
   CHECK(error_of("{}\nx{}") == "expected white space or the start of an object: byte 0x78 at offset 3");
   CHECK(error_of("[{}]") == "expected white space or the start of an object: byte 0x5b at offset 0");
