--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -237,7 +237,7 @@
         net::HttpParser parser(net::HttpParser::Kind::kResponse);
         auto state = net::HttpParser::State::kHead;
         while (state != net::HttpParser::State::kDone &&
-               net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk) {
+               net::ReadSome(fd, in, test_support::kPatience) == net::IoStatus::kOk) {
           state = parser.Feed(in);
         }
         answered += parser.message().status == 200 ? 1 : 0;
--- a/bench/fan_out_cost.cpp
+++ b/bench/fan_out_cost.cpp
@@ -54,7 +54,7 @@
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   auto state = net::HttpParser::State::kHead;
   while (state != net::HttpParser::State::kDone &&
-         net::ReadSome(fd, in, test_support::kPatience) == net::Io::kOk)
+         net::ReadSome(fd, in, test_support::kPatience) == net::IoStatus::kOk)
     state = parser.Feed(in);
   return parser.message().status == 200 && parser.message().body.starts_with("{\"full\":true");
 }
--- a/src/app/coordinator_server.cpp
+++ b/src/app/coordinator_server.cpp
@@ -108,7 +108,7 @@
 
 net::Fd CoordinatorServer::OpenListener() const {
   net::Fd listener = options_.passed_socket.empty() ? ListenOrThrow(config_.listen_address)
-                                                    : net::Inherit(options_.passed_socket);
+                                                    : net::AdoptListeningSocket(options_.passed_socket);
   log::Info(
       "limits: {} client connections, {} of them with an open request, {} endpoint connections, {} CPU cores",
       config_.budget.client_connections, config_.budget.client_requests, config_.budget.endpoint_connections,
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -109,10 +109,10 @@
   std::string pending;
   auto state = net::HttpParser::State::kHead;
   while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad) {
-    const net::Io got = net::ReadSome(fd, pending, kTimeoutUs);
+    const net::IoStatus got = net::ReadSome(fd, pending, kTimeoutUs);
     state = parser.Feed(pending);
-    if (got == net::Io::kEnd && state != net::HttpParser::State::kDone) state = parser.End();
-    if (got != net::Io::kOk) break;
+    if (got == net::IoStatus::kEnd && state != net::HttpParser::State::kDone) state = parser.End();
+    if (got != net::IoStatus::kOk) break;
   }
   return state == net::HttpParser::State::kDone;
 }
@@ -133,7 +133,7 @@
   const std::string request =
       fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n", target, address);
   net::HttpParser parser(net::HttpParser::Kind::kResponse, kMaxAnswerBytes);
-  const bool written = net::WriteAll(fd, request, kTimeoutUs).status == net::Io::kOk;
+  const bool written = net::WriteAll(fd, request, kTimeoutUs).status == net::IoStatus::kOk;
   if (!written || !ReadResponse(fd, parser)) {
     fmt::print(stderr, "the coordinator at {} sent no complete response\n", address);
     return kNoAnswer;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -153,7 +153,7 @@
 void SetAdminAddress(Config& config, const std::string& address) {
   if (address.empty() || !config.admin_address.empty()) return;
   config.admin_address = address;
-  config.descriptors -= net::AdminServer::kDescriptors;
+  config.descriptors -= net::AdminServer::kMaxDescriptors;
   config.budget = ComputeBudget(config.descriptors, config.memory_mb, config.budget.endpoints);
 }
 
--- a/src/dns/zone_source.cpp
+++ b/src/dns/zone_source.cpp
@@ -92,9 +92,9 @@
   while (!stopping_) {
     Micros idle_us = clock_.Now() - received_us;
     if (idle_us > (input.empty() ? kIdleTimeoutUs : kMessageTimeoutUs)) return;
-    net::Io status = net::ReadSome(client, input, kStopCheckUs);
-    if (status == net::Io::kTimeout) continue;
-    if (status != net::Io::kOk) return;
+    net::IoStatus status = net::ReadSome(client, input, kStopCheckUs);
+    if (status == net::IoStatus::kTimeout) continue;
+    if (status != net::IoStatus::kOk) return;
     received_us = clock_.Now();
     if (!ApplyMessages(client, input)) return;
   }
@@ -105,8 +105,8 @@
     std::string response = ApplyUpdate(*message, zone_);
     if (response.empty()) return false;
     Publish(false);
-    net::Io status = net::WriteAll(client, WithLengthPrefix(response), kMessageTimeoutUs).status;
-    if (status != net::Io::kOk) return false;
+    net::IoStatus status = net::WriteAll(client, WithLengthPrefix(response), kMessageTimeoutUs).status;
+    if (status != net::IoStatus::kOk) return false;
   }
   return true;
 }
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -98,9 +98,9 @@
 }
 
 void AdminServer::Receive(Connection& connection) {
-  Io status = ReadNow(connection.fd, connection.unparsed);
-  if (status == Io::kTimeout) return;
-  if (status != Io::kOk) {
+  IoStatus status = ReadNow(connection.fd, connection.unparsed);
+  if (status == IoStatus::kTimeout) return;
+  if (status != IoStatus::kOk) {
     Close(connection);
     return;
   }
@@ -114,7 +114,7 @@
 
 // A response fits into the socket's send buffer, so a partial write means that the client does not read.
 void AdminServer::Reply(Connection& connection, const HttpResponse& response) {
-  if (WriteAll(connection.fd, Format(response, true), 0).status != Io::kOk) {
+  if (WriteAll(connection.fd, Format(response, true), 0).status != IoStatus::kOk) {
     Close(connection);
     return;
   }
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -21,7 +21,7 @@
   static constexpr int kMaxConnections = 12;
   // The most descriptors that it holds: besides the connections, the listener, a connection being accepted,
   // the epoll instance and the waker.
-  static constexpr int kDescriptors = kMaxConnections + 4;
+  static constexpr int kMaxDescriptors = kMaxConnections + 4;
 
   // Called on the server's thread only.
   using RequestHandler = std::function<HttpResponse(const HttpMessage& request)>;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -11,43 +11,43 @@
 
 }  // namespace
 
-Io ClientConnection::Read(std::string& plain) {
+IoStatus ClientConnection::Read(std::string& plain) {
   if (context_ == nullptr) return ReadSome(fd_, plain, 0);
   if (!probed_.empty()) {
     plain += probed_;
     probed_.clear();
-    return Io::kOk;
+    return IoStatus::kOk;
   }
   std::size_t size_before = plain.size();
   for (int i = 0; i < kMaxReads && plain.size() == size_before; ++i) {
-    if (channel_ != nullptr && channel_->state() == TlsChannel::State::kEnded) return Io::kEnd;
-    if (channel_ != nullptr && channel_->state() == TlsChannel::State::kFailed) return Io::kError;
+    if (channel_ != nullptr && channel_->state() == TlsChannel::State::kEnded) return IoStatus::kEnd;
+    if (channel_ != nullptr && channel_->state() == TlsChannel::State::kFailed) return IoStatus::kError;
     std::string arrived;
     std::string wire;
-    Io status = ReadNow(fd_, arrived);
-    if (status == Io::kEnd) return Io::kError;  // TCP ended without a TLS close_notify
-    if (status != Io::kOk) return status;
+    IoStatus status = ReadNow(fd_, arrived);
+    if (status == IoStatus::kEnd) return IoStatus::kError;  // TCP ended without a TLS close_notify
+    if (status != IoStatus::kOk) return status;
     if (channel_ == nullptr) channel_ = std::make_unique<TlsChannel>(context_);
     channel_->Feed(arrived, plain, wire);
     // A handshake flight fits into the socket's send buffer, so a partial write means that the client does
     // not read.
-    if (!wire.empty() && WriteAll(fd_, wire, 0).status != Io::kOk) return Io::kError;
+    if (!wire.empty() && WriteAll(fd_, wire, 0).status != IoStatus::kOk) return IoStatus::kError;
   }
-  return plain.size() > size_before ? Io::kOk : Io::kTimeout;
+  return plain.size() > size_before ? IoStatus::kOk : IoStatus::kTimeout;
 }
 
-Written ClientConnection::Write(std::string_view plain, Micros wait_us) {
+WriteResult ClientConnection::Write(std::string_view plain, Micros wait_us) {
   if (context_ == nullptr) return WriteAll(fd_, plain, wait_us);
   SteadyClock clock;
   Micros until_us = clock.Now() + wait_us;
-  Written written;
+  WriteResult written;
   std::string wire;
   while (written.bytes < plain.size()) {
     std::string_view next = plain.substr(written.bytes, kMaxRecordPlaintextBytes);
     wire.clear();
-    if (channel_ == nullptr || !channel_->Seal(next, wire)) return {Io::kError, written.bytes};
-    Io status = WriteAll(fd_, wire, std::max<Micros>(0, until_us - clock.Now())).status;
-    if (status != Io::kOk) return {status, written.bytes};
+    if (channel_ == nullptr || !channel_->Seal(next, wire)) return {IoStatus::kError, written.bytes};
+    IoStatus status = WriteAll(fd_, wire, std::max<Micros>(0, until_us - clock.Now())).status;
+    if (status != IoStatus::kOk) return {status, written.bytes};
     written.bytes += next.size();
   }
   return written;
@@ -58,9 +58,9 @@
   SocketState raw = Peek(fd_.Get());
   if (context_ == nullptr || raw != SocketState::kBytes) return raw;
   switch (Read(probed_)) {
-    case Io::kOk:
+    case IoStatus::kOk:
       return SocketState::kBytes;
-    case Io::kTimeout:
+    case IoStatus::kTimeout:
       return SocketState::kNothing;
     default:
       return SocketState::kEnd;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -31,8 +31,8 @@
   // Appends a bounded amount of received plaintext without waiting. kTimeout: no plaintext yet, although a
   // handshake may have advanced. kEnd: the client closed its side, under TLS with a close_notify. kError: the
   // connection was reset or truncated, or violated the protocol.
-  Io Read(std::string& plain);
-  Written Write(std::string_view plain, Micros wait_us);
+  IoStatus Read(std::string& plain);
+  WriteResult Write(std::string_view plain, Micros wait_us);
   // What the next Read would return. Plaintext that this has to decrypt is kept for that Read.
   SocketState Probe();
   // Sends the TLS close_notify or alert without waiting, so that the client can tell this end from a
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -80,13 +80,13 @@
     if (nothing_written && !EncodeFrame(connection)) continue;
     std::string_view unwritten = connection.frame;
     unwritten.remove_prefix(connection.written_bytes);
-    Written written = WriteNow(connection.fd, unwritten);
+    WriteResult written = WriteNow(connection.fd, unwritten);
     connection.written_bytes += written.bytes;
-    if (written.status == Io::kError) {
+    if (written.status == IoStatus::kError) {
       HandleWriteError(id, connection);
       return false;
     }
-    if (written.status == Io::kTimeout) {
+    if (written.status == IoStatus::kTimeout) {
       if (!connection.write_interest) connections_.SetWriteInterest(id, connection, true);
       return true;
     }
@@ -162,10 +162,10 @@
   // remaining bytes again.
   for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
     std::size_t size_before = connection.received.size();
-    Io status = ReadNow(connection.fd, connection.received);
-    if (status == Io::kTimeout) return true;
+    IoStatus status = ReadNow(connection.fd, connection.received);
+    if (status == IoStatus::kTimeout) return true;
     // A short read has emptied the socket's buffer: another read would only return kTimeout.
-    bool drained = status == Io::kOk && connection.received.size() - size_before < kReadBytes;
+    bool drained = status == IoStatus::kOk && connection.received.size() - size_before < kReadBytes;
     // After a protocol violation nothing on this connection can be trusted, and every request in flight on it
     // may have run.
     if (!Decode(connection, status)) {
@@ -173,7 +173,7 @@
       connections_.Close(id, connection, coordinator::Cause::kInvalidResponse);
       return false;
     }
-    if (status != Io::kOk) {
+    if (status != IoStatus::kOk) {
       connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
       return false;
     }
@@ -183,22 +183,22 @@
 }
 
 // Decodes the received bytes and ends the attempts that they answer. Returns false on a protocol violation.
-bool EndpointConnectionIo::Decode(EndpointConnection& connection, Io read_status) {
+bool EndpointConnectionIo::Decode(EndpointConnection& connection, IoStatus read_status) {
   std::string oldest = connection.in_flight.empty() ? std::string() : connection.in_flight.front().id;
   std::vector<EndpointResponse> responses;
   bool valid = true;
   try {
-    if (read_status == Io::kOk) {
+    if (read_status == IoStatus::kOk) {
       valid = connection.reader->Decode(connection.received, oldest, responses) &&
               connection.received.size() <= kMaxIncompleteResponseBytes;
     }
-    if (read_status == Io::kEnd) connection.reader->End(oldest, responses);
+    if (read_status == IoStatus::kEnd) connection.reader->End(oldest, responses);
   } catch (const std::exception& error) {
     log::Error("error while decoding a response from endpoint {}, closing its connection: {}",
                connection.addr, error.what());
     valid = false;
   }
-  if (read_status == Io::kOk) connection.last_received_us = clock_.Now();
+  if (read_status == IoStatus::kOk) connection.last_received_us = clock_.Now();
   for (EndpointResponse& response : responses) {
     bool expected = Complete(connection, std::move(response));
     valid = valid && expected;
--- a/src/net/endpoint_connection_io.h
+++ b/src/net/endpoint_connection_io.h
@@ -45,7 +45,7 @@
   bool EncodeFrame(EndpointConnection& connection);
   void FinishFrame(EndpointConnection& connection);
   void HandleWriteError(ConnectionId id, EndpointConnection& connection);
-  bool Decode(EndpointConnection& connection, Io read_status);
+  bool Decode(EndpointConnection& connection, IoStatus read_status);
   bool Complete(EndpointConnection& connection, EndpointResponse response);
 
   const EndpointProtocol& protocol_;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -112,8 +112,8 @@
   // A draining server keeps connections open until it stops listening: a client that is disconnected earlier
   // may find no other coordinator while several are being replaced.
   bool close = response->close || session->parser.message().close || stopping_ || ClosesAfterResponse();
-  Written written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
-  bool complete = written.status == Io::kOk;
+  WriteResult written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
+  bool complete = written.status == IoStatus::kOk;
   handler_.Wrote(answered_queries, response->status, written.bytes, complete);
   if (!complete) {
     Remove(session);
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -216,9 +216,9 @@
 bool Server::ReadRequest(SessionRef session) {
   std::size_t read_bytes = 0;
   while (read_bytes <= kMaxReadBytes) {
-    Io status = session->connection.Read(session->unparsed);
-    if (status == Io::kTimeout) break;
-    if (status != Io::kOk) {
+    IoStatus status = session->connection.Read(session->unparsed);
+    if (status == IoStatus::kTimeout) break;
+    if (status != IoStatus::kOk) {
       Remove(session);
       return false;
     }
@@ -250,7 +250,7 @@
   if (TrySubmit(session)) return;
   counters_.rejected_at_intake.Add();
   std::string response = Format(handler_.Overloaded(&session->parser.message()), false);
-  if (session->connection.Write(response, 0).status != Io::kOk) {
+  if (session->connection.Write(response, 0).status != IoStatus::kOk) {
     Remove(session);
   } else {
     AwaitNextRequest(session);
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -150,7 +150,7 @@
   return fd;
 }
 
-Fd Inherit(const std::string& text) {
+Fd AdoptListeningSocket(const std::string& text) {
   int number = -1;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size() || number < 0) {
@@ -200,49 +200,49 @@
   return fd;
 }
 
-Written WriteNow(const Fd& fd, std::string_view bytes) {
+WriteResult WriteNow(const Fd& fd, std::string_view bytes) {
   while (true) {
     ssize_t sent = ::send(fd.Get(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent > 0) return {Io::kOk, static_cast<std::size_t>(sent)};
+    if (sent > 0) return {IoStatus::kOk, static_cast<std::size_t>(sent)};
     if (sent < 0 && errno == EINTR) continue;
     bool would_block = sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return {would_block ? Io::kTimeout : Io::kError, 0};
+    return {would_block ? IoStatus::kTimeout : IoStatus::kError, 0};
   }
 }
 
-Written WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us) {
+WriteResult WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us) {
   std::size_t written_bytes = 0;
   Micros until_us = DeadlineAfter(wait_us);
   while (written_bytes < bytes.size()) {
-    Written step = WriteNow(fd, bytes.substr(written_bytes));
+    WriteResult step = WriteNow(fd, bytes.substr(written_bytes));
     written_bytes += step.bytes;
-    if (step.status == Io::kError) return {Io::kError, written_bytes};
-    bool timed_out = step.status == Io::kTimeout && PollUntil(fd.Get(), POLLOUT, until_us) == 0;
-    if (timed_out) return {Io::kTimeout, written_bytes};
+    if (step.status == IoStatus::kError) return {IoStatus::kError, written_bytes};
+    bool timed_out = step.status == IoStatus::kTimeout && PollUntil(fd.Get(), POLLOUT, until_us) == 0;
+    if (timed_out) return {IoStatus::kTimeout, written_bytes};
   }
-  return {Io::kOk, written_bytes};
+  return {IoStatus::kOk, written_bytes};
 }
 
-Io ReadNow(const Fd& fd, std::string& out) {
+IoStatus ReadNow(const Fd& fd, std::string& out) {
   char buffer[kReadBytes];
   while (true) {
     ssize_t got = ::recv(fd.Get(), buffer, sizeof buffer, MSG_DONTWAIT);
     if (got > 0) {
       out.append(buffer, static_cast<std::size_t>(got));
-      return Io::kOk;
+      return IoStatus::kOk;
     }
-    if (got == 0) return Io::kEnd;
-    if (errno == EAGAIN || errno == EWOULDBLOCK) return Io::kTimeout;
-    if (errno != EINTR) return Io::kError;
+    if (got == 0) return IoStatus::kEnd;
+    if (errno == EAGAIN || errno == EWOULDBLOCK) return IoStatus::kTimeout;
+    if (errno != EINTR) return IoStatus::kError;
   }
 }
 
-Io ReadSome(const Fd& fd, std::string& out, Micros wait_us) {
+IoStatus ReadSome(const Fd& fd, std::string& out, Micros wait_us) {
   Micros until_us = DeadlineAfter(wait_us);
   while (true) {
-    if (PollUntil(fd.Get(), POLLIN, until_us) == 0) return Io::kTimeout;
-    Io got = ReadNow(fd, out);
-    if (got != Io::kTimeout) return got;
+    if (PollUntil(fd.Get(), POLLIN, until_us) == 0) return IoStatus::kTimeout;
+    IoStatus got = ReadNow(fd, out);
+    if (got != IoStatus::kTimeout) return got;
   }
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -45,15 +45,15 @@
   Micros offset_us_;
 };
 
-enum class Io {
+enum class IoStatus {
   kOk,
   kEnd,      // the peer has closed the connection
   kTimeout,  // nothing could be transferred in time
   kError,
 };
 
-struct Written {
-  Io status = Io::kOk;
+struct WriteResult {
+  IoStatus status = IoStatus::kOk;
   std::size_t bytes = 0;
 };
 
@@ -78,7 +78,7 @@
 
 Fd Listen(const std::string& address);
 // Takes ownership of the listening socket whose descriptor number is `text`. Throws InheritedSocketError.
-Fd Inherit(const std::string& text);
+Fd AdoptListeningSocket(const std::string& text);
 Fd Accept(const Fd& listener, Micros wait_us);
 std::string LocalAddress(const Fd& fd);
 // The peer's numeric address without its port; empty if it has disconnected.
@@ -86,12 +86,12 @@
 
 // ---- Transfer ----
 
-Written WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us);
+WriteResult WriteAll(const Fd& fd, std::string_view bytes, Micros wait_us);
 // Waits for the first byte and appends at most kReadBytes to `out`.
-Io ReadSome(const Fd& fd, std::string& out, Micros wait_us);
+IoStatus ReadSome(const Fd& fd, std::string& out, Micros wait_us);
 // The same without waiting; kTimeout if nothing can be transferred now. WriteNow may write only a part.
-Written WriteNow(const Fd& fd, std::string_view bytes);
-Io ReadNow(const Fd& fd, std::string& out);
+WriteResult WriteNow(const Fd& fd, std::string_view bytes);
+IoStatus ReadNow(const Fd& fd, std::string& out);
 // The most that one ReadNow reads; a shorter read means that no more bytes are available.
 constexpr std::size_t kReadBytes = 8192;
 // Discards up to `max_bytes` received bytes; returns how many, or nullopt at the end of the connection or
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -134,7 +134,7 @@
   if (!fd.Valid()) throw WatchError("cannot connect");
   const std::string request = fmt::format("GET {}{} HTTP/1.1\r\nHost: {}\r\n\r\n", wire::kWatchTarget,
                                           endpoint_registry_.Version(), address);
-  if (net::WriteAll(fd, request, kConnectTimeoutUs).status != net::Io::kOk) {
+  if (net::WriteAll(fd, request, kConnectTimeoutUs).status != net::IoStatus::kOk) {
     throw WatchError("cannot write the request");
   }
   return fd;
@@ -142,12 +142,12 @@
 
 DiscoveryWatch::StreamState DiscoveryWatch::ReadStream(const std::string& address, Stream& stream) {
   const bool catching_up = !stream.caught_up && stream.parser.message().status == kHttpOk;
-  const net::Io got =
+  const net::IoStatus got =
       net::ReadSome(stream.fd, stream.pending, catching_up ? kCatchUpTimeoutUs : kReadTimeoutUs);
-  if (got == net::Io::kTimeout && catching_up) endpoint_registry_.MarkUpToDate();
+  if (got == net::IoStatus::kTimeout && catching_up) endpoint_registry_.MarkUpToDate();
   stream.caught_up = stream.caught_up || catching_up;
-  if (got == net::Io::kTimeout) return StreamState::kOpen;
-  if (got != net::Io::kOk) return StreamState::kEnded;
+  if (got == net::IoStatus::kTimeout) return StreamState::kOpen;
+  if (got != net::IoStatus::kOk) return StreamState::kEnded;
   return ProcessReceived(address, stream);
 }
 
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -90,7 +90,7 @@
     net::HttpParser parser(net::HttpParser::Kind::kResponse);
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone &&
-           net::ReadSome(fd, pending, test_support::kPatience) == net::Io::kOk) {
+           net::ReadSome(fd, pending, test_support::kPatience) == net::IoStatus::kOk) {
       state = parser.Feed(pending);
     }
     if (state != net::HttpParser::State::kDone || parser.message().close) fd = net::Fd();
@@ -111,7 +111,7 @@
 
 bool IsClosed(const net::Fd& fd) {
   std::string in;
-  return net::ReadSome(fd, in, 0) == net::Io::kEnd;
+  return net::ReadSome(fd, in, 0) == net::IoStatus::kEnd;
 }
 
 }  // namespace
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -263,7 +263,7 @@
     }
     net::HttpParser parser(net::HttpParser::Kind::kResponse);
     auto state = net::HttpParser::State::kHead;
-    while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk) {
+    while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::IoStatus::kOk) {
       state = parser.Feed(in);
     }
     if (state == net::HttpParser::State::kDone) {
--- a/tests/net/endpoint_connection_pool_test.cpp
+++ b/tests/net/endpoint_connection_pool_test.cpp
@@ -39,7 +39,7 @@
     CHECK(coordinator::OutcomeOf(second.progress, second.cause) == coordinator::AttemptOutcome::kNotSent);
     fixture.pool.reset();
     std::string more;
-    CHECK(net::ReadSome(endpoint, more, kTestTimeoutUs) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, more, kTestTimeoutUs) == net::IoStatus::kEnd);
     CHECK(more.empty());
   }
   SECTION("when its round ends") {
@@ -83,7 +83,7 @@
   fixture.pool->RequestCancellation({1, 0});
   fixture.pool->RequestCancellation({1, 0});
   std::string cancellation;
-  REQUIRE(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::Io::kOk);
+  REQUIRE(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::IoStatus::kOk);
   CHECK(cancellation == std::string{4, 0, 0, 0} + "cq.1");  // sent only once
   CHECK(fixture.ResultCount() == 0);
   SECTION("answered") {
@@ -99,7 +99,7 @@
     CHECK(fixture.WaitForResult(0).cause == Cause::kCancelled);
     fixture.pool.reset();
     cancellation.clear();
-    CHECK(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::Io::kEnd);
+    CHECK(net::ReadSome(endpoint, cancellation, kTestTimeoutUs) == net::IoStatus::kEnd);
     CHECK(cancellation.empty());
   }
 }
@@ -161,7 +161,7 @@
   for (int i = 0; i < kEndpoints - 1; ++i) pool_fixture.Send(i);
   pool_fixture.Send(kEndpoints - 1);
   std::string received;
-  REQUIRE(net::ReadSome(connections[7], received, 10'000'000) == net::Io::kOk);
+  REQUIRE(net::ReadSome(connections[7], received, 10'000'000) == net::IoStatus::kOk);
   CHECK(pool_fixture.counters.connects.Value() == kEndpoints);
   CHECK(pool_fixture.ResultCount() == 1);
 }
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -96,14 +96,14 @@
 std::string Request(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: g\r\n\r\n"; }
 
 void Send(const net::Fd& fd, const std::string& bytes) {
-  REQUIRE(net::WriteAll(fd, bytes, kTestTimeoutUs).status == net::Io::kOk);
+  REQUIRE(net::WriteAll(fd, bytes, kTestTimeoutUs).status == net::IoStatus::kOk);
 }
 
 // The status of the next response; 0 if the connection ended without one.
 int ReadStatus(const net::Fd& fd) {
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   std::string in;
-  while (net::ReadSome(fd, in, kTestTimeoutUs) == net::Io::kOk) {
+  while (net::ReadSome(fd, in, kTestTimeoutUs) == net::IoStatus::kOk) {
     if (parser.Feed(in) == net::HttpParser::State::kDone) return parser.message().status;
   }
   return 0;
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -68,9 +68,9 @@
       out += client.Say("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
       sent = true;
     }
-    if (!out.empty() && net::WriteAll(fd, out, kTestTimeoutUs).status != net::Io::kOk) return "";
+    if (!out.empty() && net::WriteAll(fd, out, kTestTimeoutUs).status != net::IoStatus::kOk) return "";
     arrived.clear();
-    if (net::ReadSome(fd, arrived, kTestTimeoutUs) != net::Io::kOk) return "";
+    if (net::ReadSome(fd, arrived, kTestTimeoutUs) != net::IoStatus::kOk) return "";
     out = client.Step(arrived, at_client);
   }
   return at_client;
@@ -91,7 +91,7 @@
     // The server's flight shows that its side of the handshake has begun.
     std::string flight;
     net::WriteAll(abandoned.back(), halfway.Step("", at_client), kTestTimeoutUs);
-    REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeoutUs) == net::Io::kOk);
+    REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeoutUs) == net::IoStatus::kOk);
     if (i % 50 != 49) continue;
     TlsClient good;
     net::Fd fd;
@@ -117,7 +117,7 @@
     TlsClient halfway;
     std::string flight;
     net::WriteAll(one, halfway.Step("", at_client), kTestTimeoutUs);
-    REQUIRE(net::ReadSome(one, flight, kTestTimeoutUs) == net::Io::kOk);
+    REQUIRE(net::ReadSome(one, flight, kTestTimeoutUs) == net::IoStatus::kOk);
   }
   TlsClient good;
   net::Fd fd;
@@ -132,12 +132,12 @@
   net::Fd listener = net::Listen("127.0.0.1:0");
   net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeoutUs);
   net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.source);
-  CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::Io::kError);
+  CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::IoStatus::kError);
   connection.Finish();
   TlsClient side;
   std::string at_client, arrived;
   side.Step("", at_client);
-  REQUIRE(net::ReadSome(client, arrived, kTestTimeoutUs) == net::Io::kOk);
+  REQUIRE(net::ReadSome(client, arrived, kTestTimeoutUs) == net::IoStatus::kOk);
   side.Step(arrived, at_client);
   CHECK(at_client.empty());
   CHECK(arrived == std::string("\x15\x03\x03\0\2\2\x50", 7));
@@ -153,7 +153,7 @@
   // The client's close_notify ends the connection, and the server closes its side.
   std::string at_client, arrived;
   net::WriteAll(fd, client.Close(), kTestTimeoutUs);
-  while (net::ReadSome(fd, arrived, kTestTimeoutUs) == net::Io::kOk) {
+  while (net::ReadSome(fd, arrived, kTestTimeoutUs) == net::IoStatus::kOk) {
   }
   // A rejected request ends its connection too: the response is followed by a close_notify.
   TlsClient other;
@@ -162,7 +162,7 @@
   net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kTestTimeoutUs);
   while (!other.ended()) {
     arrived.clear();
-    REQUIRE(net::ReadSome(second, arrived, kTestTimeoutUs) == net::Io::kOk);
+    REQUIRE(net::ReadSome(second, arrived, kTestTimeoutUs) == net::IoStatus::kOk);
     other.Step(arrived, at_client);
   }
   CHECK(at_client.find("HTTP/1.1 400") == 0);
--- a/tests/platform/discovery_watch_test.cpp
+++ b/tests/platform/discovery_watch_test.cpp
@@ -31,18 +31,18 @@
   auto accept_watch = [&] {
     net::Fd fd = net::Accept(listener, kTestTimeout);
     std::string request;
-    REQUIRE(net::ReadSome(fd, request, kTestTimeout) == net::Io::kOk);
+    REQUIRE(net::ReadSome(fd, request, kTestTimeout) == net::IoStatus::kOk);
     return fd;
   };
   net::Fd first = accept_watch();
   net::WriteAll(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n", kTestTimeout);
   std::string received;
-  net::Io read_status = net::Io::kTimeout;
+  net::IoStatus read_status = net::IoStatus::kTimeout;
   net::Micros until_us = clock.Now() + kTestTimeout;
-  while (read_status == net::Io::kTimeout && clock.Now() < until_us) {
+  while (read_status == net::IoStatus::kTimeout && clock.Now() < until_us) {
     net::WriteAll(first, "1\r\nv\r\n", kTestTimeout);
     read_status = net::ReadSome(first, received, 20'000);
   }
-  CHECK(read_status != net::Io::kTimeout);
+  CHECK(read_status != net::IoStatus::kTimeout);
   accept_watch();
 }
--- a/tests/scenario/peer.cpp
+++ b/tests/scenario/peer.cpp
@@ -73,7 +73,7 @@
 
 void Write(Connection& connection, const std::string& bytes) {
   const std::string wire_bytes = connection.tls ? connection.tls->Say(bytes) : bytes;
-  if (net::WriteAll(connection.fd, wire_bytes, kWriteTimeoutUs).status != net::Io::kOk) {
+  if (net::WriteAll(connection.fd, wire_bytes, kWriteTimeoutUs).status != net::IoStatus::kOk) {
     throw ScenarioError("cannot write to the connection");
   }
 }
@@ -85,7 +85,7 @@
     if (!output.empty()) net::WriteAll(connection.fd, output, kWriteTimeoutUs);
     input.clear();
     if (SSL_is_init_finished(connection.tls->raw()) != 0) return;
-    if (net::ReadSome(connection.fd, input, kWriteTimeoutUs) != net::Io::kOk) {
+    if (net::ReadSome(connection.fd, input, kWriteTimeoutUs) != net::IoStatus::kOk) {
       throw ScenarioError("TLS handshake failed: the connection was closed or timed out");
     }
   }
@@ -93,9 +93,10 @@
 
 void ReceiveMessages(Peer& peer, Connection& connection) {
   std::string wire_bytes;
-  const net::Io status = net::ReadSome(connection.fd, connection.tls ? wire_bytes : connection.received, 0);
+  const net::IoStatus status =
+      net::ReadSome(connection.fd, connection.tls ? wire_bytes : connection.received, 0);
   if (connection.tls) net::WriteAll(connection.fd, connection.tls->Step(wire_bytes, connection.received), 0);
-  if (status == net::Io::kEnd || status == net::Io::kError) connection.ended = true;
+  if (status == net::IoStatus::kEnd || status == net::IoStatus::kError) connection.ended = true;
   while (ExtractMessage(peer, connection)) {
   }
 }
--- a/tests/scenario/player.cpp
+++ b/tests/scenario/player.cpp
@@ -151,7 +151,7 @@
   }
   for (auto& [name, client] : clients_) add_connections(client);
   add(log_fd_, [this] {
-    if (net::ReadSome(log_fd_, log_, 0) == net::Io::kEnd) log_fd_ = net::Fd();
+    if (net::ReadSome(log_fd_, log_, 0) == net::IoStatus::kEnd) log_fd_ = net::Fd();
   });
   if (::poll(fds.data(), fds.size(), kPollTimeoutMs) <= 0) SendHeartbeat();
   for (std::size_t i = 0; i < fds.size(); ++i) {
--- a/tests/support/connection_pool_fixture.h
+++ b/tests/support/connection_pool_fixture.h
@@ -50,7 +50,7 @@
   net::Fd AcceptAndRead(int endpoint) {
     net::Fd fd = net::Accept(listeners[static_cast<std::size_t>(endpoint)], 10'000'000);
     received.clear();
-    REQUIRE(net::ReadSome(fd, received, 10'000'000) == net::Io::kOk);
+    REQUIRE(net::ReadSome(fd, received, 10'000'000) == net::IoStatus::kOk);
     return fd;
   }
   // Waits for the nth result, from 0.
--- a/tools/test_support/coordinator_process.cpp
+++ b/tools/test_support/coordinator_process.cpp
@@ -101,10 +101,10 @@
 net::HttpMessage Fetch(const std::string& addr, const std::string& request) {
   net::Fd fd = net::Connect(addr, kPatience);
   net::HttpParser parser(net::HttpParser::Kind::kResponse, std::size_t{1} << 22);
-  if (!fd.Valid() || net::WriteAll(fd, request, kPatience).status != net::Io::kOk) return {};
+  if (!fd.Valid() || net::WriteAll(fd, request, kPatience).status != net::IoStatus::kOk) return {};
   std::string in;
   auto state = net::HttpParser::State::kHead;
-  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::Io::kOk) {
+  while (state != net::HttpParser::State::kDone && net::ReadSome(fd, in, kPatience) == net::IoStatus::kOk) {
     state = parser.Feed(in);
   }
   if (state != net::HttpParser::State::kDone) return {};
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -88,7 +88,7 @@
     std::string in;
     auto state = net::HttpParser::State::kHead;
     while (state != net::HttpParser::State::kDone && state != net::HttpParser::State::kBad &&
-           net::ReadSome(fd, in, kSocketTimeoutUs) == net::Io::kOk) {
+           net::ReadSome(fd, in, kSocketTimeoutUs) == net::IoStatus::kOk) {
       state = parser.Feed(in);
     }
     if (state != net::HttpParser::State::kDone) continue;
--- a/tools/test_support/fake_endpoint.cpp
+++ b/tools/test_support/fake_endpoint.cpp
@@ -65,8 +65,8 @@
 void FakeEndpoint::ReadLoop(const std::shared_ptr<Connection>& connection) {
   std::string in;
   while (!connection->closed) {
-    net::Io read_status = net::ReadSome(connection->fd, in, kPollTimeoutUs);
-    if (read_status == net::Io::kEnd || read_status == net::Io::kError) return;
+    net::IoStatus read_status = net::ReadSome(connection->fd, in, kPollTimeoutUs);
+    if (read_status == net::IoStatus::kEnd || read_status == net::IoStatus::kError) return;
     while (in.size() >= 4) {
       std::size_t size = 0;
       for (int i = 3; i >= 0; --i) {
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -76,8 +76,8 @@
 }
 
 bool TestFleet::Read(Connection& connection) {
-  net::Io status = net::ReadNow(connection.fd, connection.in);
-  if (status == net::Io::kEnd || status == net::Io::kError) {
+  net::IoStatus status = net::ReadNow(connection.fd, connection.in);
+  if (status == net::IoStatus::kEnd || status == net::IoStatus::kError) {
     // Drops the pending replies of this descriptor: the next connection may get the same number.
     std::erase_if(replies_, [&](const Reply& reply) { return reply.fd == connection.fd.Get(); });
     return false;
