--- a/src/net/handler.h
+++ b/src/net/handler.h
@@ -34,14 +34,14 @@
   virtual std::optional<HttpResponse> Handle(HttpMessage& request, const Exchange& exchange) = 0;
   // The response to a request that cannot be parsed (400) or did not arrive in time (408). Called on the
   // reader thread; must not block.
-  virtual HttpResponse Malformed(int status) = 0;
+  virtual HttpResponse MalformedResponse(int status) = 0;
   // The response to a rejected request. `request` is null if nothing has been read. Called on the reader
   // thread; must not block.
-  virtual HttpResponse Overloaded(const HttpMessage* request) = 0;
+  virtual HttpResponse OverloadedResponse(const HttpMessage* request) = 0;
   // Called on the worker's thread after `bytes` of a response were written; `complete` says whether that is
   // all of it.
-  virtual void Wrote(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-                     bool complete) = 0;
+  virtual void OnResponseWritten(const std::vector<AnsweredQuery>& answered_queries, int status,
+                                 std::size_t bytes, bool complete) = 0;
 };
 
 }  // namespace liftrudder::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -114,7 +114,7 @@
   bool close = response->close || session->parser.message().close || stopping_ || ClosesAfterResponse();
   WriteResult written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
   bool complete = written.status == IoStatus::kOk;
-  handler_.Wrote(answered_queries, response->status, written.bytes, complete);
+  handler_.OnResponseWritten(answered_queries, response->status, written.bytes, complete);
   if (!complete) {
     Remove(session);
   } else if (close) {
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -134,7 +134,7 @@
 
 void Server::RejectConnection(ClientConnection connection) {
   counters_.rejected_at_intake.Add();
-  connection.Write(Format(handler_.Overloaded(nullptr), true), 0);
+  connection.Write(Format(handler_.OverloadedResponse(nullptr), true), 0);
   lingering_closer_.Take(connection.Finish());
 }
 
@@ -182,7 +182,7 @@
       continue;
     }
     counters_.malformed.Add();
-    RejectAndClose(session, handler_.Malformed(408));
+    RejectAndClose(session, handler_.MalformedResponse(408));
   }
   for (auto session : found.evicted) Remove(session).Finish();
 }
@@ -236,7 +236,7 @@
         complete && (!session->unparsed.empty() || session->connection.Probe() == SocketState::kBytes);
     if (state == HttpParser::State::kBad || pipelined) {
       counters_.malformed.Add();
-      RejectAndClose(session, handler_.Malformed(400));
+      RejectAndClose(session, handler_.MalformedResponse(400));
       return false;
     }
     if (complete) return true;
@@ -249,7 +249,7 @@
 void Server::Submit(SessionRef session) {
   if (TrySubmit(session)) return;
   counters_.rejected_at_intake.Add();
-  std::string response = Format(handler_.Overloaded(&session->parser.message()), false);
+  std::string response = Format(handler_.OverloadedResponse(&session->parser.message()), false);
   if (session->connection.Write(response, 0).status != IoStatus::kOk) {
     Remove(session);
   } else {
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -38,7 +38,7 @@
       queries_(config, coordinator, clock, counters, access_),
       operations_(options, queries_, scrolls_, clock) {}
 
-net::HttpResponse Front::Malformed(int status) {
+net::HttpResponse Front::MalformedResponse(int status) {
   coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
                           decision_log::kUnknownClass, status, "");
   ApiError error = UnreadableBody("the request cannot be read");
@@ -46,14 +46,14 @@
   return ErrorResponse(error);
 }
 
-net::HttpResponse Front::Overloaded(const net::HttpMessage* /*request*/) {
+net::HttpResponse Front::OverloadedResponse(const net::HttpMessage* /*request*/) {
   coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
                           decision_log::kUnknownClass, kOverloadedStatus, "");
   return ErrorResponse(Unavailable("too many connections", kOverloadRetryUs));
 }
 
-void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-                  bool whole) {
+void Front::OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
+                              std::size_t bytes, bool whole) {
   coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -27,10 +27,10 @@
         decision_log::ExplainService* explain_service, identity::Authenticator* authenticator);
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
-  net::HttpResponse Malformed(int status) override;
-  net::HttpResponse Overloaded(const net::HttpMessage* request) override;
-  void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-             bool whole) override;
+  net::HttpResponse MalformedResponse(int status) override;
+  net::HttpResponse OverloadedResponse(const net::HttpMessage* request) override;
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
+                         std::size_t bytes, bool whole) override;
 
  private:
   std::optional<net::HttpResponse> ServePage(std::string_view path, const net::HttpMessage& request,
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -68,13 +68,13 @@
 
 }  // namespace
 
-net::HttpResponse QueryHandler::Malformed(int status) {
+net::HttpResponse QueryHandler::MalformedResponse(int status) {
   coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
                           decision_log::kUnknownClass, status, "");
   return ErrorResponse(status, kUnreadableText);
 }
 
-net::HttpResponse QueryHandler::Overloaded(const net::HttpMessage* request) {
+net::HttpResponse QueryHandler::OverloadedResponse(const net::HttpMessage* request) {
   constexpr int kStatus = 503;
   const std::string* class_name = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
   if (class_name != nullptr) metrics::OperatorFigures::CountAnswer(figures_.Of(*class_name), kStatus);
@@ -83,8 +83,8 @@
   return ErrorResponse(kStatus, kBusyRetryUs, "too many connections");
 }
 
-void QueryHandler::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status,
-                         std::size_t bytes, bool whole) {
+void QueryHandler::OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
+                                     std::size_t bytes, bool whole) {
   coordinator_.NoteResponse(answered_queries, status, bytes, whole);
 }
 
--- a/src/platform/query_handler.h
+++ b/src/platform/query_handler.h
@@ -33,10 +33,10 @@
         explain_service_(explain_service) {}
 
   std::optional<net::HttpResponse> Handle(net::HttpMessage& request, const net::Exchange& exchange) override;
-  net::HttpResponse Malformed(int status) override;
-  net::HttpResponse Overloaded(const net::HttpMessage* request) override;
-  void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-             bool whole) override;
+  net::HttpResponse MalformedResponse(int status) override;
+  net::HttpResponse OverloadedResponse(const net::HttpMessage* request) override;
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
+                         std::size_t bytes, bool whole) override;
 
  private:
   // These return nullopt when the client has disconnected.
--- a/tests/app/key_rotation_test.cpp
+++ b/tests/app/key_rotation_test.cpp
@@ -39,9 +39,9 @@
     out.body = R"({"hits":{"total":{"value":1,"relation":"eq"},"max_score":null,"hits":[]}})";
     return out;
   }
-  net::HttpResponse Malformed(int) override { return {}; }
-  net::HttpResponse Overloaded(const net::HttpMessage*) override { return {}; }
-  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+  net::HttpResponse MalformedResponse(int) override { return {}; }
+  net::HttpResponse OverloadedResponse(const net::HttpMessage*) override { return {}; }
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
   bool Saw(const std::string& mark) {
     std::lock_guard lock(mutex_);
     return seen_.contains(mark);
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -35,7 +35,7 @@
     if (request.target == "/held") changed_.wait(lock, [this] { return released_; });
     return net::HttpResponse{};
   }
-  net::HttpResponse Malformed(int status) override {
+  net::HttpResponse MalformedResponse(int status) override {
     std::unique_lock lock(mutex_);
     ++malformed_;
     changed_.notify_all();
@@ -44,8 +44,8 @@
     out.status = status;
     return out;
   }
-  net::HttpResponse Overloaded(const net::HttpMessage*) override { return Malformed(503); }
-  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+  net::HttpResponse OverloadedResponse(const net::HttpMessage*) override { return MalformedResponse(503); }
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
 
   void BlockMalformed() {
     std::lock_guard lock(mutex_);
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -25,9 +25,9 @@
     response.body = request.target;
     return response;
   }
-  net::HttpResponse Malformed(int status) override { return WithStatus(status); }
-  net::HttpResponse Overloaded(const net::HttpMessage*) override { return WithStatus(503); }
-  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+  net::HttpResponse MalformedResponse(int status) override { return WithStatus(status); }
+  net::HttpResponse OverloadedResponse(const net::HttpMessage*) override { return WithStatus(503); }
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
 
  private:
   static net::HttpResponse WithStatus(int status) {
