--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -82,13 +82,13 @@
   tests::Issued server_certificate = issuer.Issue("a", "DNS:a.example", "serverAuth"),
                 client = clients.Issue("c", "DNS:c", "clientAuth");
   auto make = [&](const std::string& ca) {
-    return net::TlsContext::Make(
+    return net::TlsContext::Create(
                {{{server_certificate.CertificatePem(), server_certificate.KeyPem()}}, ca, "", !ca.empty()},
                clock)
         .value();
   };
   auto plain = make(""), mutual = make(clients.Pem());
-  std::vector<double> new_times_us, resumed_times_us, mutual_times_us, seal_times_us;
+  std::vector<double> new_times_us, resumed_times_us, mutual_times_us, encrypt_times_us;
   for (int i = 0; i < kRuns; ++i) {
     tests::TlsClient plain_client, certificate_client(TLS1_3_VERSION, &client);
     net::TlsChannel new_channel(plain), resumed_channel(plain), mutual_channel(mutual);
@@ -98,12 +98,12 @@
     if (!resumed_channel.resumed()) std::printf("the TLS session was not resumed\n");
     mutual_times_us.push_back(ServerHandshakeUs(certificate_client, mutual_channel));
     std::string wire, kib(1024, 'x');
-    seal_times_us.push_back(ElapsedUs([&] { resumed_channel.Seal(kib, wire); }));
+    encrypt_times_us.push_back(ElapsedUs([&] { resumed_channel.Encrypt(kib, wire); }));
   }
   PrintTimes("handshake, new (P-256)", new_times_us);
   PrintTimes("handshake, resumed", resumed_times_us);
   PrintTimes("handshake, with a client certificate", mutual_times_us);
-  PrintTimes("encryption of 1 KiB", seal_times_us);
+  PrintTimes("encryption of 1 KiB", encrypt_times_us);
   // The clients are created first, so that only the server's memory is counted.
   std::vector<std::unique_ptr<tests::TlsClient>> open_clients;
   std::vector<std::unique_ptr<net::TlsChannel>> channels;
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -108,20 +108,21 @@
 void TlsFiles::ReadMaterial() {
   // Stamped before they are read, so that the next poll notices a change during the read.
   last_stamps_ = Stamps();
-  net::TlsMaterial material;
+  net::TlsConfig tls_config;
   for (const KeyPairPaths& pair : paths_.key_pairs) {
-    material.pairs.push_back({ReadBoundedFile(pair.certificate), ReadBoundedFile(pair.key)});
+    tls_config.key_pairs.push_back({ReadBoundedFile(pair.certificate), ReadBoundedFile(pair.key)});
   }
-  if (!paths_.client_issuers.empty()) material.client_ca = ReadBoundedFile(paths_.client_issuers);
-  if (!paths_.revoked.empty()) material.revoked = ReadBoundedFile(paths_.revoked);
-  material.client_required = paths_.client_certificate_required;
-  std::shared_ptr<const net::TlsContext> current = source_.Get();
-  if (current != nullptr && current->material() == material) return;
-  auto context = net::TlsContext::Make(std::move(material), clock_, current.get());
+  if (!paths_.client_issuers.empty()) tls_config.client_ca = ReadBoundedFile(paths_.client_issuers);
+  if (!paths_.revoked.empty()) tls_config.revocation_lists = ReadBoundedFile(paths_.revoked);
+  tls_config.client_required = paths_.client_certificate_required;
+  std::shared_ptr<const net::TlsContext> current = context_holder_.Get();
+  if (current != nullptr && current->config() == tls_config) return;
+  auto context = net::TlsContext::Create(std::move(tls_config), clock_, current.get());
   if (!context) throw config::ConfigError("tls: " + context.error().Message());
-  source_.Set(*context);
+  context_holder_.Set(*context);
   log::Info("audit: tls now presents {}; the first of them expires at {:%Y-%m-%dT%H:%M:%SZ}",
-            source_.Get()->subjects(), fmt::gmtime(static_cast<std::time_t>(source_.Get()->expires_s())));
+            context_holder_.Get()->subjects(),
+            fmt::gmtime(static_cast<std::time_t>(context_holder_.Get()->expires_s())));
 }
 
 void TlsFiles::Poll() {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -45,7 +45,7 @@
   while (written.bytes < plain.size()) {
     std::string_view next = plain.substr(written.bytes, kMaxRecordPlaintextBytes);
     wire.clear();
-    if (channel_ == nullptr || !channel_->Seal(next, wire)) return {IoStatus::kError, written.bytes};
+    if (channel_ == nullptr || !channel_->Encrypt(next, wire)) return {IoStatus::kError, written.bytes};
     IoStatus status = WriteAll(fd_, wire, std::max<Micros>(0, until_us - clock.Now())).status;
     if (status != IoStatus::kOk) return {status, written.bytes};
     written.bytes += next.size();
@@ -70,14 +70,14 @@
 VerifiedPeer ClientConnection::Peer(Micros now_us) {
   const TlsPeer* peer = channel_ == nullptr ? nullptr : channel_->peer();
   if (peer == nullptr) return {};
-  std::shared_ptr<const TlsContext> current = source_->Get();
-  if (current->material().client_ca.empty()) return {};
+  std::shared_ptr<const TlsContext> current = context_holder_->Get();
+  if (current->config().client_ca.empty()) return {};
   if (current != verified_against_ || now_us - verified_us_ >= kReverifyIntervalUs) {
-    peer_fault_ = current->Verify(*peer);
+    peer_error_ = current->Verify(*peer);
     verified_against_ = std::move(current);
     verified_us_ = now_us;
   }
-  return {peer, peer_fault_};
+  return {peer, peer_error_};
 }
 
 Fd ClientConnection::Finish() {
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -17,7 +17,7 @@
 // A client's certificate and whether it is still valid.
 struct VerifiedPeer {
   const TlsPeer* peer = nullptr;  // null: none was presented, or none is requested any more
-  std::string fault;              // why it is no longer valid; empty: it is valid
+  std::string error;              // why it is no longer valid; empty: it is valid
 };
 
 // Used by one thread at a time; owns the socket.
@@ -25,8 +25,8 @@
  public:
   ClientConnection() = default;
   // `tls` null: plain TCP. The connection keeps the TLS context that is current at construction.
-  ClientConnection(Fd fd, const TlsSource* tls)
-      : fd_(std::move(fd)), source_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
+  ClientConnection(Fd fd, const TlsContextHolder* tls)
+      : fd_(std::move(fd)), context_holder_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
 
   // Appends a bounded amount of received plaintext without waiting. kTimeout: no plaintext yet, although a
   // handshake may have advanced. kEnd: the client closed its side, under TLS with a close_notify. kError: the
@@ -54,7 +54,7 @@
   static constexpr Micros kReverifyIntervalUs = 1'000'000;
 
   Fd fd_;
-  const TlsSource* source_ = nullptr;
+  const TlsContextHolder* context_holder_ = nullptr;
   std::shared_ptr<const TlsContext> context_;  // null: plain TCP
   std::unique_ptr<TlsChannel> channel_;        // created at the first byte, so that silent clients need none
   std::string probed_;                         // plaintext that Probe has read
@@ -62,7 +62,7 @@
   // The last verification of the peer's certificate.
   std::shared_ptr<const TlsContext> verified_against_;
   Micros verified_us_ = 0;
-  std::string peer_fault_;
+  std::string peer_error_;
 };
 
 }  // namespace liftrudder::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Server::Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
-               const ServerLimits& limits, const TlsSource* tls)
+               const ServerLimits& limits, const TlsContextHolder* tls)
     : listener_(std::move(listener)),
       handler_(handler),
       clock_(clock),
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -96,40 +96,40 @@
   return reason;
 }
 
-tl::expected<std::shared_ptr<const TlsContext>, TlsError> TlsContext::Make(TlsMaterial material,
-                                                                           const coordinator::Clock& clock,
-                                                                           const TlsContext* previous) {
-  bool mutual = !material.client_ca.empty();
-  if (material.pairs.empty()) return tl::unexpected(TlsError{TlsFault::kNoCertificate, 0, {}});
-  bool client_settings = material.client_required || !material.revoked.empty();
+tl::expected<std::shared_ptr<const TlsContext>, TlsError> TlsContext::Create(TlsConfig config,
+                                                                             const coordinator::Clock& clock,
+                                                                             const TlsContext* previous) {
+  bool mutual = !config.client_ca.empty();
+  if (config.key_pairs.empty()) return tl::unexpected(TlsError{TlsFault::kNoCertificate, 0, {}});
+  bool client_settings = config.client_required || !config.revocation_lists.empty();
   if (!mutual && client_settings) return tl::unexpected(TlsError{TlsFault::kNoClientCa, 0, {}});
   auto context = std::make_shared<TlsContext>();
   context->clock_ = &clock;
-  context->material_ = std::move(material);
+  context->config_ = std::move(config);
   bool keep_tickets = previous != nullptr && !mutual;
   context->ticket_keys_ = keep_tickets ? previous->ticket_keys_ : std::make_shared<TicketKeys>(clock.Now());
   if (mutual) {
     auto loaded = context->LoadClientCa();
     if (!loaded) return tl::unexpected(loaded.error());
   }
-  for (const TlsPair& pair : context->material_.pairs) {
-    auto added = context->AddPair(pair);
+  for (const TlsKeyPair& pair : context->config_.key_pairs) {
+    auto added = context->AddKeyPair(pair);
     if (!added) return tl::unexpected(added.error());
   }
   return std::shared_ptr<const TlsContext>(std::move(context));
 }
 
 tl::expected<void, TlsError> TlsContext::LoadClientCa() {
-  for (Certificate& issuer : ReadCertificates(material_.client_ca)) {
+  for (Certificate& issuer : ReadCertificates(config_.client_ca)) {
     client_issuers_.emplace_back(issuer.release(), X509_free);
   }
   if (client_issuers_.empty()) return tl::unexpected(TlsError{TlsFault::kUnreadableClientCa, 0, {}});
   client_store_.reset(X509_STORE_new(), X509_STORE_free);
   for (const auto& issuer : client_issuers_) X509_STORE_add_cert(client_store_.get(), issuer.get());
-  std::vector<RevocationList> lists = ReadRevocationLists(material_.revoked);
+  std::vector<RevocationList> lists = ReadRevocationLists(config_.revocation_lists);
   for (const RevocationList& list : lists) X509_STORE_add_crl(client_store_.get(), list.get());
   ERR_clear_error();
-  if (!material_.revoked.empty() && lists.empty()) {
+  if (!config_.revocation_lists.empty() && lists.empty()) {
     return tl::unexpected(TlsError{TlsFault::kUnreadableRevocation, 0, {}});
   }
   if (!lists.empty()) {
@@ -138,7 +138,7 @@
   return {};
 }
 
-tl::expected<void, TlsError> TlsContext::AddPair(const TlsPair& pair) {
+tl::expected<void, TlsError> TlsContext::AddKeyPair(const TlsKeyPair& pair) {
   std::size_t position = contexts_.size() + 1;
   auto certificate_fault = [position](std::string reason) {
     return tl::unexpected(TlsError{TlsFault::kCertificate, position, std::move(reason)});
@@ -198,7 +198,7 @@
   SSL_CTX_set_num_tickets(context, 0);
   SSL_CTX_set1_verify_cert_store(context, client_store_.get());
   SSL_CTX_set_verify_depth(context, kMaxClientChainDepth);
-  int required = material_.client_required ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0;
+  int required = config_.client_required ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0;
   SSL_CTX_set_verify(context, SSL_VERIFY_PEER | required, nullptr);
   for (const auto& issuer : client_issuers_) SSL_CTX_add_client_CA(context, issuer.get());
 }
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -27,26 +27,26 @@
 constexpr std::size_t kMaxChainCertificates = 8;
 
 // PEM texts.
-struct TlsPair {
+struct TlsKeyPair {
   std::string certificate;  // the leaf first, followed by its issuers
   std::string key;
-  bool operator==(const TlsPair&) const = default;
+  bool operator==(const TlsKeyPair&) const = default;
 };
 
 // PEM texts.
-struct TlsMaterial {
-  std::vector<TlsPair> pairs;  // the first serves clients that name no server or an unknown one
-  std::string client_ca;       // issuers of client certificates; empty: no client certificates are requested
-  std::string revoked;         // a revocation list of every issuer; empty: revocation is not checked
+struct TlsConfig {
+  std::vector<TlsKeyPair> key_pairs;  // the first serves clients that name no server or an unknown one
+  std::string client_ca;  // issuers of client certificates; empty: no client certificates are requested
+  std::string revocation_lists;  // a revocation list of every issuer; empty: revocation is not checked
   bool client_required = false;
-  bool operator==(const TlsMaterial&) const = default;
+  bool operator==(const TlsConfig&) const = default;
 };
 
 enum class TlsFault {
   kNoCertificate,         // no pair was given
-  kNoClientCa,            // `client_required` or `revoked` is set without `client_ca`
+  kNoClientCa,            // `client_required` or `revocation_lists` is set without `client_ca`
   kUnreadableClientCa,    // `client_ca` holds no certificate
-  kUnreadableRevocation,  // `revoked` holds no list
+  kUnreadableRevocation,  // `revocation_lists` holds no list
   kCertificate,           // a pair's certificate cannot be used
   kKey,                   // a pair's key cannot be used
 };
@@ -72,11 +72,10 @@
   // Session tickets issued under `previous` stay valid. None are issued if client certificates are requested:
   // a resumed connection presents no certificate, so a revocation would have no effect. `clock` must outlive
   // the context.
-  static tl::expected<std::shared_ptr<const TlsContext>, TlsError> Make(TlsMaterial material,
-                                                                        const coordinator::Clock& clock,
-                                                                        const TlsContext* previous = nullptr);
+  static tl::expected<std::shared_ptr<const TlsContext>, TlsError> Create(
+      TlsConfig config, const coordinator::Clock& clock, const TlsContext* previous = nullptr);
 
-  const TlsMaterial& material() const { return material_; }
+  const TlsConfig& config() const { return config_; }
   // Why a client certificate that was valid when its connection began is no longer valid: it has expired, was
   // revoked, or its issuer was removed. Empty if it is still valid.
   std::string Verify(const TlsPeer& peer) const;
@@ -91,11 +90,11 @@
   friend struct TlsCallbacks;
 
   tl::expected<void, TlsError> LoadClientCa();
-  tl::expected<void, TlsError> AddPair(const TlsPair& pair);
+  tl::expected<void, TlsError> AddKeyPair(const TlsKeyPair& pair);
   void Configure(ssl_ctx_st* context);
   void ConfigureClientCertificates(ssl_ctx_st* context) const;
 
-  TlsMaterial material_;
+  TlsConfig config_;
   const coordinator::Clock* clock_ = nullptr;
   std::shared_ptr<TicketKeys> ticket_keys_;
   std::vector<std::shared_ptr<ssl_ctx_st>> contexts_;  // one for each pair
@@ -106,7 +105,7 @@
 };
 
 // Holds the current context, which new connections use. Any thread.
-class TlsSource {
+class TlsContextHolder {
  public:
   void Set(std::shared_ptr<const TlsContext> context) {
     std::lock_guard lock(mutex_);
--- a/src/net/tls_channel.cpp
+++ b/src/net/tls_channel.cpp
@@ -60,18 +60,18 @@
   return State::kFailed;
 }
 
-bool TlsChannel::Seal(std::string_view plain, std::string& wire) {
+bool TlsChannel::Encrypt(std::string_view plain, std::string& wire) {
   if (state_ != State::kOpen && state_ != State::kEnded) return false;
   ERR_clear_error();
-  bool sealed = true;
-  while (sealed && !plain.empty()) {
+  bool encrypted = true;
+  while (encrypted && !plain.empty()) {
     std::size_t size = std::min(plain.size(), kMaxRecordPlaintextBytes);
-    sealed = SSL_write(ssl_.get(), plain.data(), static_cast<int>(size)) == static_cast<int>(size);
+    encrypted = SSL_write(ssl_.get(), plain.data(), static_cast<int>(size)) == static_cast<int>(size);
     plain.remove_prefix(size);
     TakeOutput(wire);
   }
-  if (!sealed) state_ = State::kFailed;
-  return sealed;
+  if (!encrypted) state_ = State::kFailed;
+  return encrypted;
 }
 
 void TlsChannel::Close(std::string& wire) {
--- a/src/net/tls_channel.h
+++ b/src/net/tls_channel.h
@@ -30,7 +30,7 @@
   State Feed(std::string_view arrived, std::string& plain, std::string& wire);
   // Encrypts `plain` and appends it to `wire`; returns false before the handshake is complete and after a
   // failure.
-  bool Seal(std::string_view plain, std::string& wire);
+  bool Encrypt(std::string_view plain, std::string& wire);
   // Appends the close_notify.
   void Close(std::string& wire);
 
--- a/src/opensearch/caller_access.cpp
+++ b/src/opensearch/caller_access.cpp
@@ -42,7 +42,7 @@
   }
   credentials.address = net::PeerHost(exchange.connection->fd());
   net::VerifiedPeer verified = exchange.connection->Peer(clock_.Now());
-  credentials.certificate_error = verified.fault;
+  credentials.certificate_error = verified.error;
   if (verified.peer != nullptr) credentials.certificate_names = verified.peer->names;
   auto principal = authenticator_->Authenticate(credentials, clock_.Now());
   if (principal) return std::move(*principal);
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -10,8 +10,8 @@
 
 using namespace liftrudder;
 using tests::Issuer;
+using tests::KeyPairOf;
 using tests::MakeContext;
-using tests::PairOf;
 using tests::TlsClient;
 
 namespace {
@@ -40,16 +40,16 @@
 // A TLS server on its own port.
 struct TlsServerFixture {
   explicit TlsServerFixture(int max_connections) {
-    source.Set(
-        MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock));
+    context_holder.Set(
+        MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock));
     net::Fd listener = net::Listen("127.0.0.1:0");
     addr = net::LocalAddress(listener);
     server.emplace(std::move(listener), handler, clock, counters,
-                   net::ServerLimits{max_connections, max_connections}, &source);
+                   net::ServerLimits{max_connections, max_connections}, &context_holder);
   }
   Issuer issuer{"issuer"};
   net::SteadyClock clock;
-  net::TlsSource source;
+  net::TlsContextHolder context_holder;
   metrics::Counters counters;
   EchoHandler handler;
   std::string addr;
@@ -131,7 +131,7 @@
   TlsServerFixture fixture(8);
   net::Fd listener = net::Listen("127.0.0.1:0");
   net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeoutUs);
-  net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.source);
+  net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.context_holder);
   CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::IoStatus::kError);
   connection.Finish();
   TlsClient side;
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -1,5 +1,5 @@
 // TlsContext, TlsChannel and TicketKeys in memory: versions, server names, tickets, client certificates, and
-// material that cannot be used.
+// configurations that cannot be used.
 #define CATCH_CONFIG_MAIN
 #include "net/tls.h"
 
@@ -15,14 +15,14 @@
 
 using namespace liftrudder;
 using net::TlsChannel;
+using net::TlsConfig;
 using net::TlsFault;
-using net::TlsMaterial;
 using tests::Handshake;
 using tests::Issued;
 using tests::Issuer;
+using tests::KeyPairOf;
 using tests::MakeContext;
 using tests::ManualClock;
-using tests::PairOf;
 using tests::TlsClient;
 using tests::TlsContextPtr;
 using State = TlsChannel::State;
@@ -30,15 +30,15 @@
 namespace {
 
 // The error's message; empty if there is none.
-std::string MessageOf(TlsMaterial material) {
+std::string MessageOf(TlsConfig config) {
   const ManualClock clock;
-  auto made = net::TlsContext::Make(std::move(material), clock);
+  auto made = net::TlsContext::Create(std::move(config), clock);
   return made ? "" : made.error().Message();
 }
 
-net::TlsError ErrorOf(TlsMaterial material) {
+net::TlsError ErrorOf(TlsConfig config) {
   const ManualClock clock;
-  auto made = net::TlsContext::Make(std::move(material), clock);
+  auto made = net::TlsContext::Create(std::move(config), clock);
   REQUIRE_FALSE(made);
   return made.error();
 }
@@ -48,7 +48,7 @@
 TEST_CASE("TLS 1.3 and 1.2 transfer both ways, and a closed connection differs from a truncated one") {
   Issuer issuer("issuer");
   TlsContextPtr context =
-      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
+      MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   for (auto [version, name] : {std::pair(TLS1_3_VERSION, "TLSv1.3"), {TLS1_2_VERSION, "TLSv1.2"}}) {
     TlsClient client(version);
     TlsChannel server(context);
@@ -62,7 +62,7 @@
     CHECK(at_server == "GET / HTTP/1.1\r\n\r\n");
     CHECK(wire.empty());
     std::string answer(100'000, 'x');
-    CHECK(server.Seal(answer, wire));
+    CHECK(server.Encrypt(answer, wire));
     client.Step(wire, at_client);
     CHECK(at_client == answer);
     CHECK_FALSE(client.ended());
@@ -78,14 +78,14 @@
 TEST_CASE("older versions, other protocols and damaged records fail with a reason") {
   Issuer issuer("issuer");
   TlsContextPtr context =
-      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
+      MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   TlsClient old(TLS1_1_VERSION);
   TlsChannel server(context);
   Handshake(old, server);
   CHECK(server.state() == State::kFailed);
   CHECK(server.fault() == "unsupported protocol");
   std::string plain, wire;
-  CHECK_FALSE(server.Seal("x", wire));
+  CHECK_FALSE(server.Encrypt("x", wire));
   for (const std::string& junk : {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(70'000, '\x16'),
                                   std::string("\x16\x03\x01\xff\xff", 5) + std::string(70'000, 'a')}) {
     TlsChannel other(context);
@@ -117,7 +117,7 @@
   Issuer issuer("issuer");
   Issued a = issuer.Issue("a", "DNS:a.example", "serverAuth"),
          b = issuer.Issue("b", "DNS:*.b.example", "serverAuth");
-  TlsContextPtr context = MakeContext({{PairOf(a), PairOf(b)}, "", "", false});
+  TlsContextPtr context = MakeContext({{KeyPairOf(a), KeyPairOf(b)}, "", "", false});
   for (auto [host, shown] : {std::pair("a.example", &a), {"x.b.example", &b}, {"c.example", &a}, {"", &a}}) {
     TlsClient client;
     client.Begin(host);
@@ -134,7 +134,7 @@
   Issuer issuer("issuer");
   ManualClock clock;
   TlsContextPtr context =
-      MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
+      MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
   for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
     TlsClient client(version);
     auto resumed = [&] {
@@ -146,21 +146,22 @@
     };
     CHECK_FALSE(resumed());
     CHECK(resumed());
-    context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock,
-                          context.get());
+    context = MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false},
+                          clock, context.get());
     CHECK(resumed());
     clock.now_us += net::TicketKeys::kRotationIntervalUs;
     CHECK(resumed());
     clock.now_us += 2 * net::TicketKeys::kRotationIntervalUs;
     CHECK_FALSE(resumed());
-    context = MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
+    context =
+        MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
     CHECK_FALSE(resumed());
   }
 }
 
 TEST_CASE("client certificates: which are accepted, with which names, and until when") {
   Issuer issuer("clients"), other("others"), servers("servers");
-  net::TlsPair pair = PairOf(servers.Issue("a", "DNS:a.example", "serverAuth"));
+  net::TlsKeyPair pair = KeyPairOf(servers.Issue("a", "DNS:a.example", "serverAuth"));
   Issued good = issuer.Issue("north", "DNS:north.example,URI:urn:school:north,email:n@example", "clientAuth");
   Issued revoked = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
   struct Case {
@@ -223,12 +224,12 @@
   Issuer issuer("issuer");
   Issued a = issuer.Issue("a", "DNS:a", "serverAuth"), b = issuer.Issue("b", "DNS:b", "serverAuth");
   CHECK(MessageOf({{}, "", "", false}) == "no server certificate is configured");
-  CHECK(MessageOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false}) ==
+  CHECK(MessageOf({{KeyPairOf(a), {"", a.KeyPem()}}, "", "", false}) ==
         "certificate 2: the file contains no PEM certificate");
   CHECK(MessageOf({{{a.CertificatePem(), ""}}, "", "", false}).find("certificate 1: private key: ") == 0);
   CHECK(MessageOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false}) ==
         "certificate 1: private key: key values mismatch");
-  CHECK(MessageOf({{PairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
+  CHECK(MessageOf({{KeyPairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
         "certificate 1: it has expired");
   std::string encrypted_key = Issued::Pem([&](BIO* to) {
     PEM_write_bio_PrivateKey(to, a.key.get(), EVP_aes_128_cbc(), nullptr, 0, nullptr,
@@ -236,11 +237,11 @@
   });
   CHECK(MessageOf({{{a.CertificatePem(), encrypted_key}}, "", "", false})
             .find("certificate 1: private key: ") == 0);
-  CHECK(MessageOf({{PairOf(a)}, "junk", "", false}) ==
+  CHECK(MessageOf({{KeyPairOf(a)}, "junk", "", false}) ==
         "issuers of client certificates: the file contains no PEM certificate");
-  CHECK(MessageOf({{PairOf(a)}, issuer.Pem(), "junk", false}) ==
+  CHECK(MessageOf({{KeyPairOf(a)}, issuer.Pem(), "junk", false}) ==
         "revocation lists: the file contains no PEM revocation list");
-  CHECK(MessageOf({{PairOf(a)}, "", "", true}) ==
+  CHECK(MessageOf({{KeyPairOf(a)}, "", "", true}) ==
         "client certificates are required or revocation lists are given, but no issuers of client "
         "certificates");
 }
@@ -250,10 +251,10 @@
   Issued a = issuer.Issue("a", "DNS:a", "serverAuth");
   Issued b = issuer.Issue("b", "DNS:b", "serverAuth");
   CHECK(ErrorOf({{}, "", "", false}).fault == TlsFault::kNoCertificate);
-  CHECK(ErrorOf({{PairOf(a)}, "", "", true}).fault == TlsFault::kNoClientCa);
-  CHECK(ErrorOf({{PairOf(a)}, "junk", "", false}).fault == TlsFault::kUnreadableClientCa);
-  CHECK(ErrorOf({{PairOf(a)}, issuer.Pem(), "junk", false}).fault == TlsFault::kUnreadableRevocation);
-  net::TlsError second = ErrorOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false});
+  CHECK(ErrorOf({{KeyPairOf(a)}, "", "", true}).fault == TlsFault::kNoClientCa);
+  CHECK(ErrorOf({{KeyPairOf(a)}, "junk", "", false}).fault == TlsFault::kUnreadableClientCa);
+  CHECK(ErrorOf({{KeyPairOf(a)}, issuer.Pem(), "junk", false}).fault == TlsFault::kUnreadableRevocation);
+  net::TlsError second = ErrorOf({{KeyPairOf(a), {"", a.KeyPem()}}, "", "", false});
   CHECK(second.fault == TlsFault::kCertificate);
   CHECK(second.certificate == 2);
   net::TlsError key = ErrorOf({{{a.CertificatePem(), b.KeyPem()}}, "", "", false});
--- a/tests/support/tls_fixture.h
+++ b/tests/support/tls_fixture.h
@@ -22,21 +22,21 @@
 
 using TlsContextPtr = std::shared_ptr<const net::TlsContext>;
 
-inline TlsContextPtr MakeContext(net::TlsMaterial material, const coordinator::Clock& clock,
+inline TlsContextPtr MakeContext(net::TlsConfig tls_config, const coordinator::Clock& clock,
                                  const net::TlsContext* previous = nullptr) {
-  auto made = net::TlsContext::Make(std::move(material), clock, previous);
+  auto made = net::TlsContext::Create(std::move(tls_config), clock, previous);
   INFO((made ? "made" : made.error().Message()));
   REQUIRE(made);
   return *made;
 }
 
 // For tests in which time does not matter.
-inline TlsContextPtr MakeContext(net::TlsMaterial material) {
+inline TlsContextPtr MakeContext(net::TlsConfig tls_config) {
   static const ManualClock clock;
-  return MakeContext(std::move(material), clock);
+  return MakeContext(std::move(tls_config), clock);
 }
 
-inline net::TlsPair PairOf(const Issued& issued) { return {issued.CertificatePem(), issued.KeyPem()}; }
+inline net::TlsKeyPair KeyPairOf(const Issued& issued) { return {issued.CertificatePem(), issued.KeyPem()}; }
 
 // Exchanges each side's output until neither produces more; returns the plain text that the server received.
 inline std::string Handshake(TlsClient& client, net::TlsChannel& server) {
