--- a/src/dns/zone_source.cpp
+++ b/src/dns/zone_source.cpp
@@ -45,8 +45,11 @@
 }  // namespace
 
 ZoneOptions ParseZoneOptions(std::string_view text) {
-  std::string_view zone = net::json::Get(net::json::Get(text, wire_names::kOpenSearch), wire_names::kZone);
-  auto member = [zone](const char* key) { return net::json::String(net::json::Get(zone, key)).value_or(""); };
+  std::string_view zone =
+      net::json::FindMember(net::json::FindMember(text, wire_names::kOpenSearch), wire_names::kZone);
+  auto member = [zone](const char* key) {
+    return net::json::ParseString(net::json::FindMember(zone, key)).value_or("");
+  };
   ZoneOptions options;
   options.file = member(wire_names::kZoneFile);
   options.service = member(wire_names::kZoneService);
@@ -89,9 +92,9 @@
   while (!stopping_) {
     Micros idle_us = clock_.Now() - received_us;
     if (idle_us > (input.empty() ? kIdleTimeoutUs : kMessageTimeoutUs)) return;
-    net::Io status = net::ReadSome(client, input, kStopCheckUs);
-    if (status == net::Io::kTimeout) continue;
-    if (status != net::Io::kOk) return;
+    net::IoStatus status = net::ReadSome(client, input, kStopCheckUs);
+    if (status == net::IoStatus::kTimeout) continue;
+    if (status != net::IoStatus::kOk) return;
     received_us = clock_.Now();
     if (!ApplyMessages(client, input)) return;
   }
@@ -102,8 +105,8 @@
     std::string response = ApplyUpdate(*message, zone_);
     if (response.empty()) return false;
     Publish(false);
-    net::Io status = net::WriteAll(client, WithLengthPrefix(response), kMessageTimeoutUs).status;
-    if (status != net::Io::kOk) return false;
+    net::IoStatus status = net::WriteAll(client, WithLengthPrefix(response), kMessageTimeoutUs).status;
+    if (status != net::IoStatus::kOk) return false;
   }
   return true;
 }
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Server::Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
-               const ServerLimits& limits, const TlsSource* tls)
+               const ServerLimits& limits, const TlsContextHolder* tls)
     : listener_(std::move(listener)),
       handler_(handler),
       clock_(clock),
@@ -112,9 +112,9 @@
   // A draining server keeps connections open until it stops listening: a client that is disconnected earlier
   // may find no other coordinator while several are being replaced.
   bool close = response->close || session->parser.message().close || stopping_ || ClosesAfterResponse();
-  Written written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
-  bool complete = written.status == Io::kOk;
-  handler_.Wrote(answered_queries, response->status, written.bytes, complete);
+  WriteResult written = session->connection.Write(Format(*response, close), kWriteTimeoutUs);
+  bool complete = written.status == IoStatus::kOk;
+  handler_.OnResponseWritten(answered_queries, response->status, written.bytes, complete);
   if (!complete) {
     Remove(session);
   } else if (close) {
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -35,7 +35,7 @@
     if (request.target == "/held") changed_.wait(lock, [this] { return released_; });
     return net::HttpResponse{};
   }
-  net::HttpResponse Malformed(int status) override {
+  net::HttpResponse MalformedResponse(int status) override {
     std::unique_lock lock(mutex_);
     ++malformed_;
     changed_.notify_all();
@@ -44,8 +44,8 @@
     out.status = status;
     return out;
   }
-  net::HttpResponse Overloaded(const net::HttpMessage*) override { return Malformed(503); }
-  void Wrote(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
+  net::HttpResponse OverloadedResponse(const net::HttpMessage*) override { return MalformedResponse(503); }
+  void OnResponseWritten(const std::vector<net::AnsweredQuery>&, int, std::size_t, bool) override {}
 
   void BlockMalformed() {
     std::lock_guard lock(mutex_);
@@ -96,14 +96,14 @@
 std::string Request(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: g\r\n\r\n"; }
 
 void Send(const net::Fd& fd, const std::string& bytes) {
-  REQUIRE(net::WriteAll(fd, bytes, kTestTimeoutUs).status == net::Io::kOk);
+  REQUIRE(net::WriteAll(fd, bytes, kTestTimeoutUs).status == net::IoStatus::kOk);
 }
 
 // The status of the next response; 0 if the connection ended without one.
 int ReadStatus(const net::Fd& fd) {
   net::HttpParser parser(net::HttpParser::Kind::kResponse);
   std::string in;
-  while (net::ReadSome(fd, in, kTestTimeoutUs) == net::Io::kOk) {
+  while (net::ReadSome(fd, in, kTestTimeoutUs) == net::IoStatus::kOk) {
     if (parser.Feed(in) == net::HttpParser::State::kDone) return parser.message().status;
   }
   return 0;
