--- a/bench/identity_cost.cpp
+++ b/bench/identity_cost.cpp
@@ -13,7 +13,7 @@
 #include "identity/token_verifier.h"
 #include "net/socket.h"
 #include "net/tls_channel.h"
-#include "support/token_issuer.h"
+#include "support/certificate_issuer.h"
 #include "support/token_signer.h"
 
 namespace {
@@ -34,7 +34,7 @@
 
 void PrintTimes(const char* label, std::vector<double>& times_us) {
   std::ranges::sort(times_us);
-  std::printf("%-44s %8.1f us (0.99: %.1f)\n", label, times_us[times_us.size() / 2],
+  std::printf("%-44s %8.1f us (99th percentile: %.1f)\n", label, times_us[times_us.size() / 2],
               times_us[times_us.size() * 99 / 100]);
 }
 
@@ -65,11 +65,11 @@
 // Completes a TLS handshake and returns the time that the server's side of it took, in microseconds.
 double ServerHandshakeUs(tests::TlsClient& client, net::TlsChannel& server) {
   double spent_us = 0;
-  std::string plain, wire, out = client.Step("", plain);
+  std::string plain, wire, out = client.ProcessInput("", plain);
   while (!out.empty()) {
     wire.clear();
     spent_us += ElapsedUs([&] { server.Feed(out, plain, wire); });
-    out = client.Step(wire, plain);
+    out = client.ProcessInput(wire, plain);
   }
   if (server.state() != net::TlsChannel::State::kOpen)
     std::printf("TLS handshake failed: %s\n", server.fault().c_str());
@@ -77,10 +77,10 @@
 }
 
 void MeasureConnections() {
-  tests::Issuer issuer("issuer"), clients("clients");
+  tests::CertificateIssuer issuer("issuer"), clients("clients");
   net::SteadyClock clock;
-  tests::Issued server_certificate = issuer.Issue("a", "DNS:a.example", "serverAuth"),
-                client = clients.Issue("c", "DNS:c", "clientAuth");
+  tests::IssuedCertificate server_certificate = issuer.Issue("a", "DNS:a.example", "serverAuth"),
+                           client = clients.Issue("c", "DNS:c", "clientAuth");
   auto make = [&](const std::string& ca) {
     return net::TlsContext::Make(
                {{{server_certificate.CertificatePem(), server_certificate.KeyPem()}}, ca, "", !ca.empty()},
@@ -93,7 +93,7 @@
     tests::TlsClient plain_client, certificate_client(TLS1_3_VERSION, &client);
     net::TlsChannel new_channel(plain), resumed_channel(plain), mutual_channel(mutual);
     new_times_us.push_back(ServerHandshakeUs(plain_client, new_channel));
-    plain_client.Begin();
+    plain_client.StartConnection();
     resumed_times_us.push_back(ServerHandshakeUs(plain_client, resumed_channel));
     if (!resumed_channel.resumed()) std::printf("the TLS session was not resumed\n");
     mutual_times_us.push_back(ServerHandshakeUs(certificate_client, mutual_channel));
@@ -111,7 +111,7 @@
   std::string ignored_plaintext;
   for (int i = 0; i < kOpenConnections; ++i) {
     open_clients.push_back(std::make_unique<tests::TlsClient>());
-    client_hellos.push_back(open_clients.back()->Step("", ignored_plaintext));
+    client_hellos.push_back(open_clients.back()->ProcessInput("", ignored_plaintext));
   }
   std::string wire;
   auto heap_bytes = [] { return static_cast<double>(mallinfo2().uordblks); };
--- a/simulator/decoder.cpp
+++ b/simulator/decoder.cpp
@@ -15,9 +15,9 @@
 using wire::EventCode;
 using wire::OutcomeCode;
 
-constexpr std::size_t kLengthBytes = 4;  // the length field in front of each frame's body
-constexpr std::uint32_t kMinRecordBytes = 5;
-constexpr std::uint32_t kEndpointBytes = 24;
+constexpr std::size_t kLengthBytes = 4;       // the length field in front of each frame's body
+constexpr std::uint32_t kMinRecordBytes = 5;  // a record's code and size
+constexpr std::uint32_t kEndpointBytes = 24;  // an endpoint's fields in a list
 constexpr int kMaxEndpointLists = 16;
 
 routing::AttemptOutcome ReadOutcome(ByteReader& record) {
--- a/simulator/host.cpp
+++ b/simulator/host.cpp
@@ -33,21 +33,21 @@
 std::string Host::Serve(std::string_view body) {
   Batch batch = decoder_.Decode(body);
   std::vector<routing::Action> actions;
-  for (const Pending& pending : GroupByInstance(batch.events)) {
-    if (pending.events.empty()) continue;
+  for (const EventGroup& group : GroupByInstance(batch.events)) {
+    if (group.events.empty()) continue;
     actions.clear();
-    instances_.at(pending.instance).Handle(batch.now_us, pending.events, actions);
-    encoder_.Add(pending.instance, actions);
+    instances_.at(group.instance).Handle(batch.now_us, group.events, actions);
+    encoder_.Add(group.instance, actions);
   }
   return encoder_.Finish();
 }
 
-std::vector<Host::Pending> Host::GroupByInstance(std::vector<InstanceEvent>& events) {
-  std::vector<Pending> groups;
-  auto find = [&groups](int instance) { return std::ranges::find(groups, instance, &Pending::instance); };
+std::vector<Host::EventGroup> Host::GroupByInstance(std::vector<InstanceEvent>& events) {
+  std::vector<EventGroup> groups;
+  auto find = [&groups](int instance) { return std::ranges::find(groups, instance, &EventGroup::instance); };
   auto drop_earlier_events = [&](int instance) {
-    auto pending = find(instance);
-    if (pending != groups.end()) pending->events.clear();
+    auto group = find(instance);
+    if (group != groups.end()) group->events.clear();
   };
   for (InstanceEvent& event : events) {
     const int instance = event.instance;
@@ -65,9 +65,9 @@
       drop_earlier_events(instance);
       continue;
     }
-    auto pending = find(instance);
-    if (pending == groups.end()) pending = groups.insert(groups.end(), Pending{instance, {}});
-    pending->events.push_back(std::move(std::get<routing::Event>(event.payload)));
+    auto group = find(instance);
+    if (group == groups.end()) group = groups.insert(groups.end(), EventGroup{instance, {}});
+    group->events.push_back(std::move(std::get<routing::Event>(event.payload)));
   }
   return groups;
 }
--- a/simulator/host.h
+++ b/simulator/host.h
@@ -26,14 +26,14 @@
   std::string Serve(std::string_view body);
 
  private:
-  struct Pending {
+  struct EventGroup {
     int instance = 0;
     std::vector<routing::Event> events;
   };
 
   // Creates and kills instances, and groups the other events by instance, in the order of each instance's
   // first event. Events that precede a kill or a new creation of their instance in the batch are dropped.
-  std::vector<Pending> GroupByInstance(std::vector<InstanceEvent>& events);
+  std::vector<EventGroup> GroupByInstance(std::vector<InstanceEvent>& events);
 
   Decoder decoder_;
   Encoder encoder_;
--- a/src/app/connection_budget.h
+++ b/src/app/connection_budget.h
@@ -1,6 +1,6 @@
-// Divides the process's descriptors and memory between client and endpoint connections, and again when the
-// endpoint list grows or shrinks below half. Only sets limits, which the server and the connection pool
-// apply. Any thread.
+// Divides the process's descriptors and memory between client and endpoint connections. Divides them again
+// when the list has more endpoints than the last division was for, or fewer than half as many. Only sets
+// limits, which the server and the connection pool apply. Any thread.
 #ifndef LIFTRUDDER_APP_CONNECTION_BUDGET_H_
 #define LIFTRUDDER_APP_CONNECTION_BUDGET_H_
 
@@ -19,7 +19,7 @@
   ConnectionBudget(const config::Config& config, const coordinator::EndpointRegistry& endpoint_registry,
                    net::EndpointConnectionPool& connection_pool);
 
-  // Sets the server to resize. Null, as before start-up and during shutdown: Rebalance does nothing.
+  // Sets the server to resize. It is null before start-up and during shutdown; Rebalance then does nothing.
   void Attach(net::Server* server);
   // Called on the coordinator's thread after each endpoint list, and on the main thread at start-up.
   void Rebalance();
--- a/src/app/identity_command.cpp
+++ b/src/app/identity_command.cpp
@@ -157,7 +157,8 @@
   CLI::App* check =
       keys->add_subcommand("check", "Check whether a key set is valid; print the state of each key");
   check->add_option("file", options->file, "A JWK set")->required();
-  check->add_option("--before", options->previous, "The key set that it would replace: print the changes");
+  check->add_option("--before", options->previous,
+                    "The key set that `file` would replace; also prints the changes");
   check->footer(exit_codes);
   check->callback([options, &run] { run = [options] { return RunCommand(CheckKeys, *options); }; });
   CLI::App* token = app.add_subcommand("token", "Clients' tokens");
@@ -179,9 +180,10 @@
                              {"--audience", &options->audience},
                              {"--tenant", &options->tenant},
                              {"--subject", &options->subject}}) {
-    sign->add_option(name, *where, "As in the operator's file; not with --jwk")->excludes(jwk);
+    sign->add_option(name, *where, "The value of this claim in the token; not with --jwk")->excludes(jwk);
   }
-  sign->add_option("--life", options->lifetime_s, "Seconds until it expires; negative: it has expired")
+  sign->add_option("--life", options->lifetime_s,
+                   "Seconds until the token expires; a negative value makes a token that has already expired")
       ->check(CLI::Range(-kMaxLifetimeSeconds, kMaxLifetimeSeconds))
       ->excludes(jwk);
   sign->footer(exit_codes);
--- a/src/app/identity_command.h
+++ b/src/app/identity_command.h
@@ -11,8 +11,8 @@
 
 namespace liftrudder::app {
 
-// Adds them. If the user chooses one, parsing sets `run` to a function that returns the exit code: 0, 1 for a
-// key set or token that is not valid, 2 for a file that cannot be read.
+// Adds the sub-commands. If the user chooses one, parsing sets `run` to a function that returns the exit
+// code: 0, 1 for a key set or token that is not valid, 2 for a file that cannot be read.
 void AddIdentityCommands(CLI::App& app, std::function<int()>& run);
 
 }  // namespace liftrudder::app
--- a/src/app/identity_files.h
+++ b/src/app/identity_files.h
@@ -17,8 +17,8 @@
 class IdentityFiles {
  public:
   // Null when the operator's file, whose content is `text`, has no identity member; all clients are admitted
-  // then. Throws config::ConfigError when it is invalid or the keys cannot be read, since a coordinator
-  // without keys would reject every client.
+  // then. Throws config::ConfigError when the member is invalid or the keys cannot be read, since a
+  // coordinator without keys would reject every client.
   static std::unique_ptr<IdentityFiles> Open(const std::string& operator_file, std::string_view text);
 
   identity::Authenticator& authenticator() { return authenticator_; }
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -23,11 +23,12 @@
 }
 
 void Reloader::ReloadDiscoveryAddress() {
-  // The file may be incomplete or invalid: the coordinator then keeps its current settings.
+  // The file may be incomplete or invalid: the coordinator then keeps its current discovery address.
   try {
     config::Config config = config::ParseConfig(config::ReadFile(config_path_));
     if (targets_.discovery_watch == nullptr || config.discovery_address.empty()) {
-      log::Info("reload: no discovery watch, or no discovery address in the file; nothing to change");
+      log::Info(
+          "reload: keeping the discovery address: there is no discovery watch, or the file names no address");
       return;
     }
     log::Info("reload: discovery address is {}", config.discovery_address);
--- a/src/app/reload.h
+++ b/src/app/reload.h
@@ -24,9 +24,10 @@
 
   // Reads all files again. Errors are logged, and the current settings are kept.
   void Reload();
-  // Whether there are files to poll, which is to be done every kPollIntervalUs (watched_files.h).
+  // Whether there are files to poll. If so, PollFiles is to be called every kPollIntervalUs
+  // (watched_files.h).
   bool HasWatchedFiles() const { return targets_.identity != nullptr || targets_.tls != nullptr; }
-  // Reads keys and certificates again whose files have changed.
+  // Reads again the keys and certificates whose files have changed.
   void PollFiles();
 
  private:
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -80,12 +80,13 @@
   if (const Json* clients = members.Find(wire::kTlsClients)) {
     identity::JsonMembers client_members(*clients, "tls: clients");
     client_members.Read(wire::kTlsClientIssuers, paths.client_issuers);
-    client_members.Read(wire::kTlsClientRevoked, paths.revoked);
+    client_members.Read(wire::kTlsClientRevoked, paths.revocation_list);
     client_members.Read(wire::kTlsClientRequired, paths.client_certificate_required);
     if (paths.client_issuers.empty()) client_members.Fail("must name [issuers]");
     RejectUnknownMembers(client_members);
     paths.client_issuers = ResolvePath(operator_file_, paths.client_issuers);
-    if (!paths.revoked.empty()) paths.revoked = ResolvePath(operator_file_, paths.revoked);
+    if (!paths.revocation_list.empty())
+      paths.revocation_list = ResolvePath(operator_file_, paths.revocation_list);
   }
   RejectUnknownMembers(members);
   return paths;
@@ -101,7 +102,7 @@
     add(pair.key);
   }
   add(paths_.client_issuers);
-  add(paths_.revoked);
+  add(paths_.revocation_list);
   return stamps;
 }
 
@@ -113,7 +114,7 @@
     material.pairs.push_back({ReadBoundedFile(pair.certificate), ReadBoundedFile(pair.key)});
   }
   if (!paths_.client_issuers.empty()) material.client_ca = ReadBoundedFile(paths_.client_issuers);
-  if (!paths_.revoked.empty()) material.revoked = ReadBoundedFile(paths_.revoked);
+  if (!paths_.revocation_list.empty()) material.revoked = ReadBoundedFile(paths_.revocation_list);
   material.client_required = paths_.client_certificate_required;
   std::shared_ptr<const net::TlsContext> current = source_.Get();
   if (current != nullptr && current->material() == material) return;
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -1,6 +1,6 @@
 // The TLS files that the operator's file names: read at start-up, polled for changes, read again on reload.
-// Files that are unreadable or invalid change nothing; while they stay so for the same reason, polling logs
-// the error once. Main thread only, except for source(), which is for any thread.
+// Files that are unreadable or invalid change nothing; while they remain unusable for the same reason, the
+// error is logged once. Main thread only, except for source(), which is for any thread.
 #ifndef LIFTRUDDER_APP_TLS_FILES_H_
 #define LIFTRUDDER_APP_TLS_FILES_H_
 
@@ -34,8 +34,8 @@
   };
   struct Paths {
     std::vector<KeyPairPaths> key_pairs;
-    std::string client_issuers;  // empty: clients are not asked for certificates
-    std::string revoked;         // empty: no revocation list
+    std::string client_issuers;   // empty: clients are not asked for certificates
+    std::string revocation_list;  // empty: no revocation list
     bool client_certificate_required = false;
   };
   struct PathStamp {
--- a/src/config/budget.cpp
+++ b/src/config/budget.cpp
@@ -22,10 +22,11 @@
 // requests wait for a connection, and connections are closed and reopened constantly. A quarter more is for
 // endpoints that replace others and for hedges.
 constexpr int kSpareEndpointDivisor = 4;
-// Endpoints get at most this many eighths; the three that remain suffice for clients, since a coordinator of
-// a large fleet has few.
+// Endpoint connections get at most this many eighths of the descriptors. The other three suffice for clients,
+// since a coordinator of a large fleet has few of them.
 constexpr int kMaxEndpointEighths = 5;
-// Requests may use a third of the descriptors, idle connections more.
+// At most a third of the descriptors are for client connections with a request in progress; idle connections
+// may use more.
 constexpr int kRequestDivisor = 3;
 
 }  // namespace
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,8 +22,8 @@
 constexpr int kDefaultMemoryMb = 192;
 constexpr int kSeedBase = 16;
 
-// The default is a fraction of the memory that holds at least a minute of a busy coordinator's queries and
-// that serving can spare.
+// The default size of the decision log is this fraction of the memory: enough for at least a minute of a busy
+// coordinator's queries, and little enough to leave serving unaffected.
 constexpr std::int64_t kDecisionLogMemoryDivisor = 48;
 constexpr std::int64_t kMinDecisionLogBytes = kMiB;
 constexpr std::int64_t kMaxDefaultDecisionLogBytes = 8 * kMiB;
@@ -118,7 +118,7 @@
       1, static_cast<int>(IntegerOr(bounds, wire::kStreamsPerConnection, config.streams_per_connection)));
 }
 
-// Subtracts the decision log from the memory.
+// Reads the limits of the process. Sets config.memory_mb to the memory that remains beside the decision log.
 void ReadLimits(std::string_view text, Config& config) {
   std::string_view limits = json::Get(text, wire::kLimits);
   const int memory_mb = static_cast<int>(IntegerOr(limits, wire::kLimitMemoryMb, kDefaultMemoryMb));
--- a/src/decision_log/counts.h
+++ b/src/decision_log/counts.h
@@ -36,7 +36,7 @@
   kUnreadable,          // not HTTP, or not received in time
   kMalformed,           // HTTP, but not a query
   kDuplicateId,         // a query with this id is open
-  kTooManyOpen,         // observed: open queries and shard requests; threshold: the limit
+  kTooManyOpen,         // more open queries and shard requests (observed) than allowed (threshold)
   kTooManyConnections,  // rejected with its connection
   kAnswerTimeout,       // the coordinator had no answer in time, so the front answered
   kPipelined,           // the client sent more data before it had its answer
@@ -54,7 +54,8 @@
   kFailed,
   kRejectedAtIntake,
   kClientDisconnected,
-  kEventful,  // complete, but something was retried, hedged or had to wait
+  // Complete, but something was retried, hedged, cancelled for an outlier or dead connection, or had to wait.
+  kEventful,
   kOrdinary,
 };
 constexpr std::size_t kRetentionGroups = 7;
@@ -70,7 +71,7 @@
 constexpr std::size_t kRecordLosses = 5;
 
 // Counters kept for each endpoint, in buckets of kBucketSeconds.
-enum class EndpointCount : std::uint8_t { kSent, kRetriedAfter, kRejectedFor, kMissing };
+enum class EndpointCount : std::uint8_t { kSent, kRetriedAfter, kUnansweredFor, kMissing };
 constexpr std::size_t kEndpointCountKinds = 4;
 
 // The interface through which a query arrived.
--- a/src/decision_log/event_decoding.cpp
+++ b/src/decision_log/event_decoding.cpp
@@ -10,8 +10,8 @@
 namespace liftrudder::decision_log {
 namespace {
 
-// More than any front accepts. A damaged record may hold any number.
-constexpr std::uint32_t kMaxShardRequests = 4096;
+// More shard requests than any front accepts. Bounds the memory that a damaged record can claim.
+constexpr std::uint32_t kMaxDecodedShardRequests = 4096;
 
 // The minimum number of words of each kind of event, indexed by EventKind.
 constexpr std::array<std::size_t, 10> kMinWords = {1, 5, 2, 3, 2, 2, 3, 4, 2, 5};
@@ -54,7 +54,7 @@
   std::size_t size = ByteAt(words[0], 1);
   if (event.kind == EventKind::kNone || event.kind > EventKind::kIntake) return std::nullopt;
   if (size < kMinWords[static_cast<std::size_t>(event.kind)] || size > words.size()) return std::nullopt;
-  if (BelongsToShardRequest(event.kind) && event.operand >= kMaxShardRequests) return std::nullopt;
+  if (BelongsToShardRequest(event.kind) && event.operand >= kMaxDecodedShardRequests) return std::nullopt;
   event.words = words.first(size);
   return event;
 }
--- a/src/decision_log/event_encoding.cpp
+++ b/src/decision_log/event_encoding.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxLabelBytes = 48;
-constexpr std::size_t kMaxShardRequests = 0xffff;  // the most that an opened event can hold
+constexpr std::size_t kMaxEncodedShardRequests = 0xffff;  // the most that an opened event can hold
 
 std::uint64_t FirstWord(EventKind kind, std::size_t words, std::uint32_t operand, std::uint32_t time_us) {
   return static_cast<std::uint64_t>(kind) | std::uint64_t{words} << 8 |
@@ -48,7 +48,7 @@
                           const IdHashes& hashes) {
   std::string_view id = query.call_id.substr(0, kMaxIdBytes);
   std::string_view label = query.label.substr(0, kMaxLabelBytes);
-  auto count = static_cast<std::uint32_t>(std::min(shard_requests, kMaxShardRequests));
+  auto count = static_cast<std::uint32_t>(std::min(shard_requests, kMaxEncodedShardRequests));
   EncodedEvent event;
   event.words[1] = static_cast<std::uint64_t>(query.arrived_us);
   event.words[2] = JoinHalves(ClampMicros(query.deadline_us - query.arrived_us),
--- a/src/decision_log/event_encoding.h
+++ b/src/decision_log/event_encoding.h
@@ -1,5 +1,6 @@
 // Encodes what happened to a query as events of the record; event_decoding.h decodes them. record_format.h
-// and docs/design/why.md describe the layout. Pure functions that allocate nothing; usable from any thread.
+// and docs/design/decision_log.md describe the layout. Pure functions that allocate nothing; usable from any
+// thread.
 #ifndef LIFTRUDDER_DECISION_LOG_EVENT_ENCODING_H_
 #define LIFTRUDDER_DECISION_LOG_EVENT_ENCODING_H_
 
--- a/src/decision_log/event_queue.h
+++ b/src/decision_log/event_queue.h
@@ -15,7 +15,7 @@
 
 namespace liftrudder::decision_log {
 
-constexpr std::size_t kMaxIdBytes = 96;  // of a call id that are stored; its hash covers all of it
+constexpr std::size_t kMaxIdBytes = 96;  // bytes of a call id that are stored; the hash covers the whole id
 
 // A report from a front: that it rejected a request at intake, or that it sent a response to a client.
 struct FrontEvent {
@@ -82,7 +82,7 @@
 
  private:
   struct Cell {
-    // The position of the push that may write the cell, or that of the pop that may read it plus 1.
+    // p: the push at position p may write the cell. p + 1: the pop at position p may read it.
     std::atomic<std::size_t> sequence{0};
     FrontEvent event;
   };
--- a/src/decision_log/explain_service.h
+++ b/src/decision_log/explain_service.h
@@ -26,8 +26,8 @@
 
 class ExplainService {
  public:
-  // `refresh` has the writer make everything readable that it has recorded. It is called before each read and
-  // must return within a bounded time. `now` is the program's clock, in microseconds. `record_file` must
+  // `refresh` makes the writer publish everything that it has recorded so far. It is called before each read
+  // and must return within a bounded time. `now` is the program's clock, in microseconds. `record_file` must
   // outlive the service.
   ExplainService(const RecordFile& record_file, std::function<void()> refresh,
                  std::function<std::int64_t()> now)
--- a/src/decision_log/explain_summary.cpp
+++ b/src/decision_log/explain_summary.cpp
@@ -60,7 +60,7 @@
                                 "endpoint", "sent", "retried after", "rejected for", "missing");
   for (const Summary::Endpoint& endpoint : endpoints) {
     out += fmt::format("  {:<30} {:>8} {:>13} {:>12} {:>8}\n", Escaped(endpoint.name.id), endpoint.sent,
-                       endpoint.retried_after, endpoint.rejected_for, endpoint.missing);
+                       endpoint.retried_after, endpoint.unanswered_for, endpoint.missing);
   }
   return out;
 }
@@ -72,7 +72,7 @@
                    {wire::kAddress, Escaped(endpoint.name.addr)},
                    {wire::kSent, endpoint.sent},
                    {wire::kRetriedAfter, endpoint.retried_after},
-                   {wire::kRejectedFor, endpoint.rejected_for},
+                   {wire::kRejectedFor, endpoint.unanswered_for},
                    {wire::kMissing, endpoint.missing}});
   }
   return out;
--- a/src/decision_log/query_index.cpp
+++ b/src/decision_log/query_index.cpp
@@ -20,8 +20,7 @@
 void QueryIndex::Erase(std::uint32_t query) {
   std::size_t gap = SlotOf(query);
   if (slots_[gap].position == kNotFound) return;
-  // Backward-shift deletion: later entries move into the gap unless that would put them before their home
-  // slot.
+  // Backward-shift deletion: later entries move into the gap, but never before their home slot.
   for (std::size_t next = (gap + 1) & Mask(); slots_[next].position != kNotFound;
        next = (next + 1) & Mask()) {
     std::size_t home = HomeSlot(slots_[next].query);
--- a/src/decision_log/reader.cpp
+++ b/src/decision_log/reader.cpp
@@ -28,7 +28,7 @@
   std::uint64_t hash = HashId(id);
   std::uint64_t label_hash = HashLabel(id);
   if (!trace.label.empty() && trace.label_hash == label_hash) return true;
-  // An id that was stored in full is also compared itself.
+  // An id that was stored in full is also compared character by character, since hashes may collide.
   if (trace.id_hash == hash && (trace.id_cut || trace.call_id == id)) return true;
   // For a rejection at intake, the id may be a label that its front truncated.
   return trace.verdict == Verdict::kRejectedAtIntake && trace.id_hash == label_hash;
@@ -69,8 +69,8 @@
 Reader::Reader(const RecordFile& record_file, std::function<void()> pause)
     : record_file_(record_file), pause_(std::move(pause)), origin_(record_file.ReadOrigin()) {}
 
-// Pre-checks a block without copying its cell: most blocks do not begin a query, or begin one that the filter
-// excludes here.
+// Checks a block without copying its cell. This excludes most blocks: they are not the first of a query, or
+// the filter rejects the verdict or id of their query.
 bool Reader::MayMatch(std::size_t block, const Filter& filter, const IdHashes& wanted) const {
   std::size_t at = record_file_.layout().BlockWord(block);
   std::uint64_t use = record_file_.Load(at + kUseWord);
--- a/src/decision_log/reader.h
+++ b/src/decision_log/reader.h
@@ -46,7 +46,7 @@
   std::size_t torn_blocks = 0;  // damaged: wrong checksum or invalid events
   // For a filter by id: the newest kMaxOccurrences, oldest first.
   std::vector<QueryOccurrence> occurrences;
-  std::int64_t occurrences_since_s = 0;  // older ones have been overwritten; 0: none has
+  std::int64_t occurrences_since_s = 0;  // occurrences before it have been overwritten; 0: none has
 };
 
 class Reader {
--- a/src/decision_log/record_file.h
+++ b/src/decision_log/record_file.h
@@ -1,5 +1,6 @@
 // The bytes of the decision log: allocated once with a fixed size, either in plain memory or in a mapped file
-// that outlives the process. docs/design/why.md describes the layout byte by byte. Does not interpret blocks.
+// that outlives the process. docs/design/decision_log.md describes the layout byte by byte. Does not
+// interpret blocks.
 //
 // One writer and any number of readers may use it concurrently: words are stored with release and loaded with
 // acquire order, and cells tell a reader whether the writer changed them during the read.
@@ -22,14 +23,14 @@
 constexpr std::size_t kBlockWords = 32;      // 256 bytes
 constexpr std::size_t kBlockHeadWords = 3;   // see record_format.h
 constexpr std::size_t kEndpointWords = 16;   // an endpoint's id and address
-constexpr std::size_t kMaxEndpoints = 1024;  // with names and counts kept at a time
+constexpr std::size_t kMaxEndpoints = 1024;  // whose names and counts are kept at the same time
 // An endpoint's counts: a word for each bucket of kBucketSeconds, with the bucket's number and a count for
-// each EndpointCount.
+// each EndpointCount. 8 buckets of 8 s cover the last minute.
 constexpr std::size_t kCountBuckets = 8;
 constexpr std::uint32_t kBucketSeconds = 8;
 constexpr int kEndpointCountBits = 12;
 constexpr std::uint64_t kMaxEndpointCount = (1u << kEndpointCountBits) - 1;  // counts saturate here
-constexpr std::size_t kCounterSeconds = 64;  // for which counters are kept second by second
+constexpr std::size_t kCounterSeconds = 64;  // counters are kept per second; covers the last minute
 constexpr std::size_t kCounters = 96;        // see counts.h
 constexpr std::size_t kMaxClasses = 16;
 constexpr std::size_t kClassNameBytes = 32;
@@ -78,7 +79,8 @@
 
 class RecordFile {
  public:
-  // Allocates and populates the memory at once, so that no page is missing later. Throws RecordFileError.
+  // Allocates the memory and maps all its pages now, so that no page has to be allocated later. Throws
+  // RecordFileError.
   static RecordFile InMemory(std::size_t bytes, const RecordOrigin& origin);
   // The same in a file, with its disk space allocated too. An existing file is renamed to PATH.old, since a
   // killed process may have left it. Throws RecordFileError.
--- a/src/decision_log/record_format.h
+++ b/src/decision_log/record_format.h
@@ -1,5 +1,6 @@
 // The format of a block in the record file: kinds of events, flags, and how values are packed into 64-bit
-// words. docs/design/why.md describes the words of each event. Pure functions; usable from any thread.
+// words. docs/design/decision_log.md describes the words of each event. Pure functions; usable from any
+// thread.
 //
 // A block has a head of kBlockHeadWords words, followed by events:
 //   word 0   the cell's sequence and checksum (RecordFile)
--- a/src/decision_log/record_format_check.cpp
+++ b/src/decision_log/record_format_check.cpp
@@ -38,7 +38,7 @@
                         RetentionGroup::kEventful, RetentionGroup::kOrdinary}));
 static_assert(Numbered({RecordLoss::kNoSpace, RecordLoss::kEventLimit, RecordLoss::kQueueFull,
                         RecordLoss::kIntakeRateLimit, RecordLoss::kEndpointNameOverwritten}));
-static_assert(Numbered({EndpointCount::kSent, EndpointCount::kRetriedAfter, EndpointCount::kRejectedFor,
+static_assert(Numbered({EndpointCount::kSent, EndpointCount::kRetriedAfter, EndpointCount::kUnansweredFor,
                         EndpointCount::kMissing}));
 static_assert(Numbered({FrontKind::kPlatform, FrontKind::kSearch, FrontKind::kCount, FrontKind::kScroll,
                         FrontKind::kMultiSearch}));
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kQueueCapacity = 256;         // events from the fronts
-constexpr int kWakeThreshold = kQueueCapacity / 2;  // queued events from which on the coordinator is woken
+constexpr int kWakeThreshold = kQueueCapacity / 2;  // the coordinator is woken at this many queued events
 constexpr double kIntakeRate = 20;                  // rejections at intake recorded per second on average
 constexpr double kIntakeBurst = 40;
 constexpr int kMaxClassIndex = 255;
@@ -207,7 +207,7 @@
   std::uint32_t reason_endpoint = completion.reason.endpoint.address;
   std::uint32_t at_fault = reason_endpoint != 0 ? reason_endpoint : query.last_failed_endpoint;
   if (unanswered && at_fault != 0 && completion.reason.cause != routing::CompletionCause::kLoad) {
-    counters_.AddEndpoint(at_fault, EndpointCount::kRejectedFor);
+    counters_.AddEndpoint(at_fault, EndpointCount::kUnansweredFor);
   }
   if (verdict == Verdict::kPartial && query.last_failed_endpoint != 0) {
     counters_.AddEndpoint(query.last_failed_endpoint, EndpointCount::kMissing);
--- a/src/decision_log/recorder.h
+++ b/src/decision_log/recorder.h
@@ -36,7 +36,8 @@
   // is filling up and the coordinator should be woken to flush it.
   bool Post(const FrontEvent& event);
   bool HasPostedEvents() const { return posted_events_.load(std::memory_order_relaxed) > 0; }
-  // The number of completed flushes. A reader that needs the newest events waits until it has grown by two.
+  // The number of completed flushes. A reader that needs the newest events waits until it has grown by two,
+  // since a flush that is already running may have missed them.
   std::uint64_t FlushCount() const { return flush_count_.load(std::memory_order_acquire); }
 
   // Sets the time of the events that follow.
--- a/src/decision_log/retention_policy.cpp
+++ b/src/decision_log/retention_policy.cpp
@@ -82,8 +82,8 @@
   return furthest;
 }
 
-// The slice with the most blocks for its width and age, so that each doubling of age keeps about as many
-// blocks.
+// The slice with the most blocks for its width and age. Evicting there keeps about the same number of blocks
+// for each doubling of age.
 RetentionPolicy::TimeSlice* RetentionPolicy::DensestSlice(StratumState& stratum, std::int64_t now_us) {
   TimeSlice* densest = nullptr;
   double most = 0;
--- a/src/decision_log/retention_policy.h
+++ b/src/decision_log/retention_policy.h
@@ -3,9 +3,10 @@
 // construction. Not thread-safe.
 //
 // This is stratified sampling. A stratum has the queries of one group (how they ended) and class. Its share
-// of the blocks reflects how often operators ask about its group; other strata may use what it leaves free,
-// until it fills up. Within a stratum, queries are grouped into time slices that widen with age, so that a
-// burst evicts queries from its own seconds and not from the minutes before it.
+// of the blocks reflects how often operators ask about its group; other strata may use the blocks that a
+// stratum leaves free, until that stratum needs them itself. Within a stratum, queries are grouped into time
+// slices that widen with age, so that a burst evicts queries from its own seconds and not from the minutes
+// before it.
 #ifndef LIFTRUDDER_DECISION_LOG_RETENTION_POLICY_H_
 #define LIFTRUDDER_DECISION_LOG_RETENTION_POLICY_H_
 
--- a/src/decision_log/summary.cpp
+++ b/src/decision_log/summary.cpp
@@ -55,7 +55,7 @@
 }
 
 std::uint64_t FaultCount(const Summary::Endpoint& endpoint) {
-  return endpoint.retried_after + endpoint.rejected_for + endpoint.missing;
+  return endpoint.retried_after + endpoint.unanswered_for + endpoint.missing;
 }
 
 void AddEndpoints(const RecordFile& record_file, Summary& summary) {
@@ -69,7 +69,7 @@
     auto counts = EndpointCounts(record_file, slot, summary.now_s);
     auto count = [&counts](EndpointCount kind) { return counts[static_cast<std::size_t>(kind)]; };
     Summary::Endpoint endpoint{ReadEndpointName(record_file, number), count(EndpointCount::kSent),
-                               count(EndpointCount::kRetriedAfter), count(EndpointCount::kRejectedFor),
+                               count(EndpointCount::kRetriedAfter), count(EndpointCount::kUnansweredFor),
                                count(EndpointCount::kMissing)};
     if (endpoint.sent + FaultCount(endpoint) > 0) summary.endpoints.push_back(std::move(endpoint));
   }
--- a/src/decision_log/summary.h
+++ b/src/decision_log/summary.h
@@ -15,9 +15,9 @@
   struct Endpoint {
     EndpointName name;
     std::uint64_t sent = 0;
-    std::uint64_t retried_after = 0;  // retries of shard requests that had failed there
-    std::uint64_t rejected_for = 0;   // queries without an answer because of it
-    std::uint64_t missing = 0;        // partial results that lack its response
+    std::uint64_t retried_after = 0;   // retries sent when the query's last failed attempt had been here
+    std::uint64_t unanswered_for = 0;  // queries rejected, failed or expired because of it
+    std::uint64_t missing = 0;         // partial results of queries whose last failed attempt was here
   };
   struct SecondCount {
     std::int64_t second = 0;
--- a/src/decision_log/trace.h
+++ b/src/decision_log/trace.h
@@ -45,7 +45,7 @@
   Cause cause = Cause::kServed;
 };
 
-// A time from which nothing of the shard request was in flight, with the reason.
+// A moment from which the shard request had no attempt in flight, and the reason.
 struct PendingTrace {
   std::int64_t at_us = 0;
   routing::PendingReason reason = routing::PendingReason::kNone;
--- a/src/opensearch/caller_access.h
+++ b/src/opensearch/caller_access.h
@@ -17,7 +17,7 @@
 
 namespace liftrudder::opensearch {
 
-// Its permissions are null without authentication: then all callers may do everything.
+// Principal::permissions is null without authentication; every caller may then do everything.
 using identity::Principal;
 
 // The capacity that one query takes in its tenant's quota.
--- a/src/opensearch/merge.cpp
+++ b/src/opensearch/merge.cpp
@@ -119,14 +119,14 @@
 
 }  // namespace
 
-bool IsCompleteResponse(std::string_view body, bool count) {
+bool IsCompleteResponse(std::string_view body, bool is_count) {
   if (!json::Valid(body) || !json::Get(body, wire::kError).empty()) return false;
   std::string_view timed_out = json::Get(body, wire::kTimedOut);
   std::string_view shards = json::Get(body, wire::kShards);
   if (!timed_out.empty() && timed_out != "false") return false;
   std::string_view failed = json::Get(shards, wire::kFailed);
   if (!failed.empty() && failed != "0") return false;
-  if (count) return json::Integer(json::Get(body, wire::kCount)).value_or(-1) >= 0;
+  if (is_count) return json::Integer(json::Get(body, wire::kCount)).value_or(-1) >= 0;
   std::string_view hits = json::Get(json::Get(body, wire::kHits), wire::kHits);
   return hits.starts_with('[');
 }
--- a/src/opensearch/options.h
+++ b/src/opensearch/options.h
@@ -1,4 +1,4 @@
-// The options of the search API, which its file holds beside the coordinator's own configuration.
+// The options of the search API. The operator's file holds them beside the coordinator's configuration.
 #ifndef LIFTRUDDER_OPENSEARCH_OPTIONS_H_
 #define LIFTRUDDER_OPENSEARCH_OPTIONS_H_
 
@@ -26,7 +26,8 @@
   std::string tiebreak = "_id";  // a field whose value is unique in an index
 };
 
-// The options cannot be used; what() names the member or value at fault. Thrown at start-up and reload.
+// The options cannot be used; what() names the member or value at fault. Thrown at start-up only: a
+// reload does not read these options.
 class OptionsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/opensearch/query_runner.cpp
+++ b/src/opensearch/query_runner.cpp
@@ -17,7 +17,8 @@
 constexpr coordinator::Micros kDeadlineToleranceUs = 50'000;  // a failure this near the deadline is a timeout
 constexpr coordinator::Micros kOverloadRetryUs = 1'000'000;
 constexpr double kMaxTimeoutS = 3600;
-constexpr char kSearchIdPrefix = 's';  // first character of the other call ids
+// First character of the call ids of searches; counts have kCountIdPrefix.
+constexpr char kSearchIdPrefix = 's';
 
 }  // namespace
 
--- a/src/opensearch/scroll.h
+++ b/src/opensearch/scroll.h
@@ -15,9 +15,9 @@
 
 struct Cursor {
   std::string index;
-  Search search;  // the next page begins after its search_after
-  bool ended = false;
-  std::string owner;  // its tenant; empty without authentication. To other tenants its ids are unknown.
+  Search search;       // the next page begins after its search_after
+  bool ended = false;  // the page before it had no hits
+  std::string owner;   // its tenant; empty without authentication. To other tenants its ids are unknown.
   std::shared_ptr<const identity::Permissions> permissions;  // of the request that opened it
 };
 
--- a/src/opensearch/search.cpp
+++ b/src/opensearch/search.cpp
@@ -48,7 +48,7 @@
 // One element of a sort: "field", {"field":"desc"} or {"field":{"order":"desc","missing":"_first"}}.
 bool ReadSortKey(std::string_view element, std::vector<SortKey>& out) {
   if (auto field = json::String(element)) {
-    if (*field == wire::kDocField) return true;  // any order is allowed: the tiebreak's is used
+    if (*field == wire::kDocField) return true;  // _doc accepts any order: the tiebreak alone decides
     out.push_back({std::string(element), *field == wire::kScoreField, false});
     return true;
   }
@@ -102,7 +102,7 @@
 // Reads the parameters and members of one search.
 struct SearchReader {
   Search search;
-  bool sorted = false;  // the client requested a sort
+  bool sort_requested = false;  // by the client
 
   // `raw`: the value as it is in the URL, still escaped.
   std::optional<ApiError> ReadParameter(std::string_view name, std::string_view raw);
@@ -123,7 +123,7 @@
   std::string value = net::Unescape(raw);
   if (name == wire::kFrom || name == wire::kSize) return ReadFromOrSize(name, value);
   if (name == wire::kSort) {
-    sorted = true;
+    sort_requested = true;
     if (!ReadSortParameter(value, search.sort)) return BadRequest("[sort] cannot be read");
   } else if (name == wire::kScroll) {
     auto duration_us = ReadDuration(value);
@@ -145,7 +145,7 @@
 std::optional<ApiError> SearchReader::ReadMember(std::string_view name, std::string_view value) {
   if (name == wire::kFrom || name == wire::kSize) return ReadFromOrSize(name, value);
   if (name == wire::kSort) {
-    sorted = true;
+    sort_requested = true;
     if (!ReadSort(value, search.sort)) return BadRequest("[sort] cannot be read");
   } else if (name == wire::kSearchAfter) {
     if (!value.starts_with('[')) return BadRequest("[search_after] must be an array");
@@ -162,9 +162,9 @@
 
 // Adds the tiebreak unless the sort ends with it, so that the order is total: a page then begins at the same
 // hit whichever endpoint answers for a shard. Checks search_after against the sort.
-std::optional<ApiError> EnsureTotalOrder(const Options& options, bool sorted, Search& out) {
-  out.by_score = !sorted;
-  if (!sorted) out.sort = {{R"({"_score":{"order":"desc"}})", true, false}};
+std::optional<ApiError> EnsureTotalOrder(const Options& options, bool sort_requested, Search& out) {
+  out.by_score = !sort_requested;
+  if (!sort_requested) out.sort = {{R"({"_score":{"order":"desc"}})", true, false}};
   std::string field = json::Quote(options.tiebreak);
   SortKey tiebreak{fmt::format(R"({{{}:{{"order":"asc"}}}})", field), false, false};
   bool ends_with_tiebreak = !out.sort.empty() && out.sort.back().text.find(field) != std::string::npos;
@@ -260,7 +260,7 @@
   if (!error) error = ReadBody(body, reader);
   if (!error) error = RestrictSearch(filter, body, reader.search);
   if (!error) error = CheckLimits(reader.search, options);
-  if (!error) error = EnsureTotalOrder(options, reader.sorted, reader.search);
+  if (!error) error = EnsureTotalOrder(options, reader.sort_requested, reader.search);
   if (error) return tl::unexpected(std::move(*error));
   return std::move(reader.search);
 }
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr coordinator::Micros kConnectTimeoutUs = 500'000;
-// Discovery sends a heartbeat every 2 s, and an update counts as notified 6 s after it was made. A watch that
-// is silent for kSilenceTimeoutUs is replaced, which leaves time to receive the update within those 6 s.
+// Discovery sends a heartbeat every 2 s, and assumes 6 s after an update that every watch has received it. A
+// watch that is silent for kSilenceTimeoutUs is replaced, in time to receive the update within those 6 s.
 constexpr coordinator::Micros kSilenceTimeoutUs = 3'000'000;
 constexpr coordinator::Micros kReadTimeoutUs = 200'000;  // how soon a stop or a new address is noticed
 // Discovery sends pending lists directly after the response header. When nothing arrives for this long, the
@@ -122,7 +122,8 @@
 
 void DiscoveryWatch::Watch(const std::string& address) {
   Stream stream(OpenWatch(address), MaxListBytes(config_.settings), clock_.Now());
-  // After a reload changes the address, the old one may still send heartbeats but no lists.
+  // The loop also ends when a reload changes the address: the old address may still send heartbeats, but
+  // sends no more lists.
   while (!stopping_ && clock_.Now() - stream.last_activity_us < kSilenceTimeoutUs && Address() == address) {
     if (ReadStream(address, stream) == StreamState::kEnded) return;
   }
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -44,7 +44,8 @@
   StreamState ProcessReceived(const std::string& address, Stream& stream);
   void RecordActivity(const std::string& address, Stream& stream);
   void ApplyList(std::string_view text);
-  // Waits for `span_us`, or until the watch stops or its address changes: the backoff is for the old address.
+  // Waits for `span_us`. Ends early when the watch stops, or when its address changes, since the backoff
+  // applies only to the old address.
   void Pause(coordinator::Micros span_us, const std::string& address);
   std::string Address() const;
 
--- a/src/platform/query_request.cpp
+++ b/src/platform/query_request.cpp
@@ -23,7 +23,8 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMaxWorkUs = 1e9;
 constexpr int kKeyBase = 16;
-// The weights must sum to 1, with this tolerance plus kWeightRounding for each of them: they are rounded.
+// The weights must sum to 1 within kWeightSlack plus kWeightRounding per weight, since clients round each
+// weight.
 constexpr double kWeightSlack = 1e-3;
 constexpr double kWeightRounding = 1e-4;
 
@@ -68,7 +69,7 @@
   headers.class_index = static_cast<int>(found - config.classes.begin());
   headers.timeout_us = static_cast<coordinator::Micros>(*seconds * kMicrosPerSecond);
   const std::string* retry = request.Header(wire::kRetryHeader);
-  headers.is_retry = retry != nullptr && *retry == wire::kIsRetry;
+  headers.is_retry = retry != nullptr && *retry == wire::kRetryHeaderValue;
   const auto& query_class = config.settings.classes[static_cast<std::size_t>(headers.class_index)];
   if (query_class.effect == routing::Effect::kIdempotencyKey) {
     const std::string* key = SingleHeader(request, wire::kIdempotencyKeyHeader);
--- a/src/platform/wire_names.h
+++ b/src/platform/wire_names.h
@@ -20,7 +20,7 @@
 inline constexpr char kClassHeader[] = "X-Call-Class";
 inline constexpr char kTimeoutHeader[] = "X-Budget";  // seconds
 inline constexpr char kRetryHeader[] = "X-Again";
-inline constexpr char kIsRetry[] = "1";
+inline constexpr char kRetryHeaderValue[] = "1";
 inline constexpr char kIdempotencyKeyHeader[] = "Idempotency-Key";
 
 // Members of a query's body.
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -185,7 +185,9 @@
     // A reset for one shard request ends all those on the shared connection.
     if (attempt.cause == Cause::kConnectionLost) fits = attempt.outcome == AttemptOutcome::kReset;
     if (attempt.cause == Cause::kInvalidResponse) fits = attempt.outcome == AttemptOutcome::kError;
-    if (!fits) Report(id, fmt::format("the attempt at {} ended otherwise", attempt.endpoint.id));
+    if (!fits)
+      Report(id, fmt::format("the recorded end of the attempt at {} does not match what the endpoint did",
+                             attempt.endpoint.id));
     // Only the coordinator, or the loss of a connection, ends an attempt without a response.
     if (act == Act::kSilent && attempt.cause != Cause::kCancelled && attempt.cause != Cause::kExpired &&
         attempt.cause != Cause::kConnectionLost && attempt.cause != Cause::kInvalidResponse) {
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -291,7 +291,7 @@
   }
   CHECK(f.recorder.ClaimedBytes() == claimed);
   CHECK(claimed <= kRecordBytes);
-  CHECK(claimed > 400 * 1024);  // and the record uses what it is given
+  CHECK(claimed > 400 * 1024);  // most of the requested memory is used
 }
 
 TEST_CASE("a burst does not evict the rejected and partial queries of the minute before it") {
@@ -524,8 +524,7 @@
         auto evicted = retention.NextEviction(now_us);
         RC_ASSERT(evicted.has_value());
         RC_ASSERT(kept.contains(*evicted));
-        // That the evicted query comes from the stratum with the most blocks for its share is not checked
-        // here.
+        // Does not check that the evicted query comes from the stratum furthest over its share.
         retention.Drop(*evicted);
         free.insert(*evicted);
         kept.erase(*evicted);
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -9,7 +9,7 @@
 #include "support/tls_fixture.h"
 
 using namespace liftrudder;
-using tests::Issuer;
+using tests::CertificateIssuer;
 using tests::MakeContext;
 using tests::PairOf;
 using tests::TlsClient;
@@ -47,7 +47,7 @@
     server.emplace(std::move(listener), handler, clock, counters,
                    net::ServerLimits{max_connections, max_connections}, &source);
   }
-  Issuer issuer{"issuer"};
+  CertificateIssuer issuer{"issuer"};
   net::SteadyClock clock;
   net::TlsSource source;
   metrics::Counters counters;
@@ -61,17 +61,17 @@
 // Sends a request on a new TLS connection; returns the response, empty if there was none.
 std::string Request(const std::string& addr, TlsClient& client, net::Fd& fd) {
   fd = net::Connect(addr, kTestTimeoutUs);
-  std::string at_client, arrived, out = client.Step("", at_client);
+  std::string at_client, arrived, out = client.ProcessInput("", at_client);
   bool sent = false;
   while (at_client.find("/lessons") == std::string::npos) {
     if (!sent && SSL_is_init_finished(client.raw()) != 0) {
-      out += client.Say("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
+      out += client.Encrypt("GET /lessons HTTP/1.1\r\nHost: a\r\n\r\n");
       sent = true;
     }
     if (!out.empty() && net::WriteAll(fd, out, kTestTimeoutUs).status != net::Io::kOk) return "";
     arrived.clear();
     if (net::ReadSome(fd, arrived, kTestTimeoutUs) != net::Io::kOk) return "";
-    out = client.Step(arrived, at_client);
+    out = client.ProcessInput(arrived, at_client);
   }
   return at_client;
 }
@@ -90,7 +90,7 @@
     REQUIRE(abandoned.back().Valid());
     // The server's flight shows that its side of the handshake has begun.
     std::string flight;
-    net::WriteAll(abandoned.back(), halfway.Step("", at_client), kTestTimeoutUs);
+    net::WriteAll(abandoned.back(), halfway.ProcessInput("", at_client), kTestTimeoutUs);
     REQUIRE(net::ReadSome(abandoned.back(), flight, kTestTimeoutUs) == net::Io::kOk);
     if (i % 50 != 49) continue;
     TlsClient good;
@@ -116,7 +116,7 @@
   for (const net::Fd& one : silent) {
     TlsClient halfway;
     std::string flight;
-    net::WriteAll(one, halfway.Step("", at_client), kTestTimeoutUs);
+    net::WriteAll(one, halfway.ProcessInput("", at_client), kTestTimeoutUs);
     REQUIRE(net::ReadSome(one, flight, kTestTimeoutUs) == net::Io::kOk);
   }
   TlsClient good;
@@ -136,9 +136,9 @@
   connection.Finish();
   TlsClient side;
   std::string at_client, arrived;
-  side.Step("", at_client);
+  side.ProcessInput("", at_client);
   REQUIRE(net::ReadSome(client, arrived, kTestTimeoutUs) == net::Io::kOk);
-  side.Step(arrived, at_client);
+  side.ProcessInput(arrived, at_client);
   CHECK(at_client.empty());
   CHECK(arrived == std::string("\x15\x03\x03\0\2\2\x50", 7));
 }
@@ -149,7 +149,7 @@
   TlsClient client;
   net::Fd fd;
   REQUIRE(Request(addr, client, fd).find("HTTP/1.1 200") == 0);
-  CHECK_FALSE(client.ended());
+  CHECK_FALSE(client.peer_closed());
   // The client's close_notify ends the connection, and the server closes its side.
   std::string at_client, arrived;
   net::WriteAll(fd, client.Close(), kTestTimeoutUs);
@@ -159,11 +159,11 @@
   TlsClient other;
   net::Fd second;
   REQUIRE(Request(addr, other, second).find("HTTP/1.1 200") == 0);
-  net::WriteAll(second, other.Say("nonsense\r\n\r\n"), kTestTimeoutUs);
-  while (!other.ended()) {
+  net::WriteAll(second, other.Encrypt("nonsense\r\n\r\n"), kTestTimeoutUs);
+  while (!other.peer_closed()) {
     arrived.clear();
     REQUIRE(net::ReadSome(second, arrived, kTestTimeoutUs) == net::Io::kOk);
-    other.Step(arrived, at_client);
+    other.ProcessInput(arrived, at_client);
   }
   CHECK(at_client.find("HTTP/1.1 400") == 0);
 }
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -17,9 +17,9 @@
 using net::TlsChannel;
 using net::TlsFault;
 using net::TlsMaterial;
+using tests::CertificateIssuer;
 using tests::Handshake;
-using tests::Issued;
-using tests::Issuer;
+using tests::IssuedCertificate;
 using tests::MakeContext;
 using tests::ManualClock;
 using tests::PairOf;
@@ -46,7 +46,7 @@
 }  // namespace
 
 TEST_CASE("TLS 1.3 and 1.2 transfer both ways, and a closed connection differs from a truncated one") {
-  Issuer issuer("issuer");
+  CertificateIssuer issuer("issuer");
   TlsContextPtr context =
       MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   for (auto [version, name] : {std::pair(TLS1_3_VERSION, "TLSv1.3"), {TLS1_2_VERSION, "TLSv1.2"}}) {
@@ -58,25 +58,26 @@
     CHECK(server.peer() == nullptr);
     // The request arrives byte by byte, the response takes several records.
     std::string at_server, at_client, wire;
-    for (char one : client.Say("GET / HTTP/1.1\r\n\r\n")) server.Feed(std::string(1, one), at_server, wire);
+    for (char one : client.Encrypt("GET / HTTP/1.1\r\n\r\n"))
+      server.Feed(std::string(1, one), at_server, wire);
     CHECK(at_server == "GET / HTTP/1.1\r\n\r\n");
     CHECK(wire.empty());
     std::string answer(100'000, 'x');
     CHECK(server.Seal(answer, wire));
-    client.Step(wire, at_client);
+    client.ProcessInput(wire, at_client);
     CHECK(at_client == answer);
-    CHECK_FALSE(client.ended());
+    CHECK_FALSE(client.peer_closed());
     wire.clear();
     server.Close(wire);
-    client.Step(wire, at_client);
-    CHECK(client.ended());
+    client.ProcessInput(wire, at_client);
+    CHECK(client.peer_closed());
     CHECK(server.state() == State::kOpen);
     CHECK(server.Feed(client.Close(), at_server, wire) == State::kEnded);
   }
 }
 
 TEST_CASE("older versions, other protocols and damaged records fail with a reason") {
-  Issuer issuer("issuer");
+  CertificateIssuer issuer("issuer");
   TlsContextPtr context =
       MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false});
   TlsClient old(TLS1_1_VERSION);
@@ -97,7 +98,7 @@
   TlsClient client;
   TlsChannel third(context);
   Handshake(client, third);
-  std::string record = client.Say("hello");
+  std::string record = client.Encrypt("hello");
   record[record.size() / 2] = static_cast<char>(record[record.size() / 2] ^ 1);
   CHECK(third.Feed(record, plain, wire) == State::kFailed);
   CHECK(plain.empty());
@@ -108,19 +109,19 @@
   SSL_renegotiate(again.raw());
   std::string at_client;
   wire.clear();
-  State state = fourth.Feed(again.Step("", at_client), plain, wire);
+  State state = fourth.Feed(again.ProcessInput("", at_client), plain, wire);
   CHECK(state != State::kHandshake);
   CHECK(plain.empty());
 }
 
 TEST_CASE("the certificate for the requested server name is shown, else the first") {
-  Issuer issuer("issuer");
-  Issued a = issuer.Issue("a", "DNS:a.example", "serverAuth"),
-         b = issuer.Issue("b", "DNS:*.b.example", "serverAuth");
+  CertificateIssuer issuer("issuer");
+  IssuedCertificate a = issuer.Issue("a", "DNS:a.example", "serverAuth"),
+                    b = issuer.Issue("b", "DNS:*.b.example", "serverAuth");
   TlsContextPtr context = MakeContext({{PairOf(a), PairOf(b)}, "", "", false});
   for (auto [host, shown] : {std::pair("a.example", &a), {"x.b.example", &b}, {"c.example", &a}, {"", &a}}) {
     TlsClient client;
-    client.Begin(host);
+    client.StartConnection(host);
     TlsChannel server(context);
     Handshake(client, server);
     REQUIRE(server.state() == State::kOpen);
@@ -131,14 +132,14 @@
 
 TEST_CASE(
     "a ticket resumes a session for one to two key rotation intervals, also after a change of certificates") {
-  Issuer issuer("issuer");
+  CertificateIssuer issuer("issuer");
   ManualClock clock;
   TlsContextPtr context =
       MakeContext({{PairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock);
   for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
     TlsClient client(version);
     auto resumed = [&] {
-      client.Begin();
+      client.StartConnection();
       TlsChannel server(context);
       Handshake(client, server);
       REQUIRE(server.state() == State::kOpen);
@@ -159,13 +160,14 @@
 }
 
 TEST_CASE("client certificates: which are accepted, with which names, and until when") {
-  Issuer issuer("clients"), other("others"), servers("servers");
+  CertificateIssuer issuer("clients"), other("others"), servers("servers");
   net::TlsPair pair = PairOf(servers.Issue("a", "DNS:a.example", "serverAuth"));
-  Issued good = issuer.Issue("north", "DNS:north.example,URI:urn:school:north,email:n@example", "clientAuth");
-  Issued revoked = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
+  IssuedCertificate good =
+      issuer.Issue("north", "DNS:north.example,URI:urn:school:north,email:n@example", "clientAuth");
+  IssuedCertificate revoked = issuer.Issue("gone", "DNS:gone.example", "clientAuth");
   struct Case {
     const char* what;
-    std::optional<Issued> client_certificate;
+    std::optional<IssuedCertificate> client_certificate;
     bool required, accepted;
   };
   const Case cases[] = {
@@ -181,7 +183,8 @@
   for (const Case& one : cases) {
     for (int version : {TLS1_3_VERSION, TLS1_2_VERSION}) {
       INFO(one.what << " " << version);
-      TlsContextPtr context = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({revoked}), one.required});
+      TlsContextPtr context =
+          MakeContext({{pair}, issuer.Pem(), issuer.RevocationListPem({revoked}), one.required});
       TlsClient client(version, one.client_certificate ? &*one.client_certificate : nullptr);
       TlsChannel server(context);
       Handshake(client, server);
@@ -190,7 +193,7 @@
       CHECK(server.fault().empty() == one.accepted);
     }
   }
-  TlsContextPtr before = MakeContext({{pair}, issuer.Pem(), issuer.Revoked({}), true});
+  TlsContextPtr before = MakeContext({{pair}, issuer.Pem(), issuer.RevocationListPem({}), true});
   TlsClient client(TLS1_3_VERSION, &good);
   TlsChannel server(before);
   Handshake(client, server);
@@ -201,27 +204,29 @@
   CHECK(peer.subject == "CN=north");
   // A context with newer files applies to connections that are already open.
   CHECK(before->Verify(peer) == "");
-  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({good}), true})->Verify(peer) ==
+  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.RevocationListPem({good}), true})->Verify(peer) ==
         "certificate revoked");
   CHECK(MakeContext({{pair}, other.Pem(), "", true})->Verify(peer) != "");
   CHECK(MakeContext({{pair}, "", "", false})->Verify(peer) != "");
   // An expired revocation list, or none for one of two issuers, rejects every certificate.
-  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({}, -30), true})->Verify(peer) ==
+  CHECK(MakeContext({{pair}, issuer.Pem(), issuer.RevocationListPem({}, -30), true})->Verify(peer) ==
         "CRL has expired");
   std::string two = issuer.Pem() + other.Pem();
-  CHECK(MakeContext({{pair}, two, issuer.Revoked({}), true})->Verify(peer) == "");
-  CHECK(MakeContext({{pair}, two, other.Revoked({}), true})->Verify(peer) == "unable to get certificate CRL");
+  CHECK(MakeContext({{pair}, two, issuer.RevocationListPem({}), true})->Verify(peer) == "");
+  CHECK(MakeContext({{pair}, two, other.RevocationListPem({}), true})->Verify(peer) ==
+        "unable to get certificate CRL");
   // A later connection verifies the certificate again: its session is not resumed.
-  client.Begin();
-  TlsChannel second(MakeContext({{pair}, issuer.Pem(), issuer.Revoked({good}), true}));
+  client.StartConnection();
+  TlsChannel second(MakeContext({{pair}, issuer.Pem(), issuer.RevocationListPem({good}), true}));
   Handshake(client, second);
   CHECK(second.state() == State::kFailed);
   CHECK(second.fault().find("certificate revoked") != std::string::npos);
 }
 
 TEST_CASE("a TlsError says what is wrong and with which certificate") {
-  Issuer issuer("issuer");
-  Issued a = issuer.Issue("a", "DNS:a", "serverAuth"), b = issuer.Issue("b", "DNS:b", "serverAuth");
+  CertificateIssuer issuer("issuer");
+  IssuedCertificate a = issuer.Issue("a", "DNS:a", "serverAuth"),
+                    b = issuer.Issue("b", "DNS:b", "serverAuth");
   CHECK(MessageOf({{}, "", "", false}) == "no server certificate is configured");
   CHECK(MessageOf({{PairOf(a), {"", a.KeyPem()}}, "", "", false}) ==
         "certificate 2: the file contains no PEM certificate");
@@ -230,7 +235,7 @@
         "certificate 1: private key: key values mismatch");
   CHECK(MessageOf({{PairOf(issuer.Issue("x", "DNS:x", "serverAuth", -60, -30))}, "", "", false}) ==
         "certificate 1: it has expired");
-  std::string encrypted_key = Issued::Pem([&](BIO* to) {
+  std::string encrypted_key = IssuedCertificate::Pem([&](BIO* to) {
     PEM_write_bio_PrivateKey(to, a.key.get(), EVP_aes_128_cbc(), nullptr, 0, nullptr,
                              const_cast<char*>("secret"));
   });
@@ -246,9 +251,9 @@
 }
 
 TEST_CASE("a TlsError names its fault and the certificate's position") {
-  Issuer issuer("issuer");
-  Issued a = issuer.Issue("a", "DNS:a", "serverAuth");
-  Issued b = issuer.Issue("b", "DNS:b", "serverAuth");
+  CertificateIssuer issuer("issuer");
+  IssuedCertificate a = issuer.Issue("a", "DNS:a", "serverAuth");
+  IssuedCertificate b = issuer.Issue("b", "DNS:b", "serverAuth");
   CHECK(ErrorOf({{}, "", "", false}).fault == TlsFault::kNoCertificate);
   CHECK(ErrorOf({{PairOf(a)}, "", "", true}).fault == TlsFault::kNoClientCa);
   CHECK(ErrorOf({{PairOf(a)}, "junk", "", false}).fault == TlsFault::kUnreadableClientCa);
--- a/tests/platform/discovery_watch_test.cpp
+++ b/tests/platform/discovery_watch_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr net::Micros kTestTimeout = 20'000'000;
+constexpr net::Micros kTestTimeoutUs = 20'000'000;
 
 }  // namespace
 
@@ -29,18 +29,18 @@
   coordinator::Coordinator coordinator(config.settings, 1, clock, endpoint_registry, counters);
   platform::DiscoveryWatch watch(config, endpoint_registry, coordinator, clock);
   auto accept_watch = [&] {
-    net::Fd fd = net::Accept(listener, kTestTimeout);
+    net::Fd fd = net::Accept(listener, kTestTimeoutUs);
     std::string request;
-    REQUIRE(net::ReadSome(fd, request, kTestTimeout) == net::Io::kOk);
+    REQUIRE(net::ReadSome(fd, request, kTestTimeoutUs) == net::Io::kOk);
     return fd;
   };
   net::Fd first = accept_watch();
-  net::WriteAll(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n", kTestTimeout);
+  net::WriteAll(first, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{\"\r\n", kTestTimeoutUs);
   std::string received;
   net::Io read_status = net::Io::kTimeout;
-  net::Micros until_us = clock.Now() + kTestTimeout;
+  net::Micros until_us = clock.Now() + kTestTimeoutUs;
   while (read_status == net::Io::kTimeout && clock.Now() < until_us) {
-    net::WriteAll(first, "1\r\nv\r\n", kTestTimeout);
+    net::WriteAll(first, "1\r\nv\r\n", kTestTimeoutUs);
     read_status = net::ReadSome(first, received, 20'000);
   }
   CHECK(read_status != net::Io::kTimeout);
--- a/tests/scenario/client_statements.cpp
+++ b/tests/scenario/client_statements.cpp
@@ -28,7 +28,8 @@
   connection.http = std::make_unique<net::HttpParser>(net::HttpParser::Kind::kResponse);
   if (config_.contains("tls") && !name.starts_with("raw")) {
     const auto certificate = client_certificates_.find(name);
-    const Issued* presented = certificate == client_certificates_.end() ? nullptr : &certificate->second;
+    const IssuedCertificate* presented =
+        certificate == client_certificates_.end() ? nullptr : &certificate->second;
     connection.tls = std::make_unique<TlsClient>(TLS1_3_VERSION, presented);
     Handshake(connection);
   }
@@ -114,14 +115,14 @@
 
 void Player::WriteTls(const Statement& statement) {
   const std::string& name = statement.subject;
-  const Issued server = server_issuer_.Issue(name, "DNS:" + name, "serverAuth");
-  std::vector<Issued> revoked;
+  const IssuedCertificate server = server_issuer_.Issue(name, "DNS:" + name, "serverAuth");
+  std::vector<IssuedCertificate> revoked;
   std::istringstream words(statement.arguments);
   for (std::string client; words >> client;) revoked.push_back(client_certificates_.at(client));
   ReplaceFile("cert.pem", server.CertificatePem());
   ReplaceFile("key.pem", server.KeyPem());
   ReplaceFile("clients.pem", client_issuer_.Pem());
-  ReplaceFile("revoked.pem", client_issuer_.Revoked(revoked));
+  ReplaceFile("revoked.pem", client_issuer_.RevocationListPem(revoked));
 }
 
 void Player::SetCertificate(const Statement& statement) {
--- a/tests/scenario/peer.cpp
+++ b/tests/scenario/peer.cpp
@@ -72,7 +72,7 @@
 }  // namespace
 
 void Write(Connection& connection, const std::string& bytes) {
-  const std::string wire_bytes = connection.tls ? connection.tls->Say(bytes) : bytes;
+  const std::string wire_bytes = connection.tls ? connection.tls->Encrypt(bytes) : bytes;
   if (net::WriteAll(connection.fd, wire_bytes, kWriteTimeoutUs).status != net::Io::kOk) {
     throw ScenarioError("cannot write to the connection");
   }
@@ -81,7 +81,7 @@
 void Handshake(Connection& connection) {
   std::string input;
   while (SSL_is_init_finished(connection.tls->raw()) == 0) {
-    const std::string output = connection.tls->Step(input, connection.received);
+    const std::string output = connection.tls->ProcessInput(input, connection.received);
     if (!output.empty()) net::WriteAll(connection.fd, output, kWriteTimeoutUs);
     input.clear();
     if (SSL_is_init_finished(connection.tls->raw()) != 0) return;
@@ -94,7 +94,8 @@
 void ReceiveMessages(Peer& peer, Connection& connection) {
   std::string wire_bytes;
   const net::Io status = net::ReadSome(connection.fd, connection.tls ? wire_bytes : connection.received, 0);
-  if (connection.tls) net::WriteAll(connection.fd, connection.tls->Step(wire_bytes, connection.received), 0);
+  if (connection.tls)
+    net::WriteAll(connection.fd, connection.tls->ProcessInput(wire_bytes, connection.received), 0);
   if (status == net::Io::kEnd || status == net::Io::kError) connection.ended = true;
   while (ExtractMessage(peer, connection)) {
   }
--- a/tests/scenario/peer.h
+++ b/tests/scenario/peer.h
@@ -11,7 +11,7 @@
 
 #include "net/http.h"
 #include "net/socket.h"
-#include "support/token_issuer.h"
+#include "support/certificate_issuer.h"
 
 namespace liftrudder::tests {
 
--- a/tests/scenario/player.h
+++ b/tests/scenario/player.h
@@ -16,7 +16,7 @@
 
 #include "net/socket.h"
 #include "scenario/peer.h"
-#include "support/token_issuer.h"
+#include "support/certificate_issuer.h"
 #include "support/token_signer.h"
 
 namespace liftrudder::tests {
@@ -138,10 +138,10 @@
   bool counters_requested_ = false;
 
   std::map<std::string, Signer> signers_;  // by kid
-  Issuer server_issuer_{"servers"};
-  Issuer client_issuer_{"clients"};
-  std::map<std::string, Issued> client_certificates_;         // by client
-  std::map<std::string, std::string> authorization_headers_;  // by client
+  CertificateIssuer server_issuer_{"servers"};
+  CertificateIssuer client_issuer_{"clients"};
+  std::map<std::string, IssuedCertificate> client_certificates_;  // by client
+  std::map<std::string, std::string> authorization_headers_;      // by client
 };
 
 }  // namespace liftrudder::tests
--- a/tests/scenario/scenario.h
+++ b/tests/scenario/scenario.h
@@ -28,12 +28,13 @@
 //                            that gets the next message, called `it` from then on) or `other` (another one,
 //                            called `other` from then on)
 //   ended X                  the program has closed X's connection
-//   quiet X                  X has received no message that was not expected
+//   quiet X                  every message that X has received was expected
 //   keep NAME PREFIX SUFFIX  stores the text between these in the last expected message, to be used as $NAME
 //   close X                  closes X's connections; `reset X` resets them; `dead X` resets them and closes
 //                            X's listener too
 //   reload [bad]             discovery moves to a new address, the configuration names it (bad: is not JSON)
-//                            and SIGHUP is sent; waits until the program watches there (bad: has logged it)
+//                            and SIGHUP is sent; waits until the program watches there or, with `bad`, has
+//                            logged the error
 //   signal                   sends SIGTERM to the program
 //   wait exit                waits until the program has exited with 0
 //   until GLOB               waits until the program's counters match
--- a/tests/scenario/statements.cpp
+++ b/tests/scenario/statements.cpp
@@ -95,7 +95,7 @@
 
 void Player::ExpectFinished(const Statement& statement) {
   ExpectEnded(statement);
-  if (!FindPeer(statement.subject).connections.back().tls->ended()) {
+  if (!FindPeer(statement.subject).connections.back().tls->peer_closed()) {
     throw ScenarioError("the connection was closed without a close_notify");
   }
 }
--- a/tests/support/token_issuer.h
+++ b/tests/support/certificate_issuer.h
@@ -1,6 +1,6 @@
 // A certificate authority for tests, with a new key pair each time, and the client's side of TLS in memory.
-#ifndef LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
-#define LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
+#ifndef LIFTRUDDER_TESTS_SUPPORT_CERTIFICATE_ISSUER_H_
+#define LIFTRUDDER_TESTS_SUPPORT_CERTIFICATE_ISSUER_H_
 
 #include <openssl/err.h>
 #include <openssl/evp.h>
@@ -17,7 +17,7 @@
 using PkeyPtr = std::shared_ptr<EVP_PKEY>;
 using CertificatePtr = std::shared_ptr<X509>;
 
-struct Issued {
+struct IssuedCertificate {
   CertificatePtr certificate;
   PkeyPtr key;
 
@@ -38,21 +38,21 @@
   }
 };
 
-class Issuer {
+class CertificateIssuer {
  public:
-  explicit Issuer(const std::string& name) {
+  explicit CertificateIssuer(const std::string& name) {
     authority_ = Make(name, {}, "critical,CA:TRUE", -60, 3600, nullptr);
   }
 
   // `alt_names` is the text of an extension: "DNS:a.example,URI:urn:b". `from_s` and `until_s` are seconds
   // from now.
-  Issued Issue(const std::string& name, const std::string& alt_names, const std::string& extended_key_usage,
-               long from_s = -60, long until_s = 3600) {
+  IssuedCertificate Issue(const std::string& name, const std::string& alt_names,
+                          const std::string& extended_key_usage, long from_s = -60, long until_s = 3600) {
     return Make(name, alt_names, "CA:FALSE", from_s, until_s, &authority_, extended_key_usage);
   }
   std::string Pem() const { return authority_.CertificatePem(); }
   // Returns the revocation list of these certificates, valid until `until_s` seconds from now.
-  std::string Revoked(const std::vector<Issued>& revoked, long until_s = 3600) const {
+  std::string RevocationListPem(const std::vector<IssuedCertificate>& revoked, long until_s = 3600) const {
     std::unique_ptr<X509_CRL, decltype(&X509_CRL_free)> list(X509_CRL_new(), X509_CRL_free);
     X509_CRL_set_version(list.get(), 1);
     X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(authority_.certificate.get()));
@@ -60,7 +60,7 @@
     X509_CRL_set1_lastUpdate(list.get(), at.get());
     X509_gmtime_adj(at.get(), until_s);
     X509_CRL_set1_nextUpdate(list.get(), at.get());
-    for (const Issued& revoked_certificate : revoked) {
+    for (const IssuedCertificate& revoked_certificate : revoked) {
       X509_REVOKED* entry = X509_REVOKED_new();
       X509_REVOKED_set_serialNumber(entry, X509_get_serialNumber(revoked_certificate.certificate.get()));
       X509_gmtime_adj(at.get(), -30);
@@ -68,13 +68,14 @@
       X509_CRL_add0_revoked(list.get(), entry);
     }
     X509_CRL_sign(list.get(), authority_.key.get(), EVP_sha256());
-    return Issued::Pem([&](BIO* to) { PEM_write_bio_X509_CRL(to, list.get()); });
+    return IssuedCertificate::Pem([&](BIO* to) { PEM_write_bio_X509_CRL(to, list.get()); });
   }
 
  private:
-  Issued Make(const std::string& name, const std::string& alt_names, const char* basic_constraints,
-              long from_s, long until_s, const Issued* signer, const std::string& extended_key_usage = "") {
-    Issued out{CertificatePtr(X509_new(), X509_free), PkeyPtr(EVP_EC_gen("P-256"), EVP_PKEY_free)};
+  IssuedCertificate Make(const std::string& name, const std::string& alt_names, const char* basic_constraints,
+                         long from_s, long until_s, const IssuedCertificate* signer,
+                         const std::string& extended_key_usage = "") {
+    IssuedCertificate out{CertificatePtr(X509_new(), X509_free), PkeyPtr(EVP_EC_gen("P-256"), EVP_PKEY_free)};
     X509* x509 = out.certificate.get();
     X509_set_version(x509, 2);
     ASN1_INTEGER_set(X509_get_serialNumber(x509), ++serial_);
@@ -100,14 +101,14 @@
     return out;
   }
 
-  Issued authority_;
+  IssuedCertificate authority_;
   long serial_ = 0;
 };
 
 // The client's side of TLS; the caller moves its bytes to and from the socket.
 class TlsClient {
  public:
-  explicit TlsClient(int max_version = TLS1_3_VERSION, const Issued* client_certificate = nullptr)
+  explicit TlsClient(int max_version = TLS1_3_VERSION, const IssuedCertificate* client_certificate = nullptr)
       : ctx_(SSL_CTX_new(TLS_client_method()), SSL_CTX_free) {
     SSL_CTX_set_min_proto_version(ctx_.get(), TLS1_VERSION);
     SSL_CTX_set_max_proto_version(ctx_.get(), max_version);
@@ -116,10 +117,10 @@
       SSL_CTX_use_certificate(ctx_.get(), client_certificate->certificate.get());
       SSL_CTX_use_PrivateKey(ctx_.get(), client_certificate->key.get());
     }
-    Begin();
+    StartConnection();
   }
-  // Begins a new connection and offers the session of the previous one, if any.
-  void Begin(const std::string& host = "") {
+  // Starts a new connection and offers the session of the previous one, if any.
+  void StartConnection(const std::string& host = "") {
     SSL_SESSION* before = ssl_ == nullptr ? nullptr : SSL_get1_session(ssl_.get());
     // A connection that is freed before its shutdown makes its session unusable.
     if (ssl_ != nullptr) SSL_set_shutdown(ssl_.get(), SSL_SENT_SHUTDOWN | SSL_RECEIVED_SHUTDOWN);
@@ -131,7 +132,7 @@
     SSL_set_connect_state(ssl_.get());
   }
   // Processes the bytes received and returns those to send; appends the decrypted data to `plaintext`.
-  std::string Step(const std::string& received, std::string& plaintext) {
+  std::string ProcessInput(const std::string& received, std::string& plaintext) {
     ERR_clear_error();
     BIO_write(SSL_get_rbio(ssl_.get()), received.data(), static_cast<int>(received.size()));
     char buffer[4096];
@@ -139,12 +140,12 @@
       for (int bytes_read = 1; bytes_read > 0;) {
         bytes_read = SSL_read(ssl_.get(), buffer, sizeof buffer);
         if (bytes_read > 0) plaintext.append(buffer, static_cast<std::size_t>(bytes_read));
-        if (bytes_read <= 0) ended_ = SSL_get_error(ssl_.get(), bytes_read) == SSL_ERROR_ZERO_RETURN;
+        if (bytes_read <= 0) peer_closed_ = SSL_get_error(ssl_.get(), bytes_read) == SSL_ERROR_ZERO_RETURN;
       }
     }
     return TakeOutput();
   }
-  std::string Say(const std::string& text) {
+  std::string Encrypt(const std::string& text) {
     SSL_write(ssl_.get(), text.data(), static_cast<int>(text.size()));
     return TakeOutput();
   }
@@ -159,14 +160,14 @@
     return out;
   }
   SSL* raw() const { return ssl_.get(); }
-  bool ended() const { return ended_; }  // close_notify was received
+  bool peer_closed() const { return peer_closed_; }  // close_notify was received
 
  private:
   std::shared_ptr<SSL_CTX> ctx_;
   std::shared_ptr<SSL> ssl_;
-  bool ended_ = false;
+  bool peer_closed_ = false;
 };
 
 }  // namespace liftrudder::tests
 
-#endif  // LIFTRUDDER_TESTS_SUPPORT_TOKEN_ISSUER_H_
+#endif  // LIFTRUDDER_TESTS_SUPPORT_CERTIFICATE_ISSUER_H_
--- a/tests/support/tls_fixture.h
+++ b/tests/support/tls_fixture.h
@@ -10,7 +10,7 @@
 #include "coordinator/interfaces.h"
 #include "net/tls.h"
 #include "net/tls_channel.h"
-#include "support/token_issuer.h"
+#include "support/certificate_issuer.h"
 
 namespace liftrudder::tests {
 
@@ -36,7 +36,9 @@
   return MakeContext(std::move(material), clock);
 }
 
-inline net::TlsPair PairOf(const Issued& issued) { return {issued.CertificatePem(), issued.KeyPem()}; }
+inline net::TlsPair PairOf(const IssuedCertificate& issued) {
+  return {issued.CertificatePem(), issued.KeyPem()};
+}
 
 // Exchanges each side's output until neither produces more; returns the plain text that the server received.
 inline std::string Handshake(TlsClient& client, net::TlsChannel& server) {
@@ -44,11 +46,11 @@
   std::string at_server;
   std::string at_client;
   std::string wire;
-  std::string out = client.Step("", at_client);
+  std::string out = client.ProcessInput("", at_client);
   for (int flight = 0; flight < kMaxFlights && !out.empty(); ++flight) {
     wire.clear();
     server.Feed(out, at_server, wire);
-    out = client.Step(wire, at_client);
+    out = client.ProcessInput(wire, at_client);
   }
   return at_server;
 }
--- a/tools/test_support/fake_discovery.h
+++ b/tools/test_support/fake_discovery.h
@@ -31,7 +31,7 @@
   void Tell(const std::vector<Entry>& entries);
 
   const std::string& addr() const { return addr_; }
-  // The same for one endpoint. `state`: ready, draining or gone (removed).
+  // Changes one endpoint and sends the change to all watches. `state`: ready, draining or gone (removed).
   void Tell(const std::string& id, const std::string& endpoint_addr, int cell, const std::string& state);
   // The full list, in the format that discovery sends and that a configuration holds as the cached list.
   std::string List() const;
--- a/tools/test_support/fake_endpoint.h
+++ b/tools/test_support/fake_endpoint.h
@@ -29,7 +29,7 @@
   std::string shard_request;  // its id: the call id, a dot and the shard number
   net::Micros at_us = 0;
   Act act = Act::kServe;                // how it was answered
-  bool cancellation_requested = false;  // its cancellation was requested
+  bool cancellation_requested = false;  // a cancel frame for it was received
 };
 
 class FakeEndpoint {
