--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -267,15 +267,15 @@
     Micros at_us = now_ + send.timeout_us;
     double draw = UniformRandom();
     if (endpoint.unresponsive) {
-      finished.code = AttemptOutcome::kTimeout;
+      finished.outcome = AttemptOutcome::kTimeout;
     } else if (draw < endpoint.error_rate) {
-      finished.code = static_cast<AttemptOutcome>(1 + random_() % 5);  // kError to kReset
+      finished.outcome = static_cast<AttemptOutcome>(1 + random_() % 5);  // kError to kReset
       at_us = std::min(at_us, now_ + 2'000);
     } else {
       auto work_us = static_cast<Micros>(40'000 + 80'000 * UniformRandom());
       endpoint.free_us = std::max(endpoint.free_us, now_) + work_us;
       if (endpoint.free_us > at_us) {
-        finished.code = AttemptOutcome::kTimeout;
+        finished.outcome = AttemptOutcome::kTimeout;
       } else {
         at_us = endpoint.free_us;
       }
--- a/simulator/decoder.cpp
+++ b/simulator/decoder.cpp
@@ -90,7 +90,7 @@
   attempt.shard_request = record.U32(wire::kIdField);
   attempt.attempt = record.U8(wire::kAttemptField);
   attempt.endpoint = record.Endpoint(wire::kEndpointField);
-  attempt.code = ReadOutcome(record);
+  attempt.outcome = ReadOutcome(record);
   attempt.spent_us = record.U32(wire::kSpentField);
   attempt.shard_request_done = record.U8(wire::kShardRequestDoneField) != 0;
   attempt.load = record.Load(wire::kLoadField);
@@ -100,7 +100,7 @@
 routing::HealthCheckFinished ReadHealthCheck(ByteReader& record) {
   routing::HealthCheckFinished health_check;
   health_check.endpoint = record.Endpoint(wire::kEndpointField);
-  health_check.code = ReadOutcome(record);
+  health_check.outcome = ReadOutcome(record);
   health_check.spent_us = record.U32(wire::kSpentField);
   health_check.load = record.Load(wire::kLoadField);
   return health_check;
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -80,7 +80,7 @@
   struct Timer {
     Micros due_us = 0;
     std::uint64_t label = 0;
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
     auto operator<=>(const Timer&) const = default;
   };
 
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -80,10 +80,10 @@
 
 void DecisionRecording::RecordClientDisconnect(const ClientDisconnect& disconnect) {
   if (recorder_ == nullptr) return;
-  bool answer_timed_out = disconnect.intake == decision_log::IntakeResult::kAnswerTimeout;
+  bool answer_timed_out = disconnect.reason == decision_log::IntakeResult::kAnswerTimeout;
   decision_log::Verdict verdict =
       answer_timed_out ? decision_log::Verdict::kExpired : decision_log::Verdict::kClientDisconnected;
-  recorder_->Completed(disconnect.id, {verdict, {}, disconnect.intake, 0, 0});
+  recorder_->Completed(disconnect.id, {verdict, {}, disconnect.reason, 0, 0});
 }
 
 void DecisionRecording::RecordEndpoints(const routing::EndpointListUpdate& update,
@@ -121,7 +121,7 @@
                                               const routing::AttemptFinished& finished, Progress progress,
                                               Cause cause) {
   if (recorder_ == nullptr) return;
-  recorder_->Ended(query, shard_request_index, finished.attempt, finished.endpoint.address, finished.code,
+  recorder_->Ended(query, shard_request_index, finished.attempt, finished.endpoint.address, finished.outcome,
                    progress, cause);
 }
 
--- a/src/coordinator/decision_recording.h
+++ b/src/coordinator/decision_recording.h
@@ -1,8 +1,8 @@
 // Writes to the decision log what the coordinator's stages do. Decisions never depend on what is recorded.
 // Nothing is recorded unless a recorder is attached.
 //
-// RecordIntake and RecordResponse are thread-safe and never block; the rest is called on the coordinator
-// thread alone.
+// RecordIntake and RecordResponse are thread-safe and never block; all other methods are called on the
+// coordinator thread alone.
 #ifndef LIFTRUDDER_COORDINATOR_DECISION_RECORDING_H_
 #define LIFTRUDDER_COORDINATOR_DECISION_RECORDING_H_
 
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -49,7 +49,7 @@
   auto finished = in_flight_.FinishAttempt(std::move(result), now_us_);
   if (!finished) return;
   recording_.RecordAttemptFinished(query, index, *finished, progress, cause);
-  counters_.outcomes[static_cast<std::size_t>(finished->code)].Add();
+  counters_.outcomes[static_cast<std::size_t>(finished->outcome)].Add();
   events_.emplace_back(std::move(*finished));
 }
 
--- a/src/coordinator/in_flight_table.cpp
+++ b/src/coordinator/in_flight_table.cpp
@@ -54,10 +54,10 @@
   finished.shard_request = result.key.shard_request;
   finished.attempt = result.key.attempt;
   finished.endpoint = attempt.endpoint;
-  finished.code = OutcomeOf(result.progress, result.cause);
+  finished.outcome = OutcomeOf(result.progress, result.cause);
   finished.spent_us = now_us - attempt.sent_us;
   finished.load = std::move(result.load);
-  if (finished.code == AttemptOutcome::kOk && !shard_request.response && !shard_request.query_removed) {
+  if (finished.outcome == AttemptOutcome::kOk && !shard_request.response && !shard_request.query_removed) {
     shard_request.response = std::move(result.value);
   }
   finished.shard_request_done = shard_request.query_removed || shard_request.response.has_value();
--- a/src/coordinator/in_flight_table.h
+++ b/src/coordinator/in_flight_table.h
@@ -76,7 +76,7 @@
   struct Expiry {
     Micros deadline_us = 0;
     AttemptKey key;
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
     auto operator<=>(const Expiry&) const = default;
   };
 
--- a/src/coordinator/input.h
+++ b/src/coordinator/input.h
@@ -19,8 +19,8 @@
 // A front no longer waits for the answer to a query.
 struct ClientDisconnect {
   Id id = 0;
-  decision_log::IntakeResult intake =
-      decision_log::IntakeResult::kClientDisconnected;  // why it no longer waits
+  // Why the front no longer waits.
+  decision_log::IntakeResult reason = decision_log::IntakeResult::kClientDisconnected;
 };
 
 using Input = std::variant<QueryArrival, ClientDisconnect, AttemptResult, routing::EndpointListUpdate>;
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -29,8 +29,8 @@
   virtual void EndRound() = 0;
   // Ends the attempt now with `cause`, unless it has ended already. It was started for `endpoint`.
   virtual void CancelAttempt(const AttemptKey& key, const EndpointId& endpoint, Cause cause) = 0;
-  // Asks the endpoint to cancel the attempt. The attempt ends when the endpoint confirms this, or else as it
-  // would have ended without the request.
+  // Asks the endpoint to cancel the attempt. The attempt ends when the endpoint confirms the cancellation, or
+  // as it would have ended if no cancellation had been requested.
   virtual void RequestCancellation(const AttemptKey& key) = 0;
   // Closes the endpoint's connections that carry no attempt.
   virtual void CloseIdle(const EndpointId& endpoint) = 0;
@@ -41,8 +41,8 @@
 struct EndpointAddress {
   std::string id;    // the name in the endpoint list; empty: the endpoint is unknown
   std::string addr;  // "host:port"
-  // When its draining or removal was notified; no attempt may start from then on. Settings::drain_grace_us is
-  // not added. 0: neither was notified.
+  // When its draining or removal was first notified. No attempt may start from then on, not even within
+  // Settings::drain_grace_us. 0: neither was notified since it was last listed as ready.
   Micros drain_deadline_us = 0;
 };
 
--- a/src/coordinator/messages.h
+++ b/src/coordinator/messages.h
@@ -87,7 +87,7 @@
 struct AttemptKey {
   Id shard_request = 0;
   int attempt = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
   auto operator<=>(const AttemptKey&) const = default;
 };
 
--- a/src/coordinator/round_pacer.h
+++ b/src/coordinator/round_pacer.h
@@ -1,5 +1,5 @@
-// Decides when the next decision round may begin, based on how long the last one took. Times are
-// arguments. Not thread-safe.
+// Decides when the next decision round may begin, based on how long the last one took. The caller passes the
+// times. Not thread-safe.
 //
 // The cost of a round grows with the number of endpoints and shard requests, and the responses to a wide
 // query arrive continuously. Where only a fraction of a core is available, a round in every decision interval
@@ -39,8 +39,8 @@
     gap_us_ = std::clamp(gap_us, decision_interval_us_, max_gap_us_);
   }
 
-  // When a round may begin for urgent input. A client or a drain waits for it, as for a new query or an
-  // endpoint list update.
+  // When a round may begin for urgent input, such as a new query (a client waits) or an endpoint list update
+  // (a drain waits).
   Micros NextUrgentRound() const { return started_us_ + decision_interval_us_; }
   // When a round may begin for responses and timers, many of which one round can handle.
   Micros NextRegularRound() const { return started_us_ + gap_us_; }
--- a/src/coordinator/round_scheduler.cpp
+++ b/src/coordinator/round_scheduler.cpp
@@ -10,13 +10,14 @@
 
 // The upper limit of each sleep, independent of the clock.
 constexpr Micros kMaxSleepUs = 1'000'000;
-// While events from fronts are queued, a round begins at most this long after the last one. The queue is
-// checked when a sleep begins or ends, so a sleep that has already begun may add up to kMaxSleepUs.
+// While events from fronts are queued, a round begins at most this long after the start of the last round.
+// The queue is checked when a sleep begins or ends, so a sleep that has already begun may delay the
+// round by up to kMaxSleepUs.
 constexpr Micros kFrontEventWaitUs = 100'000;
 constexpr auto kMaxRefreshWait = std::chrono::milliseconds(200);
 
-// A client or an endpoint waits for an urgent input, or handling it saves endpoints work. Attempt results are
-// not urgent: one round can handle many of them.
+// An input is urgent if a client or an endpoint waits for its effect, or if handling it early saves endpoints
+// work. Attempt results are not urgent: one round can handle many of them.
 bool IsUrgent(const Input& input) { return !std::holds_alternative<AttemptResult>(input); }
 
 }  // namespace
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -89,9 +89,9 @@
 // for those rejected before, plus jitter.
 TenantQuotas::Decision TenantQuotas::Reject(Tenant& tenant, double shortfall, double rate, Micros now_us) {
   if (rate <= 0) return {false, settings_.max_retry_after_us};
-  Micros from_us = std::max(tenant.last_retry_us, now_us);
+  Micros from_us = std::max(tenant.latest_granted_retry_us, now_us);
   Micros until_us = from_us + static_cast<Micros>(std::ceil(shortfall / rate * kMicrosPerSecond));
-  tenant.last_retry_us = std::min(until_us, now_us + settings_.max_retry_after_us);
+  tenant.latest_granted_retry_us = std::min(until_us, now_us + settings_.max_retry_after_us);
   Micros wait_us = until_us - now_us;
   wait_us += jitter_.Within(static_cast<Micros>(kRetryJitterFraction * static_cast<double>(wait_us)));
   return {false, std::clamp<Micros>(wait_us, 1, settings_.max_retry_after_us)};
--- a/src/limits/tenant_quotas.h
+++ b/src/limits/tenant_quotas.h
@@ -3,8 +3,8 @@
 //
 // Each tenant has a token bucket that refills at the tenant's share of the total rate. Tokens that overflow a
 // full bucket go to one lending pool of bounded size, which admits queries whose tenant or caller has used up
-// its own bucket. Lending therefore takes no tokens out of any tenant's bucket, and nothing has to be
-// reclaimed.
+// its own bucket. Lending therefore takes no tokens out of any tenant's bucket, and no tokens have to be
+// reclaimed from borrowers.
 #ifndef LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
 #define LIFTRUDDER_LIMITS_TENANT_QUOTAS_H_
 
@@ -65,7 +65,8 @@
   struct Tenant {
     double share = 0;  // of the total rate; 0: removed, but with queries in flight
     Bucket bucket;
-    Micros last_retry_us = 0;  // when the query rejected last may retry; the next one may retry later
+    // When the most recently rejected query may retry; the next rejected one gets a later time.
+    Micros latest_granted_retry_us = 0;
   };
   struct Caller {
     Bucket bucket;
--- a/src/limits/watch_timeouts.cpp
+++ b/src/limits/watch_timeouts.cpp
@@ -25,9 +25,9 @@
 // bounded by these fractions of that period.
 constexpr double kAgentFirstBackoffFraction = 1.0 / 40;
 constexpr double kAgentMaxBackoffFraction = 1.0 / 4;
-// Endpoints may have been draining for long when the process starts, so the cached list is used only if the
-// agent does not answer within this fraction of the grace period: a change that an unresponsive agent misses
-// counts as notified only later.
+// When the process starts, endpoints of the cached list may have been draining for a long time. The cached
+// list is therefore used only if the agent has not answered within this fraction of the grace period. Until
+// the agent responds, changes do not count as notified either.
 constexpr double kAgentFirstListFraction = 1.0 / 4;
 constexpr Micros kDefaultDrainGraceUs = 1'000'000;
 
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -37,7 +37,8 @@
   Counter failed_answers;
   Counter late;  // answered by the front, as the coordinator's answer did not come in time
 
-  // Attempts. Those after the first of a shard request, hedged ones included, count in both.
+  // Attempts. attempts_sent counts all of them; attempts_retried counts those after the first of a shard
+  // request, including hedges.
   Counter attempts_sent;
   Counter attempts_retried;
   std::array<Counter, 8> outcomes;  // by routing::AttemptOutcome
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -10,8 +10,9 @@
 constexpr double kQuotaBurstSeconds = 2;   // seconds of its quota that a tenant may use at once
 constexpr double kRequestCountGain = 0.3;  // weight of the latest query in the average number of requests
 constexpr double kUsPerSecond = 1e6;
-// Expected latency of the slowest shard request, over the time to the objective, from which queries that need
-// it are shed. From kMaxLatencyRatio on, all those of the class with the least value density are shed.
+// Expected latency of the slowest shard request, divided by the time to the objective, from which queries
+// that need it are shed. From kMaxLatencyRatio on, all such queries of the class with the least value
+// density are shed.
 constexpr double kSheddingStartLatencyRatio = 0.6;
 
 }  // namespace
@@ -19,7 +20,7 @@
 Admission::Admission(const Settings& settings)
     : settings_(settings),
       answer_margin_us_(AnswerMarginUs(settings)),
-      first_timeout_us_(settings.classes.size(), 0),
+      latest_non_retry_timeout_us_(settings.classes.size(), 0),
       requests_per_query_(settings.classes.size(), 0) {
   for (std::size_t tenant = 0; tenant < settings.tenants.size(); ++tenant) {
     quota_tokens_.push_back(QuotaPerSecond(tenant) * kQuotaBurstSeconds);
@@ -42,13 +43,13 @@
   return query;
 }
 
-// How long the client has waited already. A retry whose timeout is shorter than that of first queries has
-// used up the rest of the class's client timeout. The short timeout of a query that is not a retry, or one
-// that first queries have too, only means that the client is in a hurry.
+// How long the client has already waited. If a retry has less time left than the latest query of its class
+// that was not a retry, the client is assumed to have spent the rest of the class's client timeout on earlier
+// tries. Any other short timeout was chosen by the client and says nothing about earlier waiting.
 Micros Admission::ElapsedBeforeArrivalUs(const QueryReceived& event, const QueryClassSettings& cls) {
-  Micros& first_us = first_timeout_us_[static_cast<std::size_t>(event.class_index)];
-  if (!event.is_retry) first_us = event.timeout_remaining_us;
-  bool shortened = event.is_retry && event.timeout_remaining_us + answer_margin_us_ < first_us;
+  Micros& non_retry_us = latest_non_retry_timeout_us_[static_cast<std::size_t>(event.class_index)];
+  if (!event.is_retry) non_retry_us = event.timeout_remaining_us;
+  bool shortened = event.is_retry && event.timeout_remaining_us + answer_margin_us_ < non_retry_us;
   return shortened ? cls.client_timeout_us - event.timeout_remaining_us : 0;
 }
 
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -32,7 +32,8 @@
   void RecordRequestCount(std::size_t class_index, std::size_t count);
 
   // Why the query is shed; none if it is admitted. `slowest_latency_ratio`: the expected latency of its
-  // slowest shard request over the time to its objective; 0 if it does not need all of its shard requests.
+  // slowest shard request divided by the time to its objective; 0 if the query does not need all of its shard
+  // requests to be answered.
   std::optional<CompletionReason> Shed(const Query& query, double slowest_latency_ratio,
                                        const LoadEstimator& load, Random& random) const;
 
@@ -45,7 +46,8 @@
 
   const Settings& settings_;
   Micros answer_margin_us_;
-  std::vector<Micros> first_timeout_us_;    // by class: timeout of the latest query that was not a retry
+  // By class: timeout of the latest query that was not a retry.
+  std::vector<Micros> latest_non_retry_timeout_us_;
   std::vector<double> requests_per_query_;  // by class: moving average; 0: no query yet
   std::vector<double> quota_tokens_;        // by tenant: queries that it may send now
 };
--- a/src/routing/canary_policy.cpp
+++ b/src/routing/canary_policy.cpp
@@ -7,12 +7,15 @@
 namespace liftrudder::routing {
 namespace {
 
-// The first crash that a query causes cannot be foreseen, so wide queries use a canary even without losses:
-// those with requests for more than this share of the endpoints, and with more requests than this.
+// A query is wide if it has more than kWideRequests shard requests, and more than kWideEndpointShare times
+// the number of usable endpoints. The first crash that a query causes cannot be foreseen, so wide queries use
+// a canary even without losses.
 constexpr double kWideEndpointShare = 0.4;
 constexpr std::size_t kWideRequests = 8;
-constexpr double kCanaryWaitMedians = 0.25;  // median latencies that a wide query waits for its canary
-constexpr double kUrgentQueryMedians = 3;    // with fewer left to its objective, a wide query does not wait
+// Median latencies between two first attempts of a wide query that has no answer yet.
+constexpr double kCanaryWaitMedians = 0.25;
+// A wide query with fewer median latencies left to its objective does not wait.
+constexpr double kUrgentQueryMedians = 3;
 
 bool IsWide(const Query& query, const CanaryInputs& inputs) {
   std::size_t requests = query.shard_requests.size();
--- a/src/routing/canary_policy.h
+++ b/src/routing/canary_policy.h
@@ -1,6 +1,8 @@
 // Canary requests: decides when one shard request of a query is sent before the others. While endpoints are
-// being lost, the others wait until it is answered; those of a wide query wait at most a fraction of the
-// median latency. A query that crashes endpoints then takes down one, not all. Stateless.
+// being lost, the query's other shard requests wait until the canary is answered. Without recent losses only
+// a wide query sends a canary, and until an answer arrives its other shard requests are sent one by one, each
+// a fraction of the median latency after the one before. A query that crashes endpoints thus takes down few
+// of them. Stateless.
 #ifndef LIFTRUDDER_ROUTING_CANARY_POLICY_H_
 #define LIFTRUDDER_ROUTING_CANARY_POLICY_H_
 
--- a/src/routing/completion_policy.cpp
+++ b/src/routing/completion_policy.cpp
@@ -7,9 +7,11 @@
 
 constexpr double kWeightTolerance = 5e-5;  // received weights are 32-bit and sum to 1 only approximately
 constexpr double kWeightRounding = 1e-12;
-constexpr double kAnswerLeadObjectives = 0.03;  // latency objectives kept for writing a partial answer
+// Time kept for writing a partial answer, in shortest latency objectives.
+constexpr double kAnswerLeadObjectives = 0.03;
 constexpr double kMostlyAnsweredShare = 0.8;
-constexpr double kRetryAfterObjectives = 0.5;  // latency objectives in Retry-After at no load
+// Retry-After while nothing is shed, in shortest latency objectives.
+constexpr double kRetryAfterObjectives = 0.5;
 constexpr double kUsPerSecond = 1e6;
 
 Completion Abandon(CompletionCause cause, double observed, double threshold) {
@@ -27,7 +29,8 @@
 
 std::optional<Completion> CompletionPolicy::Decide(const Query& query, const CompletionInputs& inputs) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
-  // Endpoints were lost during the query and none has answered it: it may have crashed them.
+  // Attempts of the query were lost with their endpoints, and no endpoint has answered it: it may have
+  // crashed them.
   int tolerated_losses = inputs.losses_elevated ? 0 : 1;
   if (!query.known_safe && query.endpoint_losses > tolerated_losses) {
     return Abandon(CompletionCause::kEndpointsLost, query.endpoint_losses, tolerated_losses);
--- a/src/routing/connection_reuse.cpp
+++ b/src/routing/connection_reuse.cpp
@@ -6,9 +6,10 @@
 namespace liftrudder::routing {
 namespace {
 
-// Latency objectives for which an idle connection is assumed to survive.
+// How long an idle connection is assumed to survive, in shortest latency objectives.
 constexpr double kMinIdleObjectives = 0.25;
-// Latency objectives in which the idle limit grows, and the proven idle time shrinks, by a factor of e.
+// Time in which the idle limit grows, and the proven idle time shrinks, by a factor of e, in shortest latency
+// objectives.
 constexpr double kTimeConstantObjectives = 16;
 
 }  // namespace
@@ -48,7 +49,8 @@
 bool ConnectionReuse::SuspectsDroppedConnection(ConnectionState& state, Micros oldest_sent_us) {
   bool first_on_idle = oldest_sent_us == state.idle_sent_us;
   if (!first_on_idle || state.idle_us <= proven_idle_us_ || !cancellation_allowed_) return false;
-  // Whatever drops one idle connection drops all, but not before an idle time that one has survived.
+  // The limit applies to all endpoints, as the device that drops one idle connection drops the others too. It
+  // is never below an idle time that a connection has survived.
   max_idle_us_ = std::max({std::min(max_idle_us_, state.idle_us) / 2,
                            kMinIdleObjectives * min_latency_objective_us_, proven_idle_us_});
   state.idle_sent_us = 0;
--- a/src/routing/connection_reuse.h
+++ b/src/routing/connection_reuse.h
@@ -1,7 +1,7 @@
 // Decides when an idle connection is too old to be used: a device on the network path may drop connections
-// that are unused for some time without notice to either end. The time is learnt from shard requests that got
-// no reply after they were sent on a long-idle connection. Owned by one router; not thread-safe. It closes
-// no connection itself.
+// that have been unused for some time, without telling either end. The time is learnt from shard requests
+// that got no reply after they were sent on a long-idle connection. Owned by one router; not thread-safe. It
+// closes no connection itself.
 #ifndef LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 #define LIFTRUDDER_ROUTING_CONNECTION_REUSE_H_
 
@@ -17,8 +17,8 @@
 struct ConnectionState {
   Micros last_used_us = 0;  // last send or reply; 0: no connection yet
   Micros idle_sent_us = 0;  // latest send on an idle connection; 0 if it was idle only briefly
-  double idle_us = 0;
-  bool stale = false;  // the idle connections must not be used
+  double idle_us = 0;       // how long the connections had been idle before the latest send on an idle one
+  bool stale = false;       // the idle connections must not be used
 
   // Resets the state for a new process of the endpoint.
   void Restart() {
@@ -49,7 +49,9 @@
  private:
   double min_latency_objective_us_;
   bool cancellation_allowed_;
-  double max_idle_us_ = 1e12;  // connections idle for longer are closed before use; grows without bound
+  // Connections idle for longer are closed before use. Starts in effect unlimited, and grows again after it
+  // was lowered.
+  double max_idle_us_ = 1e12;
   double proven_idle_us_ = 0;  // the longest recent idle time that a connection survived
 };
 
--- a/src/routing/coverage_cutoff.h
+++ b/src/routing/coverage_cutoff.h
@@ -12,14 +12,15 @@
 
 namespace liftrudder::routing {
 
-// A shard request with a higher expected latency, over the time to the objective, cannot be answered in time.
+// A shard request whose expected latency, divided by the time to the objective, is higher than this cannot be
+// answered in time.
 constexpr double kMaxLatencyRatio = 1.2;
 
 struct CutoffCandidate {
   ShardRequest* shard_request = nullptr;
-  double latency_ratio = 0;                      // expected latency over the time to the objective
-  EndpointId endpoint;                           // the one with that expected latency
-  PendingReason skipped = PendingReason::kNone;  // set by ApplyCoverageCutoff: kCutoff or kEndpointLoad
+  double latency_ratio = 0;                          // expected latency divided by the time to the objective
+  EndpointId endpoint;                               // the one with that expected latency
+  PendingReason skip_reason = PendingReason::kNone;  // set by ApplyCoverageCutoff: kCutoff or kEndpointLoad
 };
 
 // The slowest shard request of a query that needs all of them. Its ratio is 0 for any other query.
@@ -28,8 +29,8 @@
   EndpointId endpoint;
 };
 
-// Sets ShardRequest::selected and CutoffCandidate::skipped. `by_weight` is in ascending order of weight;
-// `cutoff_level` is the share dropped of the weight that the class allows to be dropped.
+// Sets ShardRequest::selected and CutoffCandidate::skip_reason. `by_weight` is in ascending order of weight.
+// `cutoff_level`: of the weight that the class allows to be dropped, the share that is dropped (0 to 1).
 SlowestRequest ApplyCoverageCutoff(const QueryClassSettings& cls, double cutoff_level,
                                    std::vector<CutoffCandidate>& by_weight);
 
--- a/src/routing/endpoint_list_poller.cpp
+++ b/src/routing/endpoint_list_poller.cpp
@@ -9,7 +9,8 @@
 // Upper bounds of the first wait and of any wait, as shares of Settings::poll_deadline_us.
 constexpr double kFirstWaitShare = 1.0 / 8;
 constexpr double kMaxWaitShare = 1.0 / 2;
-constexpr double kJitterFloor = 0.5;  // a wait is between 1/3 and 1 of its backoff
+// A wait is its backoff times (kJitterFloor + random) / (kJitterFloor + 1), so between 1/3 and 1 of it.
+constexpr double kJitterFloor = 0.5;
 
 }  // namespace
 
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -112,7 +112,8 @@
   if (!groups_.healthy.empty()) return &groups_.healthy;
   if (!groups_.over_slow_start_share.empty()) return &groups_.over_slow_start_share;
   if (is_hedge) return nullptr;
-  // Slow endpoints still answer. One that fails fast has nothing in flight and would attract every request.
+  // Slow endpoints come first, as they still answer. An unresponsive endpoint that fails fast has nothing in
+  // flight and would attract every request.
   if (!groups_.outliers.empty()) return &groups_.outliers;
   if (!groups_.unresponsive.empty()) return &groups_.unresponsive;
   // All were tried: they are tried again, after a median latency to avoid a tight loop.
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -6,7 +6,8 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kLossDecayObjectives = 4;  // latency objectives after which a loss counts 1/e
+// Time constant of the decay of losses, in shortest latency objectives.
+constexpr double kLossDecayObjectives = 4;
 constexpr double kElevatedLosses = 0.5;
 constexpr double kMaxLosses = 2;  // more are not counted, so that the precautions end soon after the losses
 
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -55,7 +55,7 @@
   kConnectFailed,
   kReset,  // the connection was lost while it was in flight
   kCancelled,
-  kNotSent,  // cancelled before its first byte
+  kNotSent,  // ended before its first byte was sent, other than by a connection failure
 };
 
 // The outcome of one Send.
@@ -63,7 +63,7 @@
   Id shard_request = 0;
   int attempt = 0;  // 0 is the first
   EndpointId endpoint;
-  AttemptOutcome code = AttemptOutcome::kOk;
+  AttemptOutcome outcome = AttemptOutcome::kOk;
   Micros spent_us = 0;              // since its Send
   bool shard_request_done = false;  // the shard request gets no more outcomes
   std::vector<double> load;         // load report of the endpoint; empty: none
@@ -72,7 +72,7 @@
 // Part of the simulator's protocol; the router ignores it.
 struct HealthCheckFinished {
   EndpointId endpoint;
-  AttemptOutcome code = AttemptOutcome::kOk;
+  AttemptOutcome outcome = AttemptOutcome::kOk;
   Micros spent_us = 0;
   std::vector<double> load;
 };
--- a/src/routing/hedging_policy.cpp
+++ b/src/routing/hedging_policy.cpp
@@ -8,19 +8,24 @@
 // Median latencies after which a request at a suspect endpoint is hedged.
 constexpr double kSuspectMedians = 1.5;
 constexpr double kMaxHedgingLoad = 0.6;  // from this load on, the hedge delay alone causes no hedge
-// Hedges allowed for each request received, if a share of kWinShareForFullBudget of the hedges is answered
-// first. At kWinShareForNoBudget the ratio is 0: slow requests are then waiting in queues, and a hedge only
-// adds to these.
-constexpr double kBudgetRatio = 0.10;
+// Hedges allowed for each query or shard request received, while at least kWinShareForFullBudget of the
+// hedges are answered before the first attempt. At or below kWinShareForNoBudget the ratio is 0: slow
+// requests are then waiting in queues, and hedges only lengthen the queues.
+constexpr double kFullBudgetRatio = 0.10;
 constexpr double kWinShareForFullBudget = 0.9;
 constexpr double kWinShareForNoBudget = 0.5;
-constexpr double kHedgeRetention = 0.9;  // factor on the weight of a hedge for each newer one
-constexpr double kAssumedWins = 2;       // won hedges added to both counts
-constexpr double kWindowObjectives = 2;  // latency objectives in the budget's window
-constexpr double kStragglerRatio = 1.4;  // age of a straggler over the time that most requests took
-// A straggler is hedged when fewer 0.9 latency quantiles than this are left to the objective.
+// Factor by which each newer hedge reduces the weight of the older ones.
+constexpr double kHedgeRetention = 0.9;
+// Added to the counts of sent and of won hedges, so that the budget starts full.
+constexpr double kAssumedWins = 2;
+constexpr double kWindowObjectives = 2;  // length of the budget's window, in shortest latency objectives
+// Age of a straggler divided by the time that most requests of its query took.
+constexpr double kStragglerRatio = 1.4;
+// A straggler is hedged only when the time left to the objective is less than this many times the 0.9
+// quantile of the latency.
 constexpr double kStragglerP90sToObjective = 2;
-// Stragglers are hedged below this load: a fleet that is slow as a whole is slow for all requests of a query.
+// Stragglers are hedged only below this load: above it all requests of a query are slow, because the whole
+// fleet is.
 constexpr double kMaxStragglerLoad = 1.0;
 
 }  // namespace
@@ -42,7 +47,8 @@
   return load < kMaxStragglerLoad && IsStraggler(query, attempt, now);
 }
 
-// A query that needs all of its requests waits for the last one at any load.
+// Only a query that needs all of its shard requests has stragglers: it cannot be answered before the last of
+// them is.
 bool HedgingPolicy::IsStraggler(const Query& query, const Attempt& attempt, Micros now) const {
   const QueryClassSettings& cls = settings_.classes[query.class_index];
   if (query.mostly_answered_us <= 0 || cls.min_coverage < cls.complete_coverage) return false;
@@ -63,9 +69,9 @@
 bool HedgingPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
   straggler_hedges_.DropBefore(now - window_us_);
   double won_share = (won_ + kAssumedWins) / (sent_ + kAssumedWins);
-  double ratio = kBudgetRatio * std::clamp((won_share - kWinShareForNoBudget) /
-                                               (kWinShareForFullBudget - kWinShareForNoBudget),
-                                           0.0, 1.0);
+  double ratio = kFullBudgetRatio * std::clamp((won_share - kWinShareForNoBudget) /
+                                                   (kWinShareForFullBudget - kWinShareForNoBudget),
+                                               0.0, 1.0);
   auto received = static_cast<double>(arrivals.CountFrom(now - window_us_));
   return static_cast<double>(straggler_hedges_.Size()) < 1 + ratio * received;
 }
--- a/src/routing/hedging_policy.h
+++ b/src/routing/hedging_policy.h
@@ -20,12 +20,12 @@
   HedgingPolicy(const Settings& settings, const EndpointTable& endpoints, const ZoneHealth& zones,
                 const LatencyTracker& latency);
 
-  // Whether a hedge for this attempt, the only one of its request in flight, is due. `load`:
+  // Whether a hedge is due for this attempt, the only one of its request in flight. `load` is
   // LoadEstimator::Load().
   bool IsDue(const Query& query, const Attempt& attempt, double load, Micros now) const;
 
-  // Whether the attempt's endpoint is draining, removed or ejected, or has answered requests sent well after
-  // this one, which it has then lost.
+  // Whether the attempt's endpoint is draining, removed or ejected, or has answered a request sent more than
+  // a hedge delay after this attempt, so that it has probably lost this one.
   bool EndpointSuspect(const Attempt& attempt) const;
 
   // Whether the budget has room for one more hedge of a straggler. Hedges for suspect endpoints need none.
--- a/src/routing/latency_tracker.cpp
+++ b/src/routing/latency_tracker.cpp
@@ -6,15 +6,17 @@
 namespace liftrudder::routing {
 namespace {
 
-// A latency assumed before anything is observed, and the number of observations that it counts as.
+// A latency assumed before anything is observed, and the number of observations that it counts as. The first
+// entry has more than half of all these observations, so it contains the median.
 struct AssumedLatency {
   double objective_share;
   double observations;
 };
 constexpr std::array kAssumedLatencies = {AssumedLatency{1.0 / 8, 6}, AssumedLatency{1.0 / 4, 3},
                                           AssumedLatency{1.0 / 2, 2}};
-constexpr double kDecayObjectives = 4;  // latency objectives after which an observation counts 1/e
-constexpr double kBucketGrowth = 1.15;
+// Time constant of the decay of observations, in shortest latency objectives.
+constexpr double kDecayObjectives = 4;
+constexpr double kBucketGrowth = 1.15;  // the kBuckets buckets range from 1 ms to about 72 s
 constexpr double kFirstBucketUs = 1000.0;
 constexpr double kHedgeQuantile = 0.95;
 constexpr double kFleetGain = 0.03;     // weight of the latest observation in the fleet's estimate
--- a/src/routing/latency_tracker.h
+++ b/src/routing/latency_tracker.h
@@ -22,7 +22,8 @@
   // Records the latency of a successful answer of an endpoint that is not ejected.
   void Record(double latency_us);
 
-  // Records the same latency over the number of requests in flight at the endpoint. Only for warm endpoints.
+  // Records the same latency divided by the number of requests in flight at the endpoint. To be called for
+  // warm endpoints only.
   void RecordPerRequest(double latency_per_request_us);
 
   // Returns an endpoint's own estimate (0: none yet) updated by one observation.
--- a/src/routing/load_estimator.cpp
+++ b/src/routing/load_estimator.cpp
@@ -9,9 +9,12 @@
 namespace {
 
 constexpr double kSlowestOverMedian = 3;  // a query's slowest shard request takes about this many medians
-constexpr double kDecayObjectives = 0.5;  // latency objectives after which an observation counts 1/e,
-                                          // or the gap between queries, where that is longer
-constexpr double kAssumedAnswers = 3;  // with the assumed latency, so that the first ones do not decide alone
+// Time constant of the decay, in shortest latency objectives; the gap between queries replaces it where that
+// is longer.
+constexpr double kDecayObjectives = 0.5;
+// Answers at the assumed latency, added to the measured ones so that the first measured answers do not decide
+// alone.
+constexpr double kAssumedAnswers = 3;
 constexpr double kLatencySlope = 0.5;  // share of the latency per request that one more request adds
 constexpr double kGapGain = 0.3;       // weight of the latest gap between queries
 constexpr double kCutoffStartLoad = 0.8;
--- a/src/routing/load_estimator.h
+++ b/src/routing/load_estimator.h
@@ -1,5 +1,5 @@
-// The load estimate: the latency that the slowest shard request of a query sent now would have, over the
-// shortest latency objective. 1 means that it would be answered just in time. Also sets how much of each
+// The load estimate: the latency that the slowest shard request of a query sent now would have, divided by
+// the shortest latency objective. 1 means that it would be answered just in time. Also sets how much of each
 // query is cut off and how many queries are shed at that load. Owned by one router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_LOAD_ESTIMATOR_H_
 #define LIFTRUDDER_ROUTING_LOAD_ESTIMATOR_H_
@@ -11,7 +11,7 @@
 
 namespace liftrudder::routing {
 
-// The load at which shedding begins: dropping light shard requests was not enough.
+// The load at which shedding begins. Two thirds of the weight that may be dropped are then cut off already.
 constexpr double kSheddingStartLoad = 1.2;
 
 // Requests in flight and capacity of the endpoints that get traffic. The unit of capacity is a warm endpoint.
@@ -36,8 +36,8 @@
   void RecordOutcome(AttemptOutcome outcome, bool endpoint_ejected);
 
   // Recomputes the estimate; called once a round. By Little's law, the time in flight of all shard requests
-  // over the number answered is their latency. It rises while queues build and falls as soon as they drain.
-  // Measured latency lags behind, which would make the cutoff oscillate between 0 and 1.
+  // divided by the number answered is their latency. It rises while queues build and falls as soon as they
+  // drain. Measured latency lags behind, which would make the cutoff oscillate between 0 and 1.
   void Update(const FleetLoad& fleet, double elapsed_us, double latency_per_request_us);
 
   double Load() const { return load_; }
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -6,8 +6,9 @@
 namespace liftrudder::routing {
 namespace {
 
-constexpr double kPriorSamples = 1.5;     // samples at the median latency that an endpoint starts with
-constexpr double kSampleRetention = 0.8;  // factor on the weight of a sample for each newer one
+constexpr double kPriorSamples = 1.5;  // samples at the median latency that an endpoint starts with
+// Factor by which each newer sample reduces the weight of the older ones.
+constexpr double kSampleRetention = 0.8;
 constexpr double kUnresponsiveHedgeDelays = 2.0;  // unresponsive after this many delays without a reply
 // Page's cumulative-sum (CUSUM) test: `failure_evidence` is a running log-likelihood ratio, kept at 0 or
 // above. In a large fleet a coordinator sends few requests to each endpoint, so each outcome adds the log of
@@ -18,7 +19,7 @@
 constexpr double kReadmitEvidence = 4;         // a successful probe readmits only below this
 constexpr double kMinFleetFailureRate = 0.02;  // so that a few failures do not eject a good endpoint
 constexpr double kFleetFailureGain = 0.01;
-constexpr double kFirstProbeObjectives = 0.25;  // shortest latency objectives before the first probe
+constexpr double kFirstProbeObjectives = 0.25;  // time before the first probe, in shortest latency objectives
 // Requests that a healthy endpoint gets between two probes of a slow one.
 constexpr double kSlowProbeRequests = 1.5;
 constexpr double kFailingProbeRequests = 2;  // the same between two probes of a failing one
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -16,7 +16,8 @@
   double log_latency_ratio_sum = 0;  // decayed sum of log(latency / median latency of the fleet)
   double latency_samples = 0;        // decayed count
   double failure_evidence = 0;       // log-likelihood ratio that it is faulty, kept at 0 or above (CUSUM)
-  Micros replied_us = 0;   // when an attempt there last ended without a timeout; failed connects count
+  // When an attempt there last ended other than by a timeout; a failed connect also sets it.
+  Micros replied_us = 0;
   Micros answered_us = 0;  // send time of the newest request that it answered
   bool ejected = false;
   bool unresponsive = false;  // ejected because it is unreachable, fails or does not reply
--- a/src/routing/query_table.h
+++ b/src/routing/query_table.h
@@ -1,5 +1,5 @@
-// The queries in flight with their shard requests and attempts. A container without decisions.
-// Owned by one router; not thread-safe.
+// The queries in flight with their shard requests and attempts. A container without decisions. Owned by one
+// router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_QUERY_TABLE_H_
 #define LIFTRUDDER_ROUTING_QUERY_TABLE_H_
 
@@ -54,13 +54,14 @@
   bool known_safe = false;  // an endpoint answered one of its shard requests, so it is no poison query
   int endpoint_losses = 0;  // attempts that were in flight at an endpoint when it was lost
 
-  // State of the current phase:
+  // State of the current phase, except for latest_first_attempt_us:
   bool dispatched = false;
-  int sent = 0;                        // shard requests
-  int answered = 0;                    // shard requests
-  double coverage = 0;                 // total weight of the answered shard requests
-  Micros latest_first_attempt_us = 0;  // 0: none sent; not reset by the fetch phase
-  Micros mostly_answered_us = 0;       // 0: not yet
+  int sent = 0;         // shard requests
+  int answered = 0;     // shard requests
+  double coverage = 0;  // total weight of the answered shard requests
+  // When the latest first attempt of a shard request was sent, in either phase; 0: none sent.
+  Micros latest_first_attempt_us = 0;
+  Micros mostly_answered_us = 0;  // 0: not yet
   std::vector<Id> shard_requests;
 };
 
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -29,7 +29,9 @@
   EndpointId endpoint;
   std::uint16_t in_flight = 0;  // this coordinator's requests there, capped at the type's maximum
   Eligibility eligibility = Eligibility::kEligible;
-  bool eligible = false;  // in the group that the endpoint was chosen from, whatever its Eligibility
+  // Whether it is in the group that the endpoint was chosen from. Without kEligible replicas that group
+  // consists of others, such as outliers; if a probe is sent, this is false for all candidates.
+  bool eligible = false;
 };
 
 constexpr std::size_t kMaxCandidates = 8;
@@ -46,7 +48,8 @@
   kProbe,           // checks whether an ejected endpoint or zone has recovered
   kRetry,           // no attempt of the request was in flight; see DispatchReason::after
   kStragglerHedge,  // the attempt in flight takes longer than others took
-  kOutlierHedge,    // the attempt in flight is at an endpoint that is ejected, draining, removed, or lost it
+  kOutlierHedge,    // the endpoint of the attempt in flight is ejected, draining or removed, or has lost
+                    // the request
 };
 
 struct DispatchReason {
@@ -58,14 +61,14 @@
 // Why a query ended. After the colon: what CompletionReason::observed and threshold hold, with their unit.
 enum class CompletionCause : std::uint8_t {
   kUnspecified,
-  kComplete,             // answered: coverage, complete coverage
-  kLatencyObjective,     // partial result, the objective was reached: coverage, minimum coverage
-  kNoPendingRequests,    // partial result, no more can be answered: coverage, minimum coverage
-  kLoad,                 // shed: load, load at which shedding begins
-  kEndpointLoad,         // shed: expected latency of the slowest request over the time to the objective,
-                         // and the ratio at which shedding begins
-  kNoRemainingValue,     // shed, too late or over quota: value factor, 0
-  kEndpointsLost,        // abandoned as a poison query: endpoints lost during it, number tolerated
+  kComplete,           // answered: coverage, complete coverage
+  kLatencyObjective,   // partial result, the objective was reached: coverage, minimum coverage
+  kNoPendingRequests,  // partial result, no more can be answered: coverage, minimum coverage
+  kLoad,               // shed: load, load at which shedding begins
+  kEndpointLoad,       // shed: expected latency of the slowest request divided by the time to the
+                       // objective, and the ratio at which shedding begins
+  kNoRemainingValue,   // shed, too late or over quota: value factor, 0
+  kEndpointsLost,  // abandoned as a poison query: attempts of it lost with their endpoint, number tolerated
   kCoverageUnreachable,  // abandoned: coverage that can still be reached, coverage needed
   kNoLateValue,          // abandoned, the class has no value after its objective: seconds past it, 0
   kExpired,              // abandoned: seconds to the deadline, seconds reserved to deliver the answer
@@ -100,14 +103,14 @@
 enum class PendingReason : std::uint8_t {
   kNone,
   kCutoff,         // below the coverage cutoff: cutoff level (0 to 1), its weight
-  kEndpointLoad,   // no replica would answer in time: expected latency over the time left, limit
+  kEndpointLoad,   // no replica would answer in time: expected latency divided by the time left, limit
   kCanary,         // waits for its query's canary
   kNoEndpoint,     // no replica may get it now, see `choice`
   kRetryBudget,    // the coordinator's budget of retries or hedges is used up
-  kAttemptLimit,   // attempts so far, attempts allowed
+  kAttemptLimit,   // all allowed attempts were made: attempts so far, attempts allowed
   kNotRepeatable,  // an attempt may have run, and the class forbids a repeat now
-  kPoisonQuery,    // it was in flight at an endpoint that was lost, and none has answered its query
-  kDeadline,       // seconds left, seconds reserved to deliver the answer
+  kPoisonQuery,  // it was in flight at an endpoint that was lost, and no endpoint has answered its query yet
+  kDeadline,     // too close to the deadline: seconds left, seconds reserved to deliver the answer
 };
 
 // Reported whenever the reason changes.
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -35,7 +35,7 @@
 bool RetryPolicy::WithinBudget(const SlidingWindow& arrivals, Micros now) {
   if (!settings_.has_retry_budget) return true;
   // Retries are counted over one round more than the window and arrivals over one round less, so that the
-  // budget holds wherever the window of a checker begins.
+  // budget holds in every window of this length, wherever the window begins.
   Micros window_us = settings_.retry_budget_window_us;
   retries_.DropBefore(now - (window_us + settings_.decision_interval_us));
   auto received = static_cast<double>(arrivals.CountFrom(now - window_us + settings_.decision_interval_us));
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -86,9 +86,9 @@
   slow_start.SetWarmWeight(warm_weight);
 }
 
-// Only the age of its requests in flight shows that an endpoint does not reply. If its connection may have
-// been dropped, they are cancelled so that they can be sent elsewhere, and the next request to the endpoint
-// shows whether the endpoint or the connection was at fault.
+// That an endpoint does not reply shows only in the age of the requests in flight there. If the connection
+// may have been dropped, those requests are cancelled so that they can be sent elsewhere, and the next
+// request to the endpoint shows whether the endpoint or the connection was at fault.
 void Router::State::CheckResponsive(EndpointState& endpoint) {
   if (endpoint.in_flight.empty()) return;
   Micros oldest_sent_us = endpoint.OldestSentUs(now);
@@ -144,9 +144,9 @@
   if (index >= shard_request->attempts.size() || !shard_request->attempts[index].in_flight) return;
   Attempt& attempt = shard_request->attempts[index];
   attempt.in_flight = false;
-  attempt.never_ran = ProvesNotRun(finished.code);
-  attempt.endpoint_lost = finished.code == AttemptOutcome::kReset;
-  attempt.outcome = finished.code;
+  attempt.never_ran = ProvesNotRun(finished.outcome);
+  attempt.endpoint_lost = finished.outcome == AttemptOutcome::kReset;
+  attempt.outcome = finished.outcome;
   if (EndpointState* endpoint = endpoints.Find(attempt.endpoint)) {
     endpoint->in_flight.erase({shard_request->id, finished.attempt});
     RecordEndpointOutcome(*endpoint, finished, attempt);
@@ -159,7 +159,7 @@
   }
   if (shard_request->InFlight() == 0) shard_request->idle_since_us = now;
   if (attempt.endpoint_lost) ++query->endpoint_losses;
-  if (finished.code == AttemptOutcome::kOk && !shard_request->answered) {
+  if (finished.outcome == AttemptOutcome::kOk && !shard_request->answered) {
     RecordAnswer(*query, *shard_request, finished.attempt);
   }
 }
@@ -183,15 +183,15 @@
 
 void Router::State::RecordEndpointOutcome(EndpointState& endpoint, const AttemptFinished& finished,
                                           const Attempt& attempt) {
-  if (finished.code == AttemptOutcome::kNotSent || finished.code == AttemptOutcome::kCancelled) return;
-  bool ok = finished.code == AttemptOutcome::kOk;
+  if (finished.outcome == AttemptOutcome::kNotSent || finished.outcome == AttemptOutcome::kCancelled) return;
+  bool ok = finished.outcome == AttemptOutcome::kOk;
   bool was_ejected = endpoint.outlier.ejected;
   bool warm = slow_start.IsWarm(endpoint.endpoint, now);
   auto latency_us = static_cast<double>(finished.spent_us);
-  connections.RecordOutcome(endpoint.connection, finished.code, attempt.sent_us, now);
-  load.RecordOutcome(finished.code, was_ejected);
+  connections.RecordOutcome(endpoint.connection, finished.outcome, attempt.sent_us, now);
+  load.RecordOutcome(finished.outcome, was_ejected);
   zones.RecordOutcome(endpoint.zone, ok && latency_us <= kSlowLatencyRatio * latency.MedianUs());
-  outliers.RecordOutcome(endpoint.outlier, {finished.code, finished.spent_us, warm}, latency.MedianUs(),
+  outliers.RecordOutcome(endpoint.outlier, {finished.outcome, finished.spent_us, warm}, latency.MedianUs(),
                          Clock());
   if (!ok) return;
   double per_request_us = latency_us / attempt.in_flight_at_endpoint;
--- a/src/routing/router_dispatch.cpp
+++ b/src/routing/router_dispatch.cpp
@@ -14,10 +14,10 @@
   SlowestRequest slowest = ApplyCoverageCutoff(cls, load.CutoffLevel(), by_weight);
   for (const CutoffCandidate& candidate : by_weight) {
     ShardRequest& shard_request = *candidate.shard_request;
-    if (candidate.skipped == PendingReason::kCutoff) {
+    if (candidate.skip_reason == PendingReason::kCutoff) {
       SetPending(shard_request, {PendingReason::kCutoff, load.CutoffLevel(), shard_request.weight});
     }
-    if (candidate.skipped == PendingReason::kEndpointLoad) {
+    if (candidate.skip_reason == PendingReason::kEndpointLoad) {
       SetPending(shard_request, {PendingReason::kEndpointLoad, candidate.latency_ratio, kMaxLatencyRatio});
     }
   }
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -28,8 +28,8 @@
                                      double median_latency_us, Micros now) const {
   double fraction = CapacityFraction(endpoint, now);
   if (fraction >= 1 || settings_.collapse_window_us <= 0) return {};
-  // Traffic may be low because endpoints are missing, so the fleet as a whole may always send one request per
-  // median latency.
+  // Traffic may be low because endpoints are missing. A warm endpoint of weight 1 is therefore assumed to get
+  // at least one request per median latency from the whole fleet.
   double min_warm_requests =
       static_cast<double>(now - state.refilled_us) / (median_latency_us * settings_.fleet_size);
   double warm_requests = std::max(warm_requests_ - state.refilled_at_warm_requests, min_warm_requests);
--- a/src/routing/zone_health.cpp
+++ b/src/routing/zone_health.cpp
@@ -8,8 +8,10 @@
 
 constexpr double kEjectOutcomes = 4;  // bad outcomes beyond kEjectRatio times the good ones
 constexpr double kEjectRatio = 2;
-constexpr double kDecayObjectives = 1;  // latency objectives after which an outcome counts 1/e
-constexpr double kProbeObjectives = 1;  // latency objectives between probe requests to an ejected zone
+// Time constant of the decay of outcomes, in shortest latency objectives.
+constexpr double kDecayObjectives = 1;
+// Time between probe requests to an ejected zone, in shortest latency objectives.
+constexpr double kProbeObjectives = 1;
 
 }  // namespace
 
--- a/src/routing/zone_health.h
+++ b/src/routing/zone_health.h
@@ -1,6 +1,6 @@
 // Zone outlier detection: the network path to a whole zone may be slow or lossy while each endpoint there is
-// healthy, and detecting that endpoint by endpoint costs a request or two for each. Owned by one router; not
-// thread-safe.
+// healthy. To detect this separately at each endpoint would cost one or two requests per endpoint. Owned by
+// one router; not thread-safe.
 #ifndef LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
 #define LIFTRUDDER_ROUTING_ZONE_HEALTH_H_
 
--- a/tests/coordinator/endpoint_registry_test.cpp
+++ b/tests/coordinator/endpoint_registry_test.cpp
@@ -17,7 +17,7 @@
   a.endpoint.availability = Availability::kDraining;
   CHECK_FALSE(registry.Apply({4, EndpointListKind::kDelta, {a}}, 20));
   REQUIRE(registry.Apply({5, EndpointListKind::kDelta, {a}}, 30));
-  // Without a grace period, as how long before its notification the draining began is unknown.
+  // No grace period is added: it is unknown how long before the notification the draining began.
   auto drain_deadline_us = registry.Find(id).drain_deadline_us;
   CHECK(drain_deadline_us == 30);
   a.endpoint.availability = Availability::kRemoved;
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -51,7 +51,7 @@
   struct Call {
     Micros at_us = 0;
     int coordinator = 0;
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
     auto operator<=>(const Call&) const = default;
   };
 
@@ -84,7 +84,9 @@
 
 }  // namespace
 
-TEST_CASE("a fleet started at once is answered by a service that fixed waits of 0.1 s would overload") {
+TEST_CASE(
+    "a service that constant waits of 0.1 s would overload answers every coordinator of a fleet "
+    "that starts at once") {
   auto fixed = [](int) -> Micros { return 100'000; };
   CHECK(ListService::AllAnsweredAt([](int) -> Micros { return 0; }, fixed) == -1);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
--- a/tests/limits/tenant_quotas_test.cpp
+++ b/tests/limits/tenant_quotas_test.cpp
@@ -34,7 +34,7 @@
     Micros ends_us = 0;
     std::string tenant;
     std::string caller;
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
     auto operator<=>(const InFlight&) const = default;
   };
 
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant at twenty times its quota takes nothing from others within theirs") {
+TEST_CASE("a tenant at twenty times its quota takes nothing from tenants that stay within their quotas") {
   Load load(FourTenants());
   load.Run({{"a", 2000}, {"b", 95}, {"c", 95}, {"d", 95}}, 11 * kSecond);
   for (const char* other : {"b", "c", "d"}) CHECK(load.rejected[other] == 0);
@@ -98,7 +98,8 @@
   CHECK(load.admitted["a"] < 1.1 * 103 * 10);
 }
 
-TEST_CASE("no caller starves another one of its tenant, and a single caller may use the lending pool") {
+TEST_CASE(
+    "no caller starves another caller of the same tenant, and a single caller may use the lending pool") {
   Load load(FourTenants());
   for (Micros end = 2 * kSecond; end <= 6 * kSecond; end += kSecond) {
     load.Run({{"a", 1000}, {"b", 100}, {"c", 100}, {"d", 100}}, end - 100 * kMs, 1);
--- a/tests/routing/admission_test.cpp
+++ b/tests/routing/admission_test.cpp
@@ -5,7 +5,7 @@
 namespace liftrudder::routing {
 namespace {
 
-// A short timeout does not mean that a client has waited already and retries.
+// A query that is not marked as a retry counts as new, however short its timeout is.
 TEST(Admission, ServesAQueryWithAShortTimeout) {
   Settings settings = BaseSettings();
   settings.classes[0].late_value_fraction = 0;
--- a/tests/routing/endpoint_selector_test.cpp
+++ b/tests/routing/endpoint_selector_test.cpp
@@ -51,7 +51,7 @@
         EndpointListKind::kFull, 2, {RouterHarness::EndpointInCell(0), RouterHarness::EndpointInCell(0)}};
     update.endpoints[1].id.address = 9;
     harness.Handle(update);
-    // The first two go to one endpoint each, in a call each; the others join either of these calls.
+    // The first two requests go to different endpoints, each in its own call; the others join either call.
     std::vector<Event> events{QueryReceived{1, 1, 5, kCompleteOnly, 0, false, 0, 3 * kLatencyObjective, 0}};
     for (Id shard_request = 100; shard_request < 105; ++shard_request) {
       events.emplace_back(ShardRequestReceived{shard_request, 1, 0, 0.2, 0, 0});
@@ -66,9 +66,9 @@
 }
 
 TEST(EndpointSelector, KeyAffinityBreaksTiesAlikeAtEveryCoordinator) {
-  for (bool warm : {true, false}) {
+  for (bool key_affinity : {true, false}) {
     Settings settings = BaseSettings();
-    settings.key_affinity = warm;
+    settings.key_affinity = key_affinity;
     std::set<EndpointId> by_key, of_one_key;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       for (std::uint64_t key : {seed, std::uint64_t{77}}) {
@@ -79,7 +79,7 @@
       }
     }
     EXPECT_GT(by_key.size(), 1u);
-    EXPECT_EQ(of_one_key.size() == 1, warm);
+    EXPECT_EQ(of_one_key.size() == 1, key_affinity);
   }
 }
 
--- a/tests/routing/fleet_routing_test.cpp
+++ b/tests/routing/fleet_routing_test.cpp
@@ -285,7 +285,8 @@
 
 namespace {
 
-constexpr std::uint32_t kFaulty = 3;  // this many first endpoints fail; the others are healthy
+// The endpoints with the lowest ids, up to this number, fail; the others are healthy.
+constexpr std::uint32_t kFaultyEndpoints = 3;
 
 // Shard requests that each endpoint got in the last ten seconds, relative to the mean of the healthy ones.
 struct ArrivalShares {
@@ -293,8 +294,8 @@
     double healthy = 0, fewest = 1e9;
     for (const auto& [id, endpoint] : fleet.endpoints) {
       relative_arrivals[id.address] = ArrivalsSince(endpoint, fleet.now - 10 * kSecond);
-      if (id.address <= kFaulty) continue;
-      healthy += relative_arrivals[id.address] / (fleet.settings.cells - kFaulty);
+      if (id.address <= kFaultyEndpoints) continue;
+      healthy += relative_arrivals[id.address] / (fleet.settings.cells - kFaultyEndpoints);
       fewest = std::min(fewest, relative_arrivals[id.address]);
     }
     for (auto& [address, shard_requests] : relative_arrivals) shard_requests /= healthy;
@@ -309,10 +310,10 @@
 // A coordinator sends about two requests to each endpoint in five seconds.
 TEST_CASE("coordinators with few requests per endpoint eject failing endpoints and no healthy ones") {
   double baseline_rate = GENERATE(0.02, 0.12);
-  const double faulty_rates[kFaulty] = {0.5, 0.9, 1.0};
+  const double faulty_rates[kFaultyEndpoints] = {0.5, 0.9, 1.0};
   Fleet fleet(30, 0.4, 1);
   for (auto& [id, endpoint] : fleet.endpoints) {
-    endpoint.failure_rate = id.address <= kFaulty ? faulty_rates[id.address - 1] : baseline_rate;
+    endpoint.failure_rate = id.address <= kFaultyEndpoints ? faulty_rates[id.address - 1] : baseline_rate;
   }
   fleet.RunUntil(31 * kSecond);
   ArrivalShares during(fleet);
@@ -327,5 +328,5 @@
   ArrivalShares after(fleet);
   INFO("after: " << after.relative_arrivals[1] << " " << after.relative_arrivals[2] << " "
                  << after.relative_arrivals[3]);
-  for (std::uint32_t i = 1; i <= kFaulty; ++i) CHECK(after.relative_arrivals[i] > 0.75);
+  for (std::uint32_t i = 1; i <= kFaultyEndpoints; ++i) CHECK(after.relative_arrivals[i] > 0.75);
 }
--- a/tests/routing/hedging_policy_test.cpp
+++ b/tests/routing/hedging_policy_test.cpp
@@ -103,7 +103,8 @@
   return hedges;
 }
 
-// Slow requests are then waiting in queues, and a hedge only adds to these.
+// When first attempts are answered first, slow requests are waiting in queues, and hedges only lengthen the
+// queues.
 TEST(HedgingPolicy, SendsFewHedgesWhenFirstAttemptsAreAnsweredFirst) {
   EXPECT_GE(CountHedges(true), 25);
   EXPECT_LE(CountHedges(false), 10);
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -46,7 +46,7 @@
     for (const auto& [send, attempt] : harness.sent) to_starting += send.endpoint.address == 0;
   }
   EXPECT_GE(to_starting, 1);
-  EXPECT_LE(to_starting, 18);  // at least one from each would be 30
+  EXPECT_LE(to_starting, 18);  // if each coordinator sent at least one, there would be 30
 }
 
 }  // namespace
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -114,7 +114,7 @@
   EXPECT_EQ(attempt.shard_request, 0x5d3a91c4u);
   EXPECT_EQ(attempt.attempt, 0);
   EXPECT_EQ(attempt.endpoint, (EndpointId{0x0a124a07, 0x138b}));
-  EXPECT_EQ(attempt.code, AttemptOutcome::kOk);
+  EXPECT_EQ(attempt.outcome, AttemptOutcome::kOk);
   EXPECT_EQ(attempt.spent_us, 18500);
   EXPECT_TRUE(attempt.shard_request_done);
   EXPECT_EQ(attempt.load, (std::vector<double>{3, 7, 140}));
