--- a/src/coordinator/admission.cpp
+++ b/src/coordinator/admission.cpp
@@ -21,8 +21,8 @@
     counters_.rejected_at_intake.Add();
     // The decision log identifies the query by the client's own name for it, if there is one.
     const std::string& name = request.label.empty() ? request.payload->call_id : request.label;
-    NoteIntake(decision_log::IntakeResult::kTooManyOpen, request.front, request.class_index,
-               kServiceUnavailable, name, open_entries_.load() + entries, limit);
+    RecordIntake(decision_log::IntakeResult::kTooManyOpen, request.front, request.class_index,
+                 kServiceUnavailable, name, open_entries_.load() + entries, limit);
     return std::nullopt;
   }
   open_queries_.fetch_add(1);
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -69,15 +69,15 @@
   scheduler_.FinishRound(refresh_number);
 }
 
-void Coordinator::NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
-                             int class_index, int status, std::string_view call_id, double observed,
-                             double threshold) {
+void Coordinator::RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
+                               int class_index, int status, std::string_view call_id, double observed,
+                               double threshold) {
   recording_.RecordIntake(intake, front, class_index, status, call_id, observed, threshold);
 }
 
-void Coordinator::NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
-                               std::size_t bytes, bool whole) {
-  recording_.RecordResponse(answered_queries, status, bytes, whole);
+void Coordinator::RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
+                                 std::size_t bytes, bool fully_written) {
+  recording_.RecordResponse(answered_queries, status, bytes, fully_written);
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -58,12 +58,12 @@
 
   // Records in the decision log, without blocking, a request that was rejected at intake. If it was over a
   // limit, `observed` is the value that exceeded the limit `threshold`.
-  void NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
-                  int status, std::string_view call_id, double observed = 0, double threshold = 0);
+  void RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
+                    int status, std::string_view call_id, double observed = 0, double threshold = 0);
   // Records in the decision log, without blocking, the response to a client, of which `bytes` were written.
-  // `whole`: the response was written completely.
-  void NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-                    bool whole);
+  // `fully_written`: the response was written completely.
+  void RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
+                      bool fully_written);
   // Makes what was recorded so far readable in the decision log. Blocks the thread for 200 ms at most.
   void RefreshDecisionLog() { scheduler_.RefreshAndWait(); }
 
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -38,11 +38,11 @@
 }
 
 void DecisionRecording::RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
-                                       std::size_t bytes, bool whole) {
+                                       std::size_t bytes, bool fully_written) {
   if (recorder_ == nullptr) return;
   decision_log::FrontEvent event;
   event.bytes = static_cast<std::uint32_t>(bytes);
-  event.whole = whole;
+  event.whole = fully_written;
   event.at_us = clock_.Now();
   for (const AnsweredQuery& answered : answered_queries) {
     event.query = answered.query;
--- a/src/coordinator/decision_recording.h
+++ b/src/coordinator/decision_recording.h
@@ -25,12 +25,12 @@
   void Attach(decision_log::Recorder& recorder) { recorder_ = &recorder; }
   bool Enabled() const { return recorder_ != nullptr; }
 
-  // ---- Events from fronts, on any thread; see Coordinator::NoteIntake and NoteResponse ----
+  // ---- Events from fronts, on any thread; see Coordinator::RecordIntake and RecordResponse ----
 
   void RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front, int class_index,
                     int status, std::string_view call_id, double observed, double threshold);
   void RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-                      bool whole);
+                      bool fully_written);
   bool FrontEventsQueued() const { return recorder_ != nullptr && recorder_->HasPostedEvents(); }
 
   // ---- The coordinator thread ----
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -13,7 +13,7 @@
 // period: that period runs from when the source learned of the change, and how long the notification took
 // from there is unknown. The first notification counts.
 void StopSending(EndpointAddress& address, Micros notified_us) {
-  if (address.drain_deadline_us == 0) address.drain_deadline_us = notified_us;
+  if (address.drain_notified_us == 0) address.drain_notified_us = notified_us;
 }
 
 bool IsDelta(const EndpointList& list) { return list.kind == routing::EndpointListKind::kDelta; }
@@ -64,7 +64,7 @@
   address.id = entry.id;
   address.addr = entry.addr;
   if (endpoint.availability == routing::Availability::kReady) {
-    address.drain_deadline_us = 0;
+    address.drain_notified_us = 0;
   } else {
     StopSending(address, notified_us);
   }
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -43,7 +43,7 @@
   std::string addr;  // "host:port"
   // When its draining or removal was first notified. No attempt may start from then on, not even within
   // Settings::drain_grace_us. 0: neither was notified since it was last listed as ready.
-  Micros drain_deadline_us = 0;
+  Micros drain_notified_us = 0;
 };
 
 // Finds the address of an endpoint. Thread-safe.
--- a/src/coordinator/messages.h
+++ b/src/coordinator/messages.h
@@ -79,8 +79,9 @@
   bool complete = false;
   Micros retry_after_us = 0;  // for a rejected query; 0: not given
   std::vector<ShardResponse> shard_responses;
-  int shard_requests = 0;    // of the query, answered or not
-  bool cut_by_time = false;  // partial because the latency objective was reached, not for lack of endpoints
+  int shard_requests = 0;  // of the query, answered or not
+  bool latency_objective_reached =
+      false;  // partial because the latency objective was reached, not for lack of endpoints
 };
 
 // Identifies an attempt; attempts of a shard request are numbered from 0.
--- a/src/coordinator/query_completion.cpp
+++ b/src/coordinator/query_completion.cpp
@@ -7,7 +7,7 @@
   FinalAnswer final_answer;
   final_answer.verdict = Verdict::kAnswered;
   final_answer.complete = answer.complete;
-  final_answer.cut_by_time = answer.reason.cause == routing::CompletionCause::kLatencyObjective;
+  final_answer.latency_objective_reached = answer.reason.cause == routing::CompletionCause::kLatencyObjective;
   Complete(answer.query, std::move(final_answer), answer.reason);
 }
 
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -37,7 +37,7 @@
   Micros now_us = clock_.Now();
   coordinator::EndpointAddress endpoint = resolver_.Find(request.endpoint);
   bool removed = endpoint.id.empty();
-  bool drained = endpoint.drain_deadline_us > 0 && now_us >= endpoint.drain_deadline_us;
+  bool drained = endpoint.drain_notified_us > 0 && now_us >= endpoint.drain_notified_us;
   if (removed || drained || now_us >= request.attempt_deadline_us) return coordinator::Cause::kStale;
   return std::nullopt;
 }
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -219,7 +219,7 @@
   coordinator::EndpointAddress endpoint = resolver_.Find(queue.endpoint);
   bool unused = std::ranges::all_of(
       queue.connections, [this](ConnectionId id) { return connections_.At(id).in_flight.empty(); });
-  bool leaving = endpoint.id.empty() || endpoint.drain_deadline_us > 0;
+  bool leaving = endpoint.id.empty() || endpoint.drain_notified_us > 0;
   return leaving && unused && queue.pending.empty() && queue.staged.empty();
 }
 
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -39,22 +39,22 @@
       operations_(options, queries_, scrolls_, clock) {}
 
 net::HttpResponse Front::Malformed(int status) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, status, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, status, "");
   ApiError error = UnreadableBody("the request cannot be read");
   error.status = status;
   return ErrorResponse(error);
 }
 
 net::HttpResponse Front::Overloaded(const net::HttpMessage* /*request*/) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, kOverloadedStatus, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, kOverloadedStatus, "");
   return ErrorResponse(Unavailable("too many connections", kOverloadRetryUs));
 }
 
 void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
                   bool whole) {
-  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
+  coordinator_.RecordResponse(answered_queries, status, bytes, whole);
 }
 
 std::optional<net::HttpResponse> Front::Handle(net::HttpMessage& request, const net::Exchange& exchange) {
@@ -110,8 +110,8 @@
   bool malformed = error.status >= kBadRequestStatus && error.status < kTooManyRequestsStatus;
   if (!malformed || !exchange.answered_queries->empty()) return;
   const std::string* label = request.Header(wire::kOpaqueIdHeader);
-  coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, error.status, label == nullptr ? "" : *label);
+  coordinator_.RecordIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, error.status, label == nullptr ? "" : *label);
 }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/operations.cpp
+++ b/src/opensearch/operations.cpp
@@ -77,7 +77,8 @@
 
 AnswerContext Operations::MakeAnswerContext(const RunningQuery& query, const coordinator::FinalAnswer& answer,
                                             const net::Exchange& exchange) const {
-  return {clock_.Now() - exchange.received_us, answer.cut_by_time, &query.index->shard_requests};
+  return {clock_.Now() - exchange.received_us, answer.latency_objective_reached,
+          &query.index->shard_requests};
 }
 
 OperationResult Operations::FinishSearch(const std::string& index, const Search& search,
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -69,8 +69,8 @@
 }  // namespace
 
 net::HttpResponse QueryHandler::Malformed(int status) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
-                          decision_log::kUnknownClass, status, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kPlatform,
+                            decision_log::kUnknownClass, status, "");
   return ErrorResponse(status, kUnreadableText);
 }
 
@@ -78,14 +78,14 @@
   constexpr int kStatus = 503;
   const std::string* class_name = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
   if (class_name != nullptr) metrics::OperatorFigures::CountAnswer(figures_.Of(*class_name), kStatus);
-  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kPlatform,
-                          decision_log::kUnknownClass, kStatus, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kTooManyConnections,
+                            decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, kStatus, "");
   return ErrorResponse(kStatus, kBusyRetryUs, "too many connections");
 }
 
 void QueryHandler::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status,
                          std::size_t bytes, bool whole) {
-  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
+  coordinator_.RecordResponse(answered_queries, status, bytes, whole);
 }
 
 std::optional<net::HttpResponse> QueryHandler::Handle(net::HttpMessage& request,
@@ -172,9 +172,9 @@
                                                net::HttpResponse response) {
   counters_.malformed.Add();
   const std::string* call_id = request.Header(wire::kCallIdHeader);
-  coordinator_.NoteIntake(intake, decision_log::FrontKind::kPlatform,
-                          ClassIndex(request.Header(wire::kClassHeader)), response.status,
-                          call_id == nullptr ? "" : *call_id);
+  coordinator_.RecordIntake(intake, decision_log::FrontKind::kPlatform,
+                            ClassIndex(request.Header(wire::kClassHeader)), response.status,
+                            call_id == nullptr ? "" : *call_id);
   return response;
 }
 
--- a/tests/coordinator/endpoint_registry_test.cpp
+++ b/tests/coordinator/endpoint_registry_test.cpp
@@ -18,17 +18,17 @@
   CHECK_FALSE(registry.Apply({4, EndpointListKind::kDelta, {a}}, 20));
   REQUIRE(registry.Apply({5, EndpointListKind::kDelta, {a}}, 30));
   // No grace period is added: it is unknown how long before the notification the draining began.
-  auto drain_deadline_us = registry.Find(id).drain_deadline_us;
-  CHECK(drain_deadline_us == 30);
+  auto drain_notified_us = registry.Find(id).drain_notified_us;
+  CHECK(drain_notified_us == 30);
   a.endpoint.availability = Availability::kRemoved;
   REQUIRE(registry.Apply({6, EndpointListKind::kDelta, {a}}, 500'000));
-  CHECK(registry.Find(id).drain_deadline_us == drain_deadline_us);  // the first notification counts
+  CHECK(registry.Find(id).drain_notified_us == drain_notified_us);  // the first notification counts
   a.addr = "127.0.0.1:9";
   a.endpoint.availability = Availability::kReady;
   CHECK(registry.Apply({7, EndpointListKind::kFull, {a}}, 600'000)->endpoints[0].id == id);
   CHECK(registry.Find(id).addr == "127.0.0.1:9");
   // b is missing from the full list, so it is removed.
-  CHECK(registry.Find(cached->endpoints[1].id).drain_deadline_us > 0);
+  CHECK(registry.Find(cached->endpoints[1].id).drain_notified_us > 0);
 }
 
 TEST_CASE("a cached list does not end the wait for the first list; any other list or MarkUpToDate does") {
