--- a/src/limits/backoff.h
+++ b/src/limits/backoff.h
@@ -20,7 +20,7 @@
       : first_bound_us_(first_bound_us), max_bound_us_(max_bound_us), jitter_(seed) {}
 
   // Returns a random duration in [0, span_us), independent of the number of failures.
-  Micros Within(Micros span_us) { return jitter_.Within(span_us); }
+  Micros RandomBelow(Micros span_us) { return jitter_.RandomBelow(span_us); }
   // Counts a failure and returns how long to wait before the next attempt.
   Micros NextWait();
   // To be called after a success: the next failure counts as the first.
--- a/src/limits/jitter.cpp
+++ b/src/limits/jitter.cpp
@@ -4,7 +4,7 @@
 
 // SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, 2014). The state advances
 // with every call, whatever the span.
-Jitter::Micros Jitter::Within(Micros span_us) {
+Jitter::Micros Jitter::RandomBelow(Micros span_us) {
   state_ += 0x9e3779b97f4a7c15ULL;
   std::uint64_t bits = state_;
   bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/limits/jitter.h
+++ b/src/limits/jitter.h
@@ -14,7 +14,7 @@
   explicit Jitter(std::uint64_t seed) : state_(seed) {}
 
   // Returns a uniformly random duration in [0, span_us); 0 when the span is not positive.
-  Micros Within(Micros span_us);
+  Micros RandomBelow(Micros span_us);
 
  private:
   std::uint64_t state_;
--- a/src/limits/tenant_quotas.cpp
+++ b/src/limits/tenant_quotas.cpp
@@ -93,7 +93,7 @@
   Micros until_us = from_us + static_cast<Micros>(std::ceil(shortfall / rate * kMicrosPerSecond));
   tenant.latest_granted_retry_us = std::min(until_us, now_us + settings_.max_retry_after_us);
   Micros wait_us = until_us - now_us;
-  wait_us += jitter_.Within(static_cast<Micros>(kRetryJitterFraction * static_cast<double>(wait_us)));
+  wait_us += jitter_.RandomBelow(static_cast<Micros>(kRetryJitterFraction * static_cast<double>(wait_us)));
   return {false, std::clamp<Micros>(wait_us, 1, settings_.max_retry_after_us)};
 }
 
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -101,7 +101,7 @@
 
 void DiscoveryWatch::Loop() {
   std::string address = Address();
-  Pause(backoff_.Within(timeouts_.initial_delay_us), address);
+  Pause(backoff_.RandomBelow(timeouts_.initial_delay_us), address);
   while (!stopping_) {
     address = Address();
     std::string reason = "the connection ended";
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -33,7 +33,7 @@
     RC_ASSERT(backoff.failures() == 20);
     backoff.Reset();
     RC_ASSERT(backoff.NextWait() < first_us);
-    RC_ASSERT(backoff.Within(0) == 0);
+    RC_ASSERT(backoff.RandomBelow(0) == 0);
   });
 }
 
@@ -96,7 +96,7 @@
       backoffs.emplace_back(1'250'000, 5'000'000, seed * 1000 + static_cast<std::uint64_t>(i));
     }
     auto backoff_of = [&](int i) -> Backoff& { return backoffs[static_cast<std::size_t>(i)]; };
-    Micros at_us = ListService::AllAnsweredAt([&](int i) { return backoff_of(i).Within(3'000'000); },
+    Micros at_us = ListService::AllAnsweredAt([&](int i) { return backoff_of(i).RandomBelow(3'000'000); },
                                               [&](int i) { return backoff_of(i).NextWait(); });
     INFO("seed " << seed);
     CHECK(at_us > 0);
@@ -126,7 +126,7 @@
     Micros longest_us = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       Backoff backoff(timeouts.first_backoff_us, timeouts.max_backoff_us, seed);
-      longest_us = std::max(longest_us, backoff.Within(timeouts.initial_delay_us));
+      longest_us = std::max(longest_us, backoff.RandomBelow(timeouts.initial_delay_us));
       for (int failures = 0; failures < 12; ++failures) longest_us = std::max(longest_us, backoff.NextWait());
     }
     INFO("fleet of " << size << ", longest wait " << longest_us << " us");
