--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -24,10 +24,10 @@
 struct Counters {
   // Requests and queries of clients.
   Counter queries_admitted;
-  Counter rejected_at_intake;  // over a limit: requests, queries and connections
-  Counter malformed;           // invalid requests, incomplete and pipelined ones included
-  Counter denied;              // requests without the required permission
-  Counter evicted;             // client connections closed to make room for others
+  Counter rejected_at_intake;   // over a limit: requests, queries and connections
+  Counter malformed_requests;   // invalid requests, incomplete and pipelined ones included
+  Counter denied_requests;      // requests without the required permission
+  Counter connections_evicted;  // client connections closed to make room for others
   Counter clients_disconnected;
 
   // Queries, by the answer given to their clients.
@@ -35,7 +35,7 @@
   Counter partial_answers;
   Counter rejected_answers;
   Counter failed_answers;
-  Counter late;  // answered by the front, as the coordinator's answer did not come in time
+  Counter late_answers;  // answered by the front, as the coordinator's answer did not come in time
 
   // Attempts. attempts_sent counts all of them; attempts_retried counts those after the first of a shard
   // request, including hedges.
@@ -44,8 +44,8 @@
   std::array<Counter, 8> outcomes;  // by routing::AttemptOutcome
 
   // Connections to endpoints.
-  Counter connects;
-  Counter connects_failed;
+  Counter connections_opened;
+  Counter connections_failed;
   Counter malformed_responses;  // connections closed because of an unreadable response
 
   Counter rounds;          // decision rounds
--- a/src/metrics/operator_figures.cpp
+++ b/src/metrics/operator_figures.cpp
@@ -20,16 +20,16 @@
 OperatorFigures::OperatorFigures(std::vector<std::string> classes)
     : class_names_(std::move(classes)), by_class_(class_names_.size()) {}
 
-OperatorFigures::ClassFigures* OperatorFigures::Of(int class_index) {
+OperatorFigures::ClassFigures* OperatorFigures::FindClass(int class_index) {
   auto index = static_cast<std::size_t>(class_index);
   return class_index >= 0 && index < by_class_.size() ? &by_class_[index] : nullptr;
 }
 
-OperatorFigures::ClassFigures* OperatorFigures::Of(const std::string& class_name) {
-  return Of(static_cast<int>(std::ranges::find(class_names_, class_name) - class_names_.begin()));
+OperatorFigures::ClassFigures* OperatorFigures::FindClass(const std::string& class_name) {
+  return FindClass(static_cast<int>(std::ranges::find(class_names_, class_name) - class_names_.begin()));
 }
 
-void OperatorFigures::CountAnswer(ClassFigures* figures, int status) {
+void OperatorFigures::CountResponse(ClassFigures* figures, int status) {
   if (figures == nullptr) return;
   if (status == kOk) {
     figures->answered.Add();
@@ -54,8 +54,8 @@
   lines_by_class(wire_names::kAnsweredTotal, &ClassFigures::answered);
   lines_by_class(wire_names::kRejectedTotal, &ClassFigures::rejected);
   lines_by_class(wire_names::kFailedTotal, &ClassFigures::failed);
-  lines_by_class(wire_names::kAttemptsTotal, &ClassFigures::sends);
-  line(wire_names::kCurrent, current);
+  lines_by_class(wire_names::kAttemptsTotal, &ClassFigures::attempts_written);
+  line(wire_names::kCurrent, requests_in_progress);
   line(wire_names::kClusterSize, cluster_size);
   line(wire_names::kClusterUnhealthy, cluster_unhealthy);
   return text;
--- a/src/metrics/operator_figures.h
+++ b/src/metrics/operator_figures.h
@@ -17,21 +17,21 @@
     Counter answered;
     Counter rejected;
     Counter failed;
-    Counter sends;  // attempts written completely
+    Counter attempts_written;  // attempts written completely
   };
 
   // `classes`: the names of the query classes, by class index.
   explicit OperatorFigures(std::vector<std::string> classes);
 
   // The figures of a class, by its index or name; null when there is no such class. Owned by this object.
-  ClassFigures* Of(int class_index);
-  ClassFigures* Of(const std::string& class_name);
+  ClassFigures* FindClass(int class_index);
+  ClassFigures* FindClass(const std::string& class_name);
   // Counts a request by the HTTP status of its response; does nothing when `figures` is null.
-  static void CountAnswer(ClassFigures* figures, int status);
+  static void CountResponse(ClassFigures* figures, int status);
 
-  Counter current;            // requests in progress
-  Counter cluster_size;       // endpoints listed
-  Counter cluster_unhealthy;  // of these, endpoints that the router avoids
+  Counter requests_in_progress;  // requests in progress
+  Counter cluster_size;          // endpoints listed
+  Counter cluster_unhealthy;     // of these, endpoints that the router avoids
 
   // Returns the figures in the Prometheus text format.
   std::string Text() const;
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -130,7 +130,7 @@
     Attempt* attempt = attempts_.Find(key);
     if (attempt == nullptr) continue;
     attempt->progress = coordinator::Progress::kWhollyWritten;
-    if (auto* figures = figures_.Of(attempt->request.class_index)) figures->sends.Add();
+    if (auto* figures = figures_.FindClass(attempt->request.class_index)) figures->attempts_written.Add();
   }
 }
 
--- a/src/net/endpoint_connection_table.cpp
+++ b/src/net/endpoint_connection_table.cpp
@@ -56,7 +56,7 @@
   Fd fd = Connect(addr);
   if (!fd.Valid() && OutOfDescriptors()) return OpenResult::kNoCapacity;
   if (!fd.Valid()) {
-    counters_.connects_failed.Add();
+    counters_.connections_failed.Add();
     return OpenResult::kFailed;
   }
   ConnectionId id = ++last_id_;
@@ -100,7 +100,7 @@
   connection.last_received_us = now_us;
   --connection.queue->connecting;
   connection.queue->slow_connect = now_us - connection.connect_started_us > kSlowConnectUs;
-  counters_.connects.Add();
+  counters_.connections_opened.Add();
   SetWriteInterest(id, connection, false);
 }
 
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -174,7 +174,7 @@
   EndpointQueue& queue = *connection.queue;
   Micros started_us = connection.connect_started_us;
   log::Info("connect to endpoint {} failed after {} us", connection.addr, clock_.Now() - started_us);
-  counters_.connects_failed.Add();
+  counters_.connections_failed.Add();
   queue.slow_connect = true;
   connections_.Close(id, connection, coordinator::Cause::kConnectionLost);
   bool has_established = static_cast<int>(queue.connections.size()) > queue.connecting;
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -106,7 +106,7 @@
       decision = AdmitConnection(sessions_, max_connections_, now_us);
     }
     if (decision.evict) {
-      counters_.evicted.Add();
+      counters_.connections_evicted.Add();
       Remove(*decision.evict).Finish();
     }
     if (decision.admit) {
@@ -175,13 +175,13 @@
     rules.max_requests = max_requests_;
     found = FindExpired(sessions_, rules, now_us);
   }
-  counters_.evicted.Add(static_cast<std::int64_t>(found.evicted.size()));
+  counters_.connections_evicted.Add(static_cast<std::int64_t>(found.evicted.size()));
   for (auto session : found.expired) {
     if (session->received_us == 0) {
       Remove(session).Finish();
       continue;
     }
-    counters_.malformed.Add();
+    counters_.malformed_requests.Add();
     RejectAndClose(session, handler_.Malformed(408));
   }
   for (auto session : found.evicted) Remove(session).Finish();
@@ -194,7 +194,7 @@
     excess = FindExcessHandshakes(sessions_, max_connections_);
   }
   for (auto session : excess) {
-    counters_.evicted.Add();
+    counters_.connections_evicted.Add();
     Remove(session).Finish();
   }
 }
@@ -235,7 +235,7 @@
     bool pipelined =
         complete && (!session->unparsed.empty() || session->connection.Probe() == SocketState::kBytes);
     if (state == HttpParser::State::kBad || pipelined) {
-      counters_.malformed.Add();
+      counters_.malformed_requests.Add();
       RejectAndClose(session, handler_.Malformed(400));
       return false;
     }
--- a/src/opensearch/caller_access.cpp
+++ b/src/opensearch/caller_access.cpp
@@ -47,7 +47,7 @@
   auto principal = authenticator_->Authenticate(credentials, clock_.Now());
   if (principal) return std::move(*principal);
   const identity::AuthenticationError& error = principal.error();
-  counters_.denied.Add();
+  counters_.denied_requests.Add();
   Audit(credentials.address, error);
   bool unauthenticated = error.kind == identity::AuthenticationError::Kind::kUnauthenticated;
   return tl::unexpected(unauthenticated ? Unauthorized() : Forbidden("not from here"));
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -105,7 +105,7 @@
 
 void Front::RecordMalformed(const ApiError& error, const net::HttpMessage& request,
                             const net::Exchange& exchange) {
-  if (error.status == kBadRequestStatus) counters_.malformed.Add();
+  if (error.status == kBadRequestStatus) counters_.malformed_requests.Add();
   // The coordinator has already recorded the queries that reached it.
   bool malformed = error.status >= kBadRequestStatus && error.status < kTooManyRequestsStatus;
   if (!malformed || !exchange.answered_queries->empty()) return;
--- a/src/opensearch/query_runner.cpp
+++ b/src/opensearch/query_runner.cpp
@@ -90,7 +90,7 @@
       return QueryFailure::ClientDisconnected();
     case WaitResult::kDeadline:
       coordinator_.Post(coordinator::ClientDisconnect{*query.id, IntakeResult::kAnswerTimeout});
-      counters_.late.Add();
+      counters_.late_answers.Add();
       return DeadlineExceeded();
     case WaitResult::kPipelined: {
       coordinator_.Post(coordinator::ClientDisconnect{*query.id, IntakeResult::kPipelined});
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -77,7 +77,8 @@
 net::HttpResponse QueryHandler::Overloaded(const net::HttpMessage* request) {
   constexpr int kStatus = 503;
   const std::string* class_name = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
-  if (class_name != nullptr) metrics::OperatorFigures::CountAnswer(figures_.Of(*class_name), kStatus);
+  if (class_name != nullptr)
+    metrics::OperatorFigures::CountResponse(figures_.FindClass(*class_name), kStatus);
   coordinator_.RecordIntake(decision_log::IntakeResult::kTooManyConnections,
                             decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, kStatus, "");
   return ErrorResponse(kStatus, kBusyRetryUs, "too many connections");
@@ -119,12 +120,12 @@
     return RejectAtIntake(request, decision_log::IntakeResult::kDuplicateId,
                           ErrorResponse(409, "a query with this id is open"));
   }
-  metrics::OperatorFigures::ClassFigures* class_figures = figures_.Of(query->class_index);
-  figures_.current.Add();
+  metrics::OperatorFigures::ClassFigures* class_figures = figures_.FindClass(query->class_index);
+  figures_.requests_in_progress.Add();
   auto response = RunQuery(std::move(*query), exchange);
-  figures_.current.Add(-1);
+  figures_.requests_in_progress.Add(-1);
   // Not counted when the client has disconnected, or has sent more bytes before its answer.
-  if (response && !response->close) metrics::OperatorFigures::CountAnswer(class_figures, response->status);
+  if (response && !response->close) metrics::OperatorFigures::CountResponse(class_figures, response->status);
   ReleaseCallId(call_id);
   return response;
 }
@@ -142,11 +143,11 @@
       return std::nullopt;
     case net::WaitingReply::WaitResult::kDeadline:
       coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kAnswerTimeout});
-      counters_.late.Add();
+      counters_.late_answers.Add();
       return ErrorResponse(504, "no answer in time");
     case net::WaitingReply::WaitResult::kPipelined: {
       coordinator_.Post(coordinator::ClientDisconnect{*id, decision_log::IntakeResult::kPipelined});
-      counters_.malformed.Add();
+      counters_.malformed_requests.Add();
       net::HttpResponse response = ErrorResponse(400, "one request at a time");
       response.close = true;
       return response;
@@ -170,7 +171,7 @@
 net::HttpResponse QueryHandler::RejectAtIntake(const net::HttpMessage& request,
                                                decision_log::IntakeResult intake,
                                                net::HttpResponse response) {
-  counters_.malformed.Add();
+  counters_.malformed_requests.Add();
   const std::string* call_id = request.Header(wire::kCallIdHeader);
   coordinator_.RecordIntake(intake, decision_log::FrontKind::kPlatform,
                             ClassIndex(request.Header(wire::kClassHeader)), response.status,
--- a/tests/net/endpoint_connection_pool_test.cpp
+++ b/tests/net/endpoint_connection_pool_test.cpp
@@ -162,6 +162,6 @@
   pool_fixture.Send(kEndpoints - 1);
   std::string received;
   REQUIRE(net::ReadSome(connections[7], received, 10'000'000) == net::Io::kOk);
-  CHECK(pool_fixture.counters.connects.Value() == kEndpoints);
+  CHECK(pool_fixture.counters.connections_opened.Value() == kEndpoints);
   CHECK(pool_fixture.ResultCount() == 1);
 }
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -100,7 +100,7 @@
   int open = 0;
   for (const net::Fd& one : abandoned) open += net::Peek(one.Get()) != net::SocketState::kEnd ? 1 : 0;
   CHECK(open <= kMaxConnections / 4);
-  CHECK(fixture.counters.evicted.Value() >= kAbandoned - kMaxConnections / 4);
+  CHECK(fixture.counters.connections_evicted.Value() >= kAbandoned - kMaxConnections / 4);
 }
 
 TEST_CASE("connections that were silent before their handshake are held to the same share") {
