--- a/bench/replay_digest.cpp
+++ b/bench/replay_digest.cpp
@@ -197,7 +197,7 @@
   void ReceiveQuery() {
     QueryReceived query;
     query.id = next_id_++;
-    query.number = ++query_number_;
+    query.query_number = ++query_number_;
     query.class_index = static_cast<int>(random_() % 3);
     query.shard_requests = RequestCount(query.class_index);
     query.timeout_remaining_us = static_cast<Micros>((0.6 + 0.4 * UniformRandom()) * 4e6);
--- a/simulator/decoder.cpp
+++ b/simulator/decoder.cpp
@@ -74,7 +74,7 @@
   if (shard >= 0) return routing::ShardRequestReceived{id, number, shard, weight_or_count, key, work_us};
   routing::QueryReceived query;
   query.id = id;
-  query.number = number;
+  query.query_number = number;
   query.shard_requests = static_cast<int>(weight_or_count);
   query.class_index = class_index;
   query.tenant = tenant;
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -158,7 +158,7 @@
     throw SettingsError(std::string("settings: ") + error.what());
   }
   if (auto problem = routing::CheckSettings(settings)) {
-    throw SettingsError("settings: " + routing::Describe(*problem));
+    throw SettingsError("settings: " + routing::DescribeInvalidSetting(*problem));
   }
   return settings;
 }
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -42,7 +42,7 @@
   pending_.clear();
   router_.Handle(now_us_, events_, actions_, recording_.Enabled() ? &pending_ : nullptr);
   counters_.rounds.Add();
-  avoided_endpoints_ = router_.Avoided();
+  avoided_endpoints_ = router_.AvoidedEndpoints();
   recording_.RecordPending(pending_, in_flight_);
   for (const routing::Action& action : actions_) {
     std::visit([this](const auto& alternative) { Execute(alternative); }, action);
--- a/src/coordinator/event_intake.cpp
+++ b/src/coordinator/event_intake.cpp
@@ -9,7 +9,7 @@
   const QueryRequest& request = arrival.request;
   routing::QueryReceived query;
   query.id = arrival.id;
-  query.number = ++last_query_number_;
+  query.query_number = ++last_query_number_;
   query.shard_requests = static_cast<int>(request.shard_requests.size());
   query.class_index = request.class_index;
   query.is_retry = request.is_retry;
@@ -19,9 +19,9 @@
   Id shard_request_id = arrival.id;
   for (const ShardRequest& shard_request : request.shard_requests) {
     ++shard_request_id;
-    events_.emplace_back(routing::ShardRequestReceived{shard_request_id, query.number, shard_request.shard,
-                                                       shard_request.weight, shard_request.key,
-                                                       shard_request.work_us});
+    events_.emplace_back(routing::ShardRequestReceived{shard_request_id, query.query_number,
+                                                       shard_request.shard, shard_request.weight,
+                                                       shard_request.key, shard_request.work_us});
   }
   recording_.RecordArrival(arrival, now_us_);
   in_flight_.AddQuery(arrival.id, request, std::move(arrival.reply));
--- a/src/decision_log/event_decoding.cpp
+++ b/src/decision_log/event_decoding.cpp
@@ -131,11 +131,11 @@
   AttemptTrace attempt;
   attempt.number = static_cast<int>(dispatch_bits & 0xff);
   attempt.kind = static_cast<routing::DispatchKind>(dispatch_bits >> 8 & 0xff);
-  attempt.after = static_cast<routing::AttemptOutcome>(dispatch_bits >> 16 & 0xff);
+  attempt.previous_outcome = static_cast<routing::AttemptOutcome>(dispatch_bits >> 16 & 0xff);
   attempt.endpoint = ReadEndpointName(record_file_, LowHalf(event.words[1]));
   attempt.at_us = event.time_us;
   attempt.timeout_us = LowHalf(event.words[2]);
-  attempt.unlisted = static_cast<int>(HighHalf(event.words[2]));
+  attempt.omitted = static_cast<int>(HighHalf(event.words[2]));
   attempt.candidates = Candidates(event, dispatch_bits >> 24);
   ShardRequestOf(event).attempts.push_back(std::move(attempt));
 }
--- a/src/decision_log/event_encoding.cpp
+++ b/src/decision_log/event_encoding.cpp
@@ -25,7 +25,7 @@
   return JoinHalves(std::bit_cast<std::uint32_t>(low), std::bit_cast<std::uint32_t>(high));
 }
 
-void AddCandidates(const routing::Choice& choice, EncodedEvent& event) {
+void AddCandidates(const routing::ReplicaChoice& choice, EncodedEvent& event) {
   std::size_t next_word = event.size;
   for (std::size_t i = 0; i < choice.count; ++i) {
     const routing::Candidate& candidate = choice.endpoints[i];
@@ -74,12 +74,13 @@
 }
 
 EncodedEvent EncodeSent(int shard_request, int attempt, const routing::Send& send, std::uint32_t time_us) {
-  const routing::Choice& choice = send.reason.choice;
+  const routing::ReplicaChoice& choice = send.reason.choice;
   EncodedEvent event;
-  event.words[1] = JoinHalves(send.endpoint.address, Byte(attempt) | Byte(send.reason.kind) << 8 |
-                                                         static_cast<std::uint32_t>(send.reason.after) << 16 |
-                                                         std::uint32_t{choice.count} << 24);
-  event.words[2] = JoinHalves(ClampMicros(send.timeout_us), choice.unlisted);
+  event.words[1] =
+      JoinHalves(send.endpoint.address, Byte(attempt) | Byte(send.reason.kind) << 8 |
+                                            static_cast<std::uint32_t>(send.reason.previous_outcome) << 16 |
+                                            std::uint32_t{choice.count} << 24);
+  event.words[2] = JoinHalves(ClampMicros(send.timeout_us), choice.omitted);
   event.size = 3;
   AddCandidates(choice, event);
   event.words[0] = FirstWord(EventKind::kSent, event.size, ToUint32(shard_request), time_us);
@@ -108,8 +109,8 @@
                            std::uint32_t time_us) {
   EncodedEvent event;
   event.words[1] = JoinFloatBits(pending.observed, pending.threshold);
-  event.words[2] = JoinHalves(Byte(pending.reason), std::uint32_t{pending.choice.count} |
-                                                        std::uint32_t{pending.choice.unlisted} << 8);
+  event.words[2] = JoinHalves(
+      Byte(pending.reason), std::uint32_t{pending.choice.count} | std::uint32_t{pending.choice.omitted} << 8);
   event.size = 3;
   AddCandidates(pending.choice, event);
   event.words[0] = FirstWord(EventKind::kPending, event.size, ToUint32(shard_request), time_us);
--- a/src/decision_log/explain_json.cpp
+++ b/src/decision_log/explain_json.cpp
@@ -31,9 +31,9 @@
               {wire::kAtMs, Milliseconds(attempt.at_us)},
               {wire::kTimeoutMs, Milliseconds(attempt.timeout_us)},
               {wire::kWhy, Name(attempt.kind)}};
-  if (attempt.kind == routing::DispatchKind::kRetry) out[wire::kAfter] = Name(attempt.after);
+  if (attempt.kind == routing::DispatchKind::kRetry) out[wire::kAfter] = Name(attempt.previous_outcome);
   out[wire::kCandidates] = JsonOf(attempt.candidates);
-  if (attempt.unlisted > 0) out[wire::kUnlisted] = attempt.unlisted;
+  if (attempt.omitted > 0) out[wire::kUnlisted] = attempt.omitted;
   if (attempt.cancelled_us) {
     out[wire::kCancelled] = {{wire::kAtMs, Milliseconds(*attempt.cancelled_us)},
                              {wire::kWhy, Name(attempt.cancel_reason)}};
--- a/src/decision_log/reason_text.cpp
+++ b/src/decision_log/reason_text.cpp
@@ -235,7 +235,8 @@
     case DispatchKind::kCanary:
       return "was sent ahead of the others to";
     case DispatchKind::kRetry:
-      return fmt::format("was retried, since the attempt before {}, at", OutcomeText(attempt.after));
+      return fmt::format("was retried, since the attempt before {}, at",
+                         OutcomeText(attempt.previous_outcome));
     case DispatchKind::kStragglerHedge:
       return "was hedged, since the first attempt took longer than its peers, at";
     case DispatchKind::kOutlierHedge:
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -137,7 +137,7 @@
   bool is_retry = send.reason.kind == routing::DispatchKind::kRetry;
   counters_.AddEndpoint(send.endpoint.address, EndpointCount::kSent);
   counters_.Add(CounterOf(send.reason.kind));
-  if (is_retry) counters_.Add(CounterOf(send.reason.after));
+  if (is_retry) counters_.Add(CounterOf(send.reason.previous_outcome));
   StoredQuery* stored = store_.Find(query);
   if (stored == nullptr) return;
   if (attempt > 0) {
--- a/src/decision_log/trace.h
+++ b/src/decision_log/trace.h
@@ -34,9 +34,10 @@
   std::int64_t at_us = 0;
   std::int64_t timeout_us = 0;
   routing::DispatchKind kind = routing::DispatchKind::kFirst;
-  routing::AttemptOutcome after = routing::AttemptOutcome::kOk;  // of a retry: how the attempt before ended
+  routing::AttemptOutcome previous_outcome =
+      routing::AttemptOutcome::kOk;  // of a retry: how the attempt before ended
   std::vector<CandidateTrace> candidates;
-  int unlisted = 0;  // further candidates, not in the list
+  int omitted = 0;  // further candidates, not in the list
   std::optional<std::int64_t> cancelled_us;
   routing::CancelReason cancel_reason = routing::CancelReason::kAnswered;
   std::optional<std::int64_t> ended_us;  // nullopt: still in flight, or the record ends earlier
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -30,7 +30,7 @@
 Query Admission::MakeQuery(const QueryReceived& event, Micros now) {
   Query query;
   query.id = event.id;
-  query.number = event.number;
+  query.number = event.query_number;
   query.class_index = static_cast<std::size_t>(event.class_index);
   query.deadline_us = now + event.timeout_remaining_us;
   const QueryClassSettings& cls = settings_.classes[query.class_index];
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -8,9 +8,9 @@
 namespace liftrudder::routing {
 namespace {
 
-void AddCandidate(Choice& choice, const EndpointState& replica, Eligibility eligibility) {
+void AddCandidate(ReplicaChoice& choice, const EndpointState& replica, Eligibility eligibility) {
   if (choice.count == kMaxCandidates) {
-    ++choice.unlisted;
+    ++choice.omitted;
     return;
   }
   constexpr std::size_t kMaxInFlightCount = std::numeric_limits<std::uint16_t>::max();
@@ -18,7 +18,7 @@
   choice.endpoints[choice.count++] = {replica.endpoint.id, in_flight, eligibility, false};
 }
 
-void MarkEligible(Choice& choice, const std::vector<EndpointState*>& group) {
+void MarkEligible(ReplicaChoice& choice, const std::vector<EndpointState*>& group) {
   for (std::size_t index = 0; index < choice.count; ++index) {
     Candidate& candidate = choice.endpoints[index];
     candidate.eligible = std::ranges::any_of(
--- a/src/routing/endpoint_selector.h
+++ b/src/routing/endpoint_selector.h
@@ -26,7 +26,7 @@
 
 struct Selection {
   EndpointState* endpoint = nullptr;  // null: no replica may get the request now
-  Choice choice;                      // the state of the replicas, for diagnostics
+  ReplicaChoice choice;               // the state of the replicas, for diagnostics
 };
 
 class EndpointSelector {
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -28,19 +28,19 @@
 // round without another QueryReceived.
 struct QueryReceived {
   Id id = 0;
-  std::int64_t number = 0;  // its shard requests carry the same number
-  int shard_requests = 0;   // how many shard requests follow
-  int class_index = 0;      // into Settings::classes
-  int tenant = 0;           // into Settings::tenants
-  bool is_retry = false;    // the client marked it as a retry
-  std::uint64_t key = 0;    // 0: none
+  std::int64_t query_number = 0;  // its shard requests carry the same number
+  int shard_requests = 0;         // how many shard requests follow
+  int class_index = 0;            // into Settings::classes
+  int tenant = 0;                 // into Settings::tenants
+  bool is_retry = false;          // the client marked it as a retry
+  std::uint64_t key = 0;          // 0: none
   Micros timeout_remaining_us = 0;
   Micros work_us = 0;  // the client's estimate; 0: unknown
 };
 
 struct ShardRequestReceived {
   Id id = 0;
-  std::int64_t number = 0;  // of its query
+  std::int64_t query_number = 0;  // of its query
   int shard = 0;
   double weight = 0;      // coverage that its answer adds, between 0 and 1
   std::uint64_t key = 0;  // for key affinity; 0: none
--- a/src/routing/reasons.h
+++ b/src/routing/reasons.h
@@ -36,9 +36,9 @@
 
 constexpr std::size_t kMaxCandidates = 8;
 
-struct Choice {
-  std::uint8_t count = 0;     // of entries set in `endpoints`
-  std::uint8_t unlisted = 0;  // replicas beyond kMaxCandidates
+struct ReplicaChoice {
+  std::uint8_t count = 0;    // of entries set in `endpoints`
+  std::uint8_t omitted = 0;  // replicas beyond kMaxCandidates
   std::array<Candidate, kMaxCandidates> endpoints;
 };
 
@@ -46,7 +46,7 @@
   kFirst,
   kCanary,          // before its query's other requests: endpoints were lost recently, or the query is wide
   kProbe,           // checks whether an ejected endpoint or zone has recovered
-  kRetry,           // no attempt of the request was in flight; see DispatchReason::after
+  kRetry,           // no attempt of the request was in flight; see DispatchReason::previous_outcome
   kStragglerHedge,  // the attempt in flight takes longer than others took
   kOutlierHedge,    // the endpoint of the attempt in flight is ejected, draining or removed, or has lost
                     // the request
@@ -54,8 +54,8 @@
 
 struct DispatchReason {
   DispatchKind kind = DispatchKind::kFirst;
-  AttemptOutcome after = AttemptOutcome::kOk;  // of kRetry: the outcome of the previous attempt
-  Choice choice;
+  AttemptOutcome previous_outcome = AttemptOutcome::kOk;  // of kRetry: the outcome of the previous attempt
+  ReplicaChoice choice;
 };
 
 // Why a query ended. After the colon: what CompletionReason::observed and threshold hold, with their unit.
@@ -119,7 +119,7 @@
   PendingReason reason = PendingReason::kNone;
   float observed = 0;
   float threshold = 0;
-  Choice choice;  // of kNoEndpoint
+  ReplicaChoice choice;  // of kNoEndpoint
 };
 
 }  // namespace liftrudder::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -124,7 +124,7 @@
 
 void Router::State::operator()(const ShardRequestReceived& event) {
   arrivals.Add(now);
-  Query* query = queries.FindByNumber(event.number);
+  Query* query = queries.FindByNumber(event.query_number);
   if (query == nullptr) return;
   ShardRequest shard_request;
   shard_request.id = event.id;
@@ -231,7 +231,7 @@
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
 
-int Router::Avoided() const { return state_ == nullptr ? 0 : state_->avoided_endpoints; }
+int Router::AvoidedEndpoints() const { return state_ == nullptr ? 0 : state_->avoided_endpoints; }
 
 void Router::Handle(Micros now, std::span<const Event> events, std::vector<Action>& actions,
                     std::vector<PendingShardRequest>* pending) {
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -35,7 +35,7 @@
 
   // Number of listed endpoints that the last round avoided: draining, ejected, or in an ejected zone. An
   // ejected endpoint still gets probe requests, and other requests where no healthy replica is left.
-  int Avoided() const;
+  int AvoidedEndpoints() const;
 
  private:
   struct State;
--- a/src/routing/router_dispatch.cpp
+++ b/src/routing/router_dispatch.cpp
@@ -73,7 +73,7 @@
   EndpointState& endpoint = *selection.endpoint;
   DispatchReason reason;
   reason.kind = ClassifyDispatch(query, shard_request, selection, hedge);
-  reason.after = is_first ? AttemptOutcome::kOk : shard_request.attempts.back().outcome;
+  reason.previous_outcome = is_first ? AttemptOutcome::kOk : shard_request.attempts.back().outcome;
   reason.choice = selection.choice;
   RecordSend(query, shard_request, endpoint, hedge);
   shard_request.pending = PendingReason::kNone;
@@ -143,7 +143,8 @@
 }
 
 // Reports the reason if it has changed and no attempt of the request is in flight.
-void Router::State::SetPending(ShardRequest& shard_request, const PendingCause& cause, const Choice& choice) {
+void Router::State::SetPending(ShardRequest& shard_request, const PendingCause& cause,
+                               const ReplicaChoice& choice) {
   if (pending != nullptr && shard_request.pending != cause.reason && shard_request.InFlight() == 0) {
     pending->push_back({shard_request.id, cause.reason, static_cast<float>(cause.observed),
                         static_cast<float>(cause.threshold), choice});
--- a/src/routing/router_state.h
+++ b/src/routing/router_state.h
@@ -75,7 +75,7 @@
   DispatchKind ClassifyDispatch(const Query& query, const ShardRequest& shard_request,
                                 const Selection& selection, HedgeCause hedge) const;
   void RecordSend(Query& query, const ShardRequest& shard_request, EndpointState& endpoint, HedgeCause hedge);
-  void SetPending(ShardRequest& shard_request, const PendingCause& cause, const Choice& choice = {});
+  void SetPending(ShardRequest& shard_request, const PendingCause& cause, const ReplicaChoice& choice = {});
 
   // Outcomes.
   void RecordEndpointOutcome(EndpointState& endpoint, const AttemptFinished& finished,
--- a/src/routing/settings_validation.cpp
+++ b/src/routing/settings_validation.cpp
@@ -91,7 +91,7 @@
   return std::nullopt;
 }
 
-std::string Describe(const InvalidSetting& invalid) {
+std::string DescribeInvalidSetting(const InvalidSetting& invalid) {
   std::ostringstream text;
   text << '\'' << invalid.setting << "' ";
   if (invalid.class_index) text << "of class " << *invalid.class_index << ' ';
--- a/src/routing/settings_validation.h
+++ b/src/routing/settings_validation.h
@@ -36,7 +36,7 @@
 std::optional<InvalidSetting> CheckSettings(const Settings& settings);
 
 // Describes an invalid setting in a sentence for an operator.
-std::string Describe(const InvalidSetting& invalid);
+std::string DescribeInvalidSetting(const InvalidSetting& invalid);
 
 }  // namespace liftrudder::routing
 
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -147,7 +147,7 @@
     }
     if (attempt.kind != liftrudder::routing::DispatchKind::kRetry) return;
     const auto& before = shard_request.attempts[static_cast<std::size_t>(attempt.number) - 1];
-    if (before.outcome != attempt.after) Report(id, "a retry after another outcome");
+    if (before.outcome != attempt.previous_outcome) Report(id, "a retry after another outcome");
   }
 
   std::size_t CompareWithLog(const std::string& id, const std::string& endpoint, Attempts attempts,
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -145,7 +145,7 @@
   REQUIRE(trace.shard_requests[1].attempts.size() == 2);
   CHECK(trace.shard_requests[0].attempts[1].endpoint.id == "s-2");
   CHECK(trace.shard_requests[0].attempts[1].outcome == AttemptOutcome::kReset);
-  CHECK(trace.shard_requests[0].attempts[2].after == AttemptOutcome::kReset);
+  CHECK(trace.shard_requests[0].attempts[2].previous_outcome == AttemptOutcome::kReset);
   CHECK(trace.shard_requests[1].attempts[0].ended_us == 30'000);
   CHECK(trace.shard_requests[1].attempts[0].cause == decision_log::Cause::kCancelled);
   std::string text = decision_log::TextOf(trace);
--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -103,7 +103,7 @@
     auto number = static_cast<std::uint32_t>(endpoint);
     routing::Send send{0, {number, 1}, kSecondUs, {kind, after, {}}};
     send.reason.choice.count = 2;
-    send.reason.choice.unlisted = 1;
+    send.reason.choice.omitted = 1;
     send.reason.choice.endpoints[0] = {{number, 1}, 1, Eligibility::kEligible, true};
     send.reason.choice.endpoints[1] = {{number % 3 + 1, 1}, 2, other, false};
     recorder_.Sent(query, shard_request, attempt, send);
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -91,7 +91,7 @@
   auto shard_request = DecodeOneEvent<ShardRequestReceived>(
       "5a 00000025 5d3a91c4 43560000 00002ee0 3e000000 0000 0000 00000000 01 91f03b7c55d20a64 0003a980");
   EXPECT_EQ(shard_request.id, 0x5d3a91c4u);
-  EXPECT_EQ(shard_request.number, 214);
+  EXPECT_EQ(shard_request.query_number, 214);
   EXPECT_EQ(shard_request.work_us, 12000);
   EXPECT_DOUBLE_EQ(shard_request.weight, 0.125);
   EXPECT_EQ(shard_request.shard, 0);
