--- a/bench/decision_log_cost.cpp
+++ b/bench/decision_log_cost.cpp
@@ -162,19 +162,20 @@
     std::int64_t now_us = 1'000'000'000 + std::int64_t{i} * 5'000;
     recorder.SetTime(now_us);
     std::string id = fmt::format("bench-{:08}", i);
-    recorder.Opened({query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""},
-                    shard_requests);
+    recorder.RecordArrival(
+        {query, now_us, now_us + 4'000'000, 0, decision_log::FrontKind::kPlatform, false, id, ""},
+        shard_requests);
     for (int shard_request = 0; shard_request < kShardRequests; ++shard_request) {
       liftrudder::routing::Send send{0, {1, 1}, 1'000'000, {}};
       send.reason.choice.count = 3;
       for (std::uint32_t j = 0; j < 3; ++j) {
         send.reason.choice.endpoints[j] = {{j + 1, 1}, 0, liftrudder::routing::Eligibility::kEligible, true};
       }
-      recorder.Sent(query, shard_request, 0, send);
-      recorder.Ended(query, shard_request, 0, 1, liftrudder::routing::AttemptOutcome::kOk,
-                     decision_log::Progress::kAnswering, decision_log::Cause::kServed);
+      recorder.RecordSend(query, shard_request, 0, send);
+      recorder.RecordAttemptEnd(query, shard_request, 0, 1, liftrudder::routing::AttemptOutcome::kOk,
+                                decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
-    recorder.Completed(
+    recorder.RecordCompletion(
         query, {decision_log::Verdict::kComplete, {}, decision_log::IntakeResult::kNone, 0, kShardRequests});
     recorder.Flush();
   }
--- a/src/app/coordinator_runtime.cpp
+++ b/src/app/coordinator_runtime.cpp
@@ -87,7 +87,7 @@
     file.clear();
     recorder_.emplace(config_.decision_log.bytes, file, origin, config_.seed);
   }
-  log::Info("the decision log has {} bytes{}{}", recorder_->ClaimedBytes(), file.empty() ? "" : ", in ",
+  log::Info("the decision log has {} bytes{}{}", recorder_->AllocatedBytes(), file.empty() ? "" : ", in ",
             file);
 }
 
--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -94,7 +94,7 @@
 }
 
 int ExplainFromRecordFile(const Options& options) try {
-  auto question = decision_log::ReadQuestion(options.Parameters(), UnixTimeUs());
+  auto question = decision_log::ParseQuestion(options.Parameters(), UnixTimeUs());
   if (!question) return Print(400, question.error().message);
   const decision_log::Reply reply =
       decision_log::AnswerFrom(decision_log::RecordFile::Open(options.record_file), *question);
--- a/src/coordinator/decision_recording.cpp
+++ b/src/coordinator/decision_recording.cpp
@@ -42,7 +42,7 @@
   if (recorder_ == nullptr) return;
   decision_log::FrontEvent event;
   event.bytes = static_cast<std::uint32_t>(bytes);
-  event.whole = fully_written;
+  event.fully_written = fully_written;
   event.at_us = clock_.Now();
   for (const AnsweredQuery& answered : answered_queries) {
     event.query = answered.query;
@@ -75,7 +75,7 @@
   query.is_retry = request.is_retry;
   query.call_id = request.payload->call_id;
   query.label = request.label;
-  recorder_->Opened(query, shard_requests_);
+  recorder_->RecordArrival(query, shard_requests_);
 }
 
 void DecisionRecording::RecordClientDisconnect(const ClientDisconnect& disconnect) {
@@ -83,7 +83,7 @@
   bool answer_timed_out = disconnect.reason == decision_log::IntakeResult::kAnswerTimeout;
   decision_log::Verdict verdict =
       answer_timed_out ? decision_log::Verdict::kExpired : decision_log::Verdict::kClientDisconnected;
-  recorder_->Completed(disconnect.id, {verdict, {}, disconnect.reason, 0, 0});
+  recorder_->RecordCompletion(disconnect.id, {verdict, {}, disconnect.reason, 0, 0});
 }
 
 void DecisionRecording::RecordEndpoints(const routing::EndpointListUpdate& update,
@@ -91,7 +91,7 @@
   if (recorder_ == nullptr) return;
   for (const routing::Endpoint& endpoint : update.endpoints) {
     EndpointAddress address = resolver.Find(endpoint.id);
-    recorder_->NameEndpoint(endpoint.id.address, address.id, address.addr);
+    recorder_->SetEndpointName(endpoint.id.address, address.id, address.addr);
   }
 }
 
@@ -99,37 +99,37 @@
                                       InFlightTable& in_flight) {
   for (const routing::PendingShardRequest& entry : pending) {
     const InFlightShardRequest* shard_request = in_flight.FindShardRequest(entry.shard_request);
-    if (shard_request != nullptr) recorder_->Pending(shard_request->query, shard_request->index, entry);
+    if (shard_request != nullptr) recorder_->RecordPending(shard_request->query, shard_request->index, entry);
   }
 }
 
 void DecisionRecording::RecordSent(const InFlightShardRequest& shard_request, int attempt,
                                    const routing::Send& send) {
-  if (recorder_ != nullptr) recorder_->Sent(shard_request.query, shard_request.index, attempt, send);
+  if (recorder_ != nullptr) recorder_->RecordSend(shard_request.query, shard_request.index, attempt, send);
 }
 
 void DecisionRecording::RecordCancelled(const InFlightShardRequest& shard_request,
                                         const routing::Cancel& cancel) {
-  if (recorder_ != nullptr) recorder_->Cancelled(shard_request.query, shard_request.index, cancel);
+  if (recorder_ != nullptr) recorder_->RecordCancellation(shard_request.query, shard_request.index, cancel);
 }
 
 void DecisionRecording::RecordConnectionsClosed(const routing::Close& close) {
-  if (recorder_ != nullptr) recorder_->Closed(close);
+  if (recorder_ != nullptr) recorder_->RecordClose(close);
 }
 
 void DecisionRecording::RecordAttemptFinished(Id query, int shard_request_index,
                                               const routing::AttemptFinished& finished, Progress progress,
                                               Cause cause) {
   if (recorder_ == nullptr) return;
-  recorder_->Ended(query, shard_request_index, finished.attempt, finished.endpoint.address, finished.outcome,
-                   progress, cause);
+  recorder_->RecordAttemptEnd(query, shard_request_index, finished.attempt, finished.endpoint.address,
+                              finished.outcome, progress, cause);
 }
 
 void DecisionRecording::RecordAnswer(Id query, const FinalAnswer& answer,
                                      const routing::CompletionReason& reason, int shard_responses) {
   if (recorder_ == nullptr) return;
-  recorder_->Completed(query, {RecordedVerdict(answer), reason, decision_log::IntakeResult::kNone,
-                               answer.retry_after_us, shard_responses});
+  recorder_->RecordCompletion(query, {RecordedVerdict(answer), reason, decision_log::IntakeResult::kNone,
+                                      answer.retry_after_us, shard_responses});
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/messages.cpp
+++ b/src/coordinator/messages.cpp
@@ -3,7 +3,7 @@
 namespace liftrudder::coordinator {
 
 AttemptOutcome OutcomeOf(Progress progress, Cause cause) {
-  bool may_have_run = progress >= Progress::kWhollyWritten;
+  bool may_have_run = progress >= Progress::kFullyWritten;
   bool partly_written = progress >= Progress::kPartlyWritten;
   switch (cause) {
     case Cause::kServed:
--- a/src/decision_log/attempt_result.h
+++ b/src/decision_log/attempt_result.h
@@ -12,7 +12,7 @@
 
 // How far an attempt had progressed when it ended. Progress and Cause together determine whether the endpoint
 // may have run the request.
-enum class Progress : std::uint8_t { kNotConnected, kPartlyWritten, kWhollyWritten, kAnswering };
+enum class Progress : std::uint8_t { kNotConnected, kPartlyWritten, kFullyWritten, kAnswering };
 
 // Why an attempt ended.
 enum class Cause : std::uint8_t {
--- a/src/decision_log/event_encoding.cpp
+++ b/src/decision_log/event_encoding.cpp
@@ -133,7 +133,7 @@
   EncodedEvent event;
   event.size = 2;
   event.words[0] = FirstWord(EventKind::kResponse, event.size, response.status, time_us);
-  event.words[1] = JoinHalves(response.bytes, std::uint32_t{response.whole});
+  event.words[1] = JoinHalves(response.bytes, std::uint32_t{response.fully_written});
   return event;
 }
 
--- a/src/decision_log/event_queue.h
+++ b/src/decision_log/event_queue.h
@@ -24,8 +24,8 @@
   std::uint8_t class_index = 0;
   std::uint8_t id_bytes = 0;
   bool id_cut = false;
-  bool whole = true;         // the response was written completely
-  std::uint16_t status = 0;  // HTTP status
+  bool fully_written = true;  // the response was written completely
+  std::uint16_t status = 0;   // HTTP status
   std::uint16_t shard_requests = 0;
   std::uint32_t query = 0;  // of a response: the query's number
   std::uint32_t bytes = 0;  // of a response: bytes written, head and body
--- a/src/decision_log/explain_service.cpp
+++ b/src/decision_log/explain_service.cpp
@@ -57,7 +57,7 @@
     auto retry_after_us = static_cast<std::int64_t>(1e6 / kReadsPerSecond);
     return {kTooManyRequests, false, "too many questions a second\n", retry_after_us};
   }
-  auto question = ReadQuestion(parameters, now_us);
+  auto question = ParseQuestion(parameters, now_us);
   if (!question) return {kBadRequest, false, question.error().message + "\n", 0};
   tokens_ -= 1;
   refresh_();
--- a/src/decision_log/question.cpp
+++ b/src/decision_log/question.cpp
@@ -148,7 +148,7 @@
 
 }  // namespace
 
-tl::expected<Question, QuestionError> ReadQuestion(const Parameters& parameters, std::int64_t now_us) {
+tl::expected<Question, QuestionError> ParseQuestion(const Parameters& parameters, std::int64_t now_us) {
   Question question;
   for (const auto& [name, value] : parameters) {
     auto parameter = std::ranges::find(kParameters, name, &Parameter::name);
--- a/src/decision_log/question.h
+++ b/src/decision_log/question.h
@@ -28,7 +28,7 @@
 };
 
 // Accepts times as Unix seconds with decimals, as 2026-12-01T09:30:00Z, or as -90 (seconds before `now_us`).
-tl::expected<Question, QuestionError> ReadQuestion(const Parameters& parameters, std::int64_t now_us);
+tl::expected<Question, QuestionError> ParseQuestion(const Parameters& parameters, std::int64_t now_us);
 
 }  // namespace liftrudder::decision_log
 
--- a/src/decision_log/reason_text.cpp
+++ b/src/decision_log/reason_text.cpp
@@ -95,7 +95,7 @@
       return " before anything was written";
     case Progress::kPartlyWritten:
       return " while the request was being written";
-    case Progress::kWhollyWritten:
+    case Progress::kFullyWritten:
       return " after the request was written";
     case Progress::kAnswering:
       break;
--- a/src/decision_log/record_format_check.cpp
+++ b/src/decision_log/record_format_check.cpp
@@ -42,7 +42,7 @@
                         EndpointCount::kMissing}));
 static_assert(Numbered({FrontKind::kPlatform, FrontKind::kSearch, FrontKind::kCount, FrontKind::kScroll,
                         FrontKind::kMultiSearch}));
-static_assert(Numbered({Progress::kNotConnected, Progress::kPartlyWritten, Progress::kWhollyWritten,
+static_assert(Numbered({Progress::kNotConnected, Progress::kPartlyWritten, Progress::kFullyWritten,
                         Progress::kAnswering}));
 static_assert(Numbered({Cause::kServed, Cause::kEndpointError, Cause::kEndpointRejected,
                         Cause::kInvalidResponse, Cause::kConnectionLost, Cause::kCancelled, Cause::kExpired,
--- a/src/decision_log/recorder.cpp
+++ b/src/decision_log/recorder.cpp
@@ -89,7 +89,7 @@
       counters_(record_file_),
       store_(record_file_, counters_, seed),
       queue_(kQueueCapacity) {
-  claimed_bytes_ =
+  allocated_bytes_ =
       record_file_.layout().bytes + store_.BytesHeld() + queue_.Capacity() * EventQueue::BytesPerEvent();
 }
 
@@ -108,11 +108,12 @@
   return ClampMicros(now_us_ - query.arrived_us);
 }
 
-void Recorder::NameEndpoint(std::uint32_t number, std::string_view id, std::string_view address) {
+void Recorder::SetEndpointName(std::uint32_t number, std::string_view id, std::string_view address) {
   counters_.SetEndpointName(number, id, address);
 }
 
-void Recorder::Opened(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests) {
+void Recorder::RecordArrival(const RecordedQuery& query,
+                             std::span<const RecordedShardRequest> shard_requests) {
   // Query numbers wrap around after 2^32: an old query with the same number is no longer found by it.
   if (StoredQuery* old = store_.Find(query.query)) store_.Unindex(*old);
   IdHashes hashes{HashId(query.call_id), query.label.empty() ? 0 : HashLabel(query.label)};
@@ -133,7 +134,7 @@
   }
 }
 
-void Recorder::Sent(std::uint32_t query, int shard_request, int attempt, const routing::Send& send) {
+void Recorder::RecordSend(std::uint32_t query, int shard_request, int attempt, const routing::Send& send) {
   bool is_retry = send.reason.kind == routing::DispatchKind::kRetry;
   counters_.AddEndpoint(send.endpoint.address, EndpointCount::kSent);
   counters_.Add(CounterOf(send.reason.kind));
@@ -149,8 +150,8 @@
   store_.Append(*stored, EncodeSent(shard_request, attempt, send, MicrosSinceArrival(*stored)));
 }
 
-void Recorder::Ended(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
-                     routing::AttemptOutcome outcome, Progress progress, Cause cause) {
+void Recorder::RecordAttemptEnd(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
+                                routing::AttemptOutcome outcome, Progress progress, Cause cause) {
   using routing::AttemptOutcome;
   StoredQuery* stored = store_.Find(query);
   if (stored == nullptr) return;
@@ -161,7 +162,7 @@
                 EncodeEnded(shard_request, attempt, outcome, progress, cause, MicrosSinceArrival(*stored)));
 }
 
-void Recorder::Cancelled(std::uint32_t query, int shard_request, const routing::Cancel& cancel) {
+void Recorder::RecordCancellation(std::uint32_t query, int shard_request, const routing::Cancel& cancel) {
   using routing::CancelReason;
   StoredQuery* stored = store_.Find(query);
   if (stored == nullptr) return;
@@ -170,9 +171,10 @@
   store_.Append(*stored, EncodeCancelled(shard_request, cancel, MicrosSinceArrival(*stored)));
 }
 
-void Recorder::Closed(const routing::Close& close) { counters_.Add(CounterOf(close.reason)); }
+void Recorder::RecordClose(const routing::Close& close) { counters_.Add(CounterOf(close.reason)); }
 
-void Recorder::Pending(std::uint32_t query, int shard_request, const routing::PendingShardRequest& pending) {
+void Recorder::RecordPending(std::uint32_t query, int shard_request,
+                             const routing::PendingShardRequest& pending) {
   using routing::PendingReason;
   counters_.Add(CounterOf(pending.reason));
   StoredQuery* stored = store_.Find(query);
@@ -181,7 +183,7 @@
   store_.Append(*stored, EncodePending(shard_request, pending, MicrosSinceArrival(*stored)));
 }
 
-void Recorder::Completed(std::uint32_t query, const RecordedCompletion& completion) {
+void Recorder::RecordCompletion(std::uint32_t query, const RecordedCompletion& completion) {
   counters_.Add(CounterOf(completion.verdict));
   counters_.Add(CounterOf(completion.reason.cause));
   if (completion.intake != IntakeResult::kNone) counters_.Add(CounterOf(completion.intake));
--- a/src/decision_log/recorder.h
+++ b/src/decision_log/recorder.h
@@ -29,7 +29,7 @@
   Recorder(std::size_t bytes, const std::string& path, const RecordOrigin& origin, std::uint64_t seed);
 
   // The number of bytes that are actually allocated.
-  std::size_t ClaimedBytes() const { return claimed_bytes_; }
+  std::size_t AllocatedBytes() const { return allocated_bytes_; }
   const RecordFile& record_file() const { return record_file_; }
 
   // Queues a front's event; if the queue is full, the event is dropped and counted. Returns whether the queue
@@ -41,17 +41,17 @@
 
   // Sets the time of the events that follow.
   void SetTime(std::int64_t now_us);
-  void NameEndpoint(std::uint32_t number, std::string_view id, std::string_view address);
-  void Opened(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests);
-  void Sent(std::uint32_t query, int shard_request, int attempt, const routing::Send& send);
-  void Ended(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
-             routing::AttemptOutcome outcome, Progress progress, Cause cause);
-  void Cancelled(std::uint32_t query, int shard_request, const routing::Cancel& cancel);
-  void Closed(const routing::Close& close);
-  void Pending(std::uint32_t query, int shard_request, const routing::PendingShardRequest& pending);
+  void SetEndpointName(std::uint32_t number, std::string_view id, std::string_view address);
+  void RecordArrival(const RecordedQuery& query, std::span<const RecordedShardRequest> shard_requests);
+  void RecordSend(std::uint32_t query, int shard_request, int attempt, const routing::Send& send);
+  void RecordAttemptEnd(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
+                        routing::AttemptOutcome outcome, Progress progress, Cause cause);
+  void RecordCancellation(std::uint32_t query, int shard_request, const routing::Cancel& cancel);
+  void RecordClose(const routing::Close& close);
+  void RecordPending(std::uint32_t query, int shard_request, const routing::PendingShardRequest& pending);
   // Records the end of a query, by the routing module or by its front, whichever comes first. A second end is
   // only counted.
-  void Completed(std::uint32_t query, const RecordedCompletion& completion);
+  void RecordCompletion(std::uint32_t query, const RecordedCompletion& completion);
   // Processes the events that the fronts posted, and makes everything written since the last call readable.
   void Flush();
 
@@ -76,7 +76,7 @@
   RecordCounters counters_;
   QueryStore store_;
   EventQueue queue_;
-  std::size_t claimed_bytes_ = 0;
+  std::size_t allocated_bytes_ = 0;
   std::int64_t now_us_ = 0;
   IntakeRateLimiter intake_limiter_;
   std::atomic<std::uint64_t> flush_count_{0};
--- a/src/decision_log/trace.h
+++ b/src/decision_log/trace.h
@@ -34,8 +34,8 @@
   std::int64_t at_us = 0;
   std::int64_t timeout_us = 0;
   routing::DispatchKind kind = routing::DispatchKind::kFirst;
-  routing::AttemptOutcome previous_outcome =
-      routing::AttemptOutcome::kOk;  // of a retry: how the attempt before ended
+  // Of a retry: how the attempt before ended.
+  routing::AttemptOutcome previous_outcome = routing::AttemptOutcome::kOk;
   std::vector<CandidateTrace> candidates;
   int omitted = 0;  // further candidates, not in the list
   std::optional<std::int64_t> cancelled_us;
--- a/src/metrics/operator_figures.h
+++ b/src/metrics/operator_figures.h
@@ -29,9 +29,9 @@
   // Counts a request by the HTTP status of its response; does nothing when `figures` is null.
   static void CountResponse(ClassFigures* figures, int status);
 
-  Counter requests_in_progress;  // requests in progress
-  Counter cluster_size;          // endpoints listed
-  Counter cluster_unhealthy;     // of these, endpoints that the router avoids
+  Counter requests_in_progress;
+  Counter cluster_size;       // endpoints listed
+  Counter cluster_unhealthy;  // of these, endpoints that the router avoids
 
   // Returns the figures in the Prometheus text format.
   std::string Text() const;
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -129,7 +129,7 @@
   for (const coordinator::AttemptKey& key : std::exchange(connection.frame_attempts, {})) {
     Attempt* attempt = attempts_.Find(key);
     if (attempt == nullptr) continue;
-    attempt->progress = coordinator::Progress::kWhollyWritten;
+    attempt->progress = coordinator::Progress::kFullyWritten;
     if (auto* figures = figures_.FindClass(attempt->request.class_index)) figures->attempts_written.Add();
   }
 }
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -53,8 +53,8 @@
 }
 
 void Front::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-                  bool whole) {
-  coordinator_.RecordResponse(answered_queries, status, bytes, whole);
+                  bool fully_written) {
+  coordinator_.RecordResponse(answered_queries, status, bytes, fully_written);
 }
 
 std::optional<net::HttpResponse> Front::Handle(net::HttpMessage& request, const net::Exchange& exchange) {
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -30,7 +30,7 @@
   net::HttpResponse Malformed(int status) override;
   net::HttpResponse Overloaded(const net::HttpMessage* request) override;
   void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-             bool whole) override;
+             bool fully_written) override;
 
  private:
   std::optional<net::HttpResponse> ServePage(std::string_view path, const net::HttpMessage& request,
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -76,17 +76,16 @@
 
 net::HttpResponse QueryHandler::Overloaded(const net::HttpMessage* request) {
   constexpr int kStatus = 503;
-  const std::string* class_name = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
-  if (class_name != nullptr)
-    metrics::OperatorFigures::CountResponse(figures_.FindClass(*class_name), kStatus);
+  const std::string* header = request == nullptr ? nullptr : request->Header(wire::kClassHeader);
+  if (header != nullptr) metrics::OperatorFigures::CountResponse(figures_.FindClass(*header), kStatus);
   coordinator_.RecordIntake(decision_log::IntakeResult::kTooManyConnections,
                             decision_log::FrontKind::kPlatform, decision_log::kUnknownClass, kStatus, "");
   return ErrorResponse(kStatus, kBusyRetryUs, "too many connections");
 }
 
 void QueryHandler::Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status,
-                         std::size_t bytes, bool whole) {
-  coordinator_.RecordResponse(answered_queries, status, bytes, whole);
+                         std::size_t bytes, bool fully_written) {
+  coordinator_.RecordResponse(answered_queries, status, bytes, fully_written);
 }
 
 std::optional<net::HttpResponse> QueryHandler::Handle(net::HttpMessage& request,
--- a/src/platform/query_handler.h
+++ b/src/platform/query_handler.h
@@ -36,7 +36,7 @@
   net::HttpResponse Malformed(int status) override;
   net::HttpResponse Overloaded(const net::HttpMessage* request) override;
   void Wrote(const std::vector<net::AnsweredQuery>& answered_queries, int status, std::size_t bytes,
-             bool whole) override;
+             bool fully_written) override;
 
  private:
   // These return nullopt when the client has disconnected.
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -48,7 +48,7 @@
 
 bool ReachedEndpoint(const decision_log::AttemptTrace& attempt) {
   return attempt.ended_us &&
-         (attempt.progress == Progress::kWhollyWritten || attempt.progress == Progress::kAnswering);
+         (attempt.progress == Progress::kFullyWritten || attempt.progress == Progress::kAnswering);
 }
 
 // Compares traces with the observations, and describes each difference in words.
--- a/tests/coordinator/in_flight_table_test.cpp
+++ b/tests/coordinator/in_flight_table_test.cpp
@@ -18,7 +18,7 @@
   REQUIRE(finished);
   CHECK(finished->spent_us == 20);
   CHECK(finished->shard_request_done);
-  CHECK_FALSE(in_flight.FinishAttempt({{6, 0}, Progress::kWhollyWritten, Cause::kExpired, {}, ""}, 40));
+  CHECK_FALSE(in_flight.FinishAttempt({{6, 0}, Progress::kFullyWritten, Cause::kExpired, {}, ""}, 40));
   CHECK(in_flight.TakeExpired(1000).empty());
   CHECK(in_flight.RemoveQuery(5).at(0).value == "v");
   CHECK(in_flight.FindShardRequest(6) == nullptr);
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -40,8 +40,8 @@
       : recorder(bytes, path, kOrigin, 7) {
     recorder.SetTime(now_us);
     for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint) {
-      recorder.NameEndpoint(endpoint, "s-" + std::to_string(endpoint),
-                            "127.0.0.1:" + std::to_string(9000 + endpoint));
+      recorder.SetEndpointName(endpoint, "s-" + std::to_string(endpoint),
+                               "127.0.0.1:" + std::to_string(9000 + endpoint));
     }
   }
 
@@ -56,9 +56,9 @@
     next_query += static_cast<std::uint32_t>(shard_requests) + 1;
     std::vector<decision_log::RecordedShardRequest> recorded(static_cast<std::size_t>(shard_requests),
                                                              {3, 1.0 / shard_requests, 0});
-    recorder.Opened({query, now_us, now_us + 4 * kSecondUs, class_index, decision_log::FrontKind::kPlatform,
-                     false, id, label},
-                    recorded);
+    recorder.RecordArrival({query, now_us, now_us + 4 * kSecondUs, class_index,
+                            decision_log::FrontKind::kPlatform, false, id, label},
+                           recorded);
     return query;
   }
   void Send(std::uint32_t query, int shard_request, int attempt, std::uint32_t endpoint,
@@ -69,18 +69,18 @@
     send.reason.choice.endpoints[0] = {{endpoint, 1}, 1, liftrudder::routing::Eligibility::kEligible, true};
     send.reason.choice.endpoints[1] = {
         {endpoint % 3 + 1, 1}, 0, liftrudder::routing::Eligibility::kOutlier, false};
-    recorder.Sent(query, shard_request, attempt, send);
+    recorder.RecordSend(query, shard_request, attempt, send);
   }
   void End(std::uint32_t query, Verdict verdict, CompletionCause cause = CompletionCause::kComplete) {
-    recorder.Completed(query, {verdict, {cause, 1, 1, {}}, IntakeResult::kNone, 0, 2});
+    recorder.RecordCompletion(query, {verdict, {cause, 1, 1, {}}, IntakeResult::kNone, 0, 2});
   }
   void RecordQuery(const std::string& id, int class_index, Verdict verdict = Verdict::kComplete,
                    CompletionCause cause = CompletionCause::kComplete) {
     std::uint32_t query = Open(id, class_index);
     for (int shard_request = 0; shard_request < 2; ++shard_request) {
       Send(query, shard_request, 0, 1);
-      recorder.Ended(query, shard_request, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
-                     decision_log::Cause::kServed);
+      recorder.RecordAttemptEnd(query, shard_request, 0, 1, AttemptOutcome::kOk,
+                                decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
     End(query, verdict, cause);
   }
@@ -119,23 +119,23 @@
   f.Send(query, 0, 0, 1);
   f.Send(query, 1, 0, 2);
   f.Advance(10'000);
-  f.recorder.Ended(query, 0, 0, 1, AttemptOutcome::kOverloaded, decision_log::Progress::kAnswering,
-                   decision_log::Cause::kEndpointRejected);
+  f.recorder.RecordAttemptEnd(query, 0, 0, 1, AttemptOutcome::kOverloaded, decision_log::Progress::kAnswering,
+                              decision_log::Cause::kEndpointRejected);
   f.Send(query, 0, 1, 2, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kOverloaded);
   f.Advance(10'000);
-  f.recorder.Ended(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kWhollyWritten,
-                   decision_log::Cause::kConnectionLost);
+  f.recorder.RecordAttemptEnd(query, 0, 1, 2, AttemptOutcome::kReset, decision_log::Progress::kFullyWritten,
+                              decision_log::Cause::kConnectionLost);
   f.Send(query, 0, 2, 3, liftrudder::routing::DispatchKind::kRetry, AttemptOutcome::kReset);
   f.Send(query, 1, 1, 3, liftrudder::routing::DispatchKind::kStragglerHedge);
-  f.recorder.Ended(query, 0, 2, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
-                   decision_log::Cause::kServed);
-  f.recorder.Ended(query, 1, 1, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
-                   decision_log::Cause::kServed);
-  f.recorder.Cancelled(query, 1, {0, 0, liftrudder::routing::CancelReason::kAnswered});
+  f.recorder.RecordAttemptEnd(query, 0, 2, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                              decision_log::Cause::kServed);
+  f.recorder.RecordAttemptEnd(query, 1, 1, 3, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
+                              decision_log::Cause::kServed);
+  f.recorder.RecordCancellation(query, 1, {0, 0, liftrudder::routing::CancelReason::kAnswered});
   f.End(query, Verdict::kComplete);
   f.Advance(10'000);
-  f.recorder.Ended(query, 1, 0, 2, AttemptOutcome::kCancelled, decision_log::Progress::kWhollyWritten,
-                   decision_log::Cause::kCancelled);
+  f.recorder.RecordAttemptEnd(query, 1, 0, 2, AttemptOutcome::kCancelled,
+                              decision_log::Progress::kFullyWritten, decision_log::Cause::kCancelled);
   auto found = f.FindById("q-1");
   REQUIRE(found.traces.size() == 1);
   const decision_log::QueryTrace& trace = found.traces[0];
@@ -268,19 +268,20 @@
   ids.reserve(20'000);
   for (int i = 0; i < 20'000; ++i) ids.push_back("query-" + std::to_string(i));
   std::vector<decision_log::RecordedShardRequest> shard_requests(6, {1, 0.1, 100});
-  std::size_t claimed = f.recorder.ClaimedBytes();
+  std::size_t allocated = f.recorder.AllocatedBytes();
   std::size_t before = test_support::Allocations();
   for (int i = 0; i < 20'000; ++i) {
     f.Advance(7'000);
     std::uint32_t query = f.next_query;
     f.next_query += 7;
-    f.recorder.Opened({query, f.now_us, f.now_us + kSecondUs, i % 3, decision_log::FrontKind::kPlatform,
-                       false, ids[static_cast<std::size_t>(i)], ""},
-                      shard_requests);
+    f.recorder.RecordArrival(
+        {query, f.now_us, f.now_us + kSecondUs, i % 3, decision_log::FrontKind::kPlatform, false,
+         ids[static_cast<std::size_t>(i)], ""},
+        shard_requests);
     for (int shard_request = 0; shard_request < 6; ++shard_request) f.Send(query, shard_request, 0, 1);
     for (int shard_request = 0; shard_request < 6; ++shard_request) {
-      f.recorder.Ended(query, shard_request, 0, 1, AttemptOutcome::kOk, decision_log::Progress::kAnswering,
-                       decision_log::Cause::kServed);
+      f.recorder.RecordAttemptEnd(query, shard_request, 0, 1, AttemptOutcome::kOk,
+                                  decision_log::Progress::kAnswering, decision_log::Cause::kServed);
     }
     f.End(query, i % 50 == 0 ? Verdict::kRejected : Verdict::kComplete);
     f.recorder.Flush();
@@ -289,9 +290,9 @@
     CHECK(before > 0);  // allocations are counted at all
     CHECK(test_support::Allocations() == before);
   }
-  CHECK(f.recorder.ClaimedBytes() == claimed);
-  CHECK(claimed <= kRecordBytes);
-  CHECK(claimed > 400 * 1024);  // and the record uses what it is given
+  CHECK(f.recorder.AllocatedBytes() == allocated);
+  CHECK(allocated <= kRecordBytes);
+  CHECK(allocated > 400 * 1024);  // and the record uses what it is given
 }
 
 TEST_CASE("a burst does not evict the rejected and partial queries of the minute before it") {
@@ -552,7 +553,7 @@
 
 TEST_CASE("invalid questions get an error that names the parameter") {
   auto wrong = [](const decision_log::Parameters& parameters) {
-    auto question = decision_log::ReadQuestion(parameters, kStartUs);
+    auto question = decision_log::ParseQuestion(parameters, kStartUs);
     return question ? "" : question.error().message;
   };
   CHECK(wrong({{"verdict", "great"}}).find("verdict: 'great' is none of") == 0);
@@ -562,7 +563,7 @@
   CHECK(wrong({{"since", "2026-13-01T00:00:00Z"}}).find("since:") == 0);
   CHECK(wrong({{"id", ""}}).find("id:") == 0);
   auto question =
-      decision_log::ReadQuestion({{"since", "2023-11-14T22:13:20.5Z"}, {"until", "-90"}}, kStartUs);
+      decision_log::ParseQuestion({{"since", "2023-11-14T22:13:20.5Z"}, {"until", "-90"}}, kStartUs);
   REQUIRE(question.has_value());
   CHECK(question->filter.from_us == kStartUs + kSecondUs / 2);
   CHECK(question->filter.to_us == kStartUs - 90 * kSecondUs);
--- a/tests/decision_log/stored_data_test.cpp
+++ b/tests/decision_log/stored_data_test.cpp
@@ -63,8 +63,8 @@
       : recorder_(kRecordBytes, path, {"fixture-1", kStartUs, {"teacher-search", "term-report"}}, 7) {
     recorder_.SetTime(now_us_);
     for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint) {
-      recorder_.NameEndpoint(endpoint, "s-" + std::to_string(endpoint),
-                             "127.0.0.1:" + std::to_string(9000 + endpoint));
+      recorder_.SetEndpointName(endpoint, "s-" + std::to_string(endpoint),
+                                "127.0.0.1:" + std::to_string(9000 + endpoint));
     }
   }
 
@@ -93,8 +93,8 @@
     std::vector<decision_log::RecordedShardRequest> recorded;
     recorded.reserve(static_cast<std::size_t>(shard_requests));
     for (int i = 0; i < shard_requests; ++i) recorded.push_back({3 + i, 1.0 / shard_requests, i * 250});
-    recorder_.Opened({query, now_us_, now_us_ + 4 * kSecondUs, class_index, front, is_retry, id, label},
-                     recorded);
+    recorder_.RecordArrival(
+        {query, now_us_, now_us_ + 4 * kSecondUs, class_index, front, is_retry, id, label}, recorded);
     return query;
   }
 
@@ -106,15 +106,15 @@
     send.reason.choice.omitted = 1;
     send.reason.choice.endpoints[0] = {{number, 1}, 1, Eligibility::kEligible, true};
     send.reason.choice.endpoints[1] = {{number % 3 + 1, 1}, 2, other, false};
-    recorder_.Sent(query, shard_request, attempt, send);
+    recorder_.RecordSend(query, shard_request, attempt, send);
   }
 
-  void Respond(std::uint32_t query, std::uint32_t bytes, bool whole) {
+  void Respond(std::uint32_t query, std::uint32_t bytes, bool fully_written) {
     decision_log::FrontEvent event;
     event.query = query;
     event.status = 200;
     event.bytes = bytes;
-    event.whole = whole;
+    event.fully_written = fully_written;
     event.at_us = now_us_ + 500;
     recorder_.Post(event);
     recorder_.Flush();
@@ -130,8 +130,8 @@
       Send(query, 0, 0, 1, dispatch, retry ? AttemptOutcome::kReset : AttemptOutcome::kOk,
            Eligibility::kOutlier);
       Advance(3'000);
-      recorder_.Ended(query, 0, 0, 1, AttemptOutcome::kOk, Progress::kAnswering, Cause::kServed);
-      recorder_.Completed(
+      recorder_.RecordAttemptEnd(query, 0, 0, 1, AttemptOutcome::kOk, Progress::kAnswering, Cause::kServed);
+      recorder_.RecordCompletion(
           query, {Verdict::kComplete, {CompletionCause::kComplete, 1, 1, {}}, IntakeResult::kNone, 0, 1});
       Respond(query, 1234, true);
     }
@@ -143,17 +143,18 @@
     for (int i = 0; i < 9; ++i) {
       Send(query, i, 0, 1 + i % 3, DispatchKind::kFirst, AttemptOutcome::kOk, static_cast<Eligibility>(i));
       Advance(1'000);
-      recorder_.Ended(query, i, 0, static_cast<std::uint32_t>(1 + i % 3), static_cast<AttemptOutcome>(i % 8),
-                      static_cast<Progress>(i % 4), static_cast<Cause>(i));
+      recorder_.RecordAttemptEnd(query, i, 0, static_cast<std::uint32_t>(1 + i % 3),
+                                 static_cast<AttemptOutcome>(i % 8), static_cast<Progress>(i % 4),
+                                 static_cast<Cause>(i));
     }
     for (int i = 0; i < 8; ++i) {
       Send(query, i, 1, 2, DispatchKind::kRetry, static_cast<AttemptOutcome>(i), Eligibility::kAlreadyTried);
     }
     for (int i = 0; i < 4; ++i) {
       Advance(500);
-      recorder_.Cancelled(query, i, {0, 1, static_cast<routing::CancelReason>(i)});
+      recorder_.RecordCancellation(query, i, {0, 1, static_cast<routing::CancelReason>(i)});
     }
-    recorder_.Completed(
+    recorder_.RecordCompletion(
         query,
         {Verdict::kPartial, {CompletionCause::kLatencyObjective, 0.5f, 0.4f, {}}, IntakeResult::kNone, 0, 4});
     Respond(query, 99, false);
@@ -171,13 +172,13 @@
         pending.choice.count = 1;
         pending.choice.endpoints[0] = {{2, 1}, 3, Eligibility::kDraining, false};
       }
-      recorder_.Pending(query, i, pending);
+      recorder_.RecordPending(query, i, pending);
     }
-    recorder_.Completed(query, {Verdict::kFailed,
-                                {CompletionCause::kCoverageUnreachable, 0.1f, 0.4f, {}},
-                                IntakeResult::kNone,
-                                0,
-                                0});
+    recorder_.RecordCompletion(query, {Verdict::kFailed,
+                                       {CompletionCause::kCoverageUnreachable, 0.1f, 0.4f, {}},
+                                       IntakeResult::kNone,
+                                       0,
+                                       0});
   }
 
   void RecordCompletionCauses() {
@@ -189,12 +190,12 @@
       Advance(2'000);
       bool expired = reason.cause == CompletionCause::kExpired;
       bool load = reason.cause == CompletionCause::kLoad;
-      recorder_.Completed(
+      recorder_.RecordCompletion(
           query, {static_cast<Verdict>(1 + cause % 6), reason,
                   expired ? IntakeResult::kAnswerTimeout : IntakeResult::kNone, load ? 250'000 : 0, 0});
     }
-    recorder_.Closed({{1, 1}, routing::CloseReason::kDeadConnection});
-    recorder_.Closed({{1, 1}, routing::CloseReason::kIdleTimeout});
+    recorder_.RecordClose({{1, 1}, routing::CloseReason::kDeadConnection});
+    recorder_.RecordClose({{1, 1}, routing::CloseReason::kIdleTimeout});
   }
 
   void RecordIntakeResults() {
@@ -226,11 +227,11 @@
     for (int i = 0; i < 400; ++i) {
       Send(query, i, 0, 1, DispatchKind::kFirst, AttemptOutcome::kOk, Eligibility::kOutlier);
     }
-    recorder_.Completed(query, {Verdict::kPartial,
-                                {CompletionCause::kNoPendingRequests, 0.9f, 0.4f, {}},
-                                IntakeResult::kNone,
-                                0,
-                                300});
+    recorder_.RecordCompletion(query, {Verdict::kPartial,
+                                       {CompletionCause::kNoPendingRequests, 0.9f, 0.4f, {}},
+                                       IntakeResult::kNone,
+                                       0,
+                                       300});
   }
 
   decision_log::Recorder recorder_;
