--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -42,7 +42,7 @@
   pending_.clear();
   router_.Handle(now_us_, events_, actions_, recording_.Enabled() ? &pending_ : nullptr);
   counters_.rounds.Add();
-  avoided_endpoints_ = router_.Avoided();
+  avoided_endpoints_ = router_.AvoidedEndpoints();
   recording_.RecordPending(pending_, in_flight_);
   for (const routing::Action& action : actions_) {
     std::visit([this](const auto& alternative) { Execute(alternative); }, action);
@@ -69,15 +69,15 @@
   scheduler_.FinishRound(refresh_number);
 }
 
-void Coordinator::NoteIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
-                             int class_index, int status, std::string_view call_id, double observed,
-                             double threshold) {
+void Coordinator::RecordIntake(decision_log::IntakeResult intake, decision_log::FrontKind front,
+                               int class_index, int status, std::string_view call_id, double observed,
+                               double threshold) {
   recording_.RecordIntake(intake, front, class_index, status, call_id, observed, threshold);
 }
 
-void Coordinator::NoteResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
-                               std::size_t bytes, bool whole) {
-  recording_.RecordResponse(answered_queries, status, bytes, whole);
+void Coordinator::RecordResponse(const std::vector<AnsweredQuery>& answered_queries, int status,
+                                 std::size_t bytes, bool fully_written) {
+  recording_.RecordResponse(answered_queries, status, bytes, fully_written);
 }
 
 }  // namespace liftrudder::coordinator
--- a/src/coordinator/messages.h
+++ b/src/coordinator/messages.h
@@ -79,15 +79,16 @@
   bool complete = false;
   Micros retry_after_us = 0;  // for a rejected query; 0: not given
   std::vector<ShardResponse> shard_responses;
-  int shard_requests = 0;    // of the query, answered or not
-  bool cut_by_time = false;  // partial because the latency objective was reached, not for lack of endpoints
+  int shard_requests = 0;  // of the query, answered or not
+  bool latency_objective_reached =
+      false;  // partial because the latency objective was reached, not for lack of endpoints
 };
 
 // Identifies an attempt; attempts of a shard request are numbered from 0.
 struct AttemptKey {
   Id shard_request = 0;
   int attempt = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
   auto operator<=>(const AttemptKey&) const = default;
 };
 
--- a/src/decision_log/reason_text.cpp
+++ b/src/decision_log/reason_text.cpp
@@ -95,7 +95,7 @@
       return " before anything was written";
     case Progress::kPartlyWritten:
       return " while the request was being written";
-    case Progress::kWhollyWritten:
+    case Progress::kFullyWritten:
       return " after the request was written";
     case Progress::kAnswering:
       break;
@@ -235,7 +235,8 @@
     case DispatchKind::kCanary:
       return "was sent ahead of the others to";
     case DispatchKind::kRetry:
-      return fmt::format("was retried, since the attempt before {}, at", OutcomeText(attempt.after));
+      return fmt::format("was retried, since the attempt before {}, at",
+                         OutcomeText(attempt.previous_outcome));
     case DispatchKind::kStragglerHedge:
       return "was hedged, since the first attempt took longer than its peers, at";
     case DispatchKind::kOutlierHedge:
--- a/src/opensearch/front.cpp
+++ b/src/opensearch/front.cpp
@@ -39,22 +39,22 @@
       operations_(options, queries_, scrolls_, clock) {}
 
 net::HttpResponse Front::MalformedResponse(int status) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, status, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kUnreadable, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, status, "");
   ApiError error = UnreadableBody("the request cannot be read");
   error.status = status;
   return ErrorResponse(error);
 }
 
 net::HttpResponse Front::OverloadedResponse(const net::HttpMessage* /*request*/) {
-  coordinator_.NoteIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, kOverloadedStatus, "");
+  coordinator_.RecordIntake(decision_log::IntakeResult::kTooManyConnections, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, kOverloadedStatus, "");
   return ErrorResponse(Unavailable("too many connections", kOverloadRetryUs));
 }
 
 void Front::OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
-                              std::size_t bytes, bool whole) {
-  coordinator_.NoteResponse(answered_queries, status, bytes, whole);
+                              std::size_t bytes, bool fully_written) {
+  coordinator_.RecordResponse(answered_queries, status, bytes, fully_written);
 }
 
 std::optional<net::HttpResponse> Front::Handle(net::HttpMessage& request, const net::Exchange& exchange) {
@@ -105,13 +105,13 @@
 
 void Front::RecordMalformed(const ApiError& error, const net::HttpMessage& request,
                             const net::Exchange& exchange) {
-  if (error.status == kBadRequestStatus) counters_.malformed.Add();
+  if (error.status == kBadRequestStatus) counters_.malformed_requests.Add();
   // The coordinator has already recorded the queries that reached it.
   bool malformed = error.status >= kBadRequestStatus && error.status < kTooManyRequestsStatus;
   if (!malformed || !exchange.answered_queries->empty()) return;
   const std::string* label = request.Header(wire::kOpaqueIdHeader);
-  coordinator_.NoteIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
-                          decision_log::kUnknownClass, error.status, label == nullptr ? "" : *label);
+  coordinator_.RecordIntake(decision_log::IntakeResult::kMalformed, decision_log::FrontKind::kSearch,
+                            decision_log::kUnknownClass, error.status, label == nullptr ? "" : *label);
 }
 
 }  // namespace liftrudder::opensearch
--- a/src/opensearch/front.h
+++ b/src/opensearch/front.h
@@ -30,7 +30,7 @@
   net::HttpResponse MalformedResponse(int status) override;
   net::HttpResponse OverloadedResponse(const net::HttpMessage* request) override;
   void OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
-                         std::size_t bytes, bool whole) override;
+                         std::size_t bytes, bool fully_written) override;
 
  private:
   std::optional<net::HttpResponse> ServePage(std::string_view path, const net::HttpMessage& request,
--- a/src/platform/query_handler.h
+++ b/src/platform/query_handler.h
@@ -36,7 +36,7 @@
   net::HttpResponse MalformedResponse(int status) override;
   net::HttpResponse OverloadedResponse(const net::HttpMessage* request) override;
   void OnResponseWritten(const std::vector<net::AnsweredQuery>& answered_queries, int status,
-                         std::size_t bytes, bool whole) override;
+                         std::size_t bytes, bool fully_written) override;
 
  private:
   // These return nullopt when the client has disconnected.
--- a/src/routing/endpoint_selector.cpp
+++ b/src/routing/endpoint_selector.cpp
@@ -8,9 +8,9 @@
 namespace liftrudder::routing {
 namespace {
 
-void AddCandidate(Choice& choice, const EndpointState& replica, Eligibility eligibility) {
+void AddCandidate(ReplicaChoice& choice, const EndpointState& replica, Eligibility eligibility) {
   if (choice.count == kMaxCandidates) {
-    ++choice.unlisted;
+    ++choice.omitted;
     return;
   }
   constexpr std::size_t kMaxInFlightCount = std::numeric_limits<std::uint16_t>::max();
@@ -18,7 +18,7 @@
   choice.endpoints[choice.count++] = {replica.endpoint.id, in_flight, eligibility, false};
 }
 
-void MarkEligible(Choice& choice, const std::vector<EndpointState*>& group) {
+void MarkEligible(ReplicaChoice& choice, const std::vector<EndpointState*>& group) {
   for (std::size_t index = 0; index < choice.count; ++index) {
     Candidate& candidate = choice.endpoints[index];
     candidate.eligible = std::ranges::any_of(
@@ -112,7 +112,8 @@
   if (!groups_.healthy.empty()) return &groups_.healthy;
   if (!groups_.over_slow_start_share.empty()) return &groups_.over_slow_start_share;
   if (is_hedge) return nullptr;
-  // Slow endpoints still answer. One that fails fast has nothing in flight and would attract every request.
+  // Slow endpoints come first, as they still answer. An unresponsive endpoint that fails fast has nothing in
+  // flight and would attract every request.
   if (!groups_.outliers.empty()) return &groups_.outliers;
   if (!groups_.unresponsive.empty()) return &groups_.unresponsive;
   // All were tried: they are tried again, after a median latency to avoid a tight loop.
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -48,7 +48,7 @@
 
 bool ReachedEndpoint(const decision_log::AttemptTrace& attempt) {
   return attempt.ended_us &&
-         (attempt.progress == Progress::kWhollyWritten || attempt.progress == Progress::kAnswering);
+         (attempt.progress == Progress::kFullyWritten || attempt.progress == Progress::kAnswering);
 }
 
 // Compares traces with the observations, and describes each difference in words.
@@ -147,7 +147,7 @@
     }
     if (attempt.kind != liftrudder::routing::DispatchKind::kRetry) return;
     const auto& before = shard_request.attempts[static_cast<std::size_t>(attempt.number) - 1];
-    if (before.outcome != attempt.after) Report(id, "a retry after another outcome");
+    if (before.outcome != attempt.previous_outcome) Report(id, "a retry after another outcome");
   }
 
   std::size_t CompareWithReceivedRequests(const std::string& id, const std::string& endpoint,
--- a/tests/limits/fleet_backoff_test.cpp
+++ b/tests/limits/fleet_backoff_test.cpp
@@ -33,7 +33,7 @@
     RC_ASSERT(backoff.failures() == 20);
     backoff.Reset();
     RC_ASSERT(backoff.NextWait() < first_us);
-    RC_ASSERT(backoff.Within(0) == 0);
+    RC_ASSERT(backoff.RandomBelow(0) == 0);
   });
 }
 
@@ -51,7 +51,7 @@
   struct Call {
     Micros at_us = 0;
     int coordinator = 0;
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a null pointer by this check.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the defaulted operator for a comparison with 0.
     auto operator<=>(const Call&) const = default;
   };
 
@@ -84,7 +84,9 @@
 
 }  // namespace
 
-TEST_CASE("a fleet started at once is answered by a service that fixed waits of 0.1 s would overload") {
+TEST_CASE(
+    "a service that constant waits of 0.1 s would overload answers every coordinator of a fleet "
+    "that starts at once") {
   auto fixed = [](int) -> Micros { return 100'000; };
   CHECK(ListService::AllAnsweredAt([](int) -> Micros { return 0; }, fixed) == -1);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -94,7 +96,7 @@
       backoffs.emplace_back(1'250'000, 5'000'000, seed * 1000 + static_cast<std::uint64_t>(i));
     }
     auto backoff_of = [&](int i) -> Backoff& { return backoffs[static_cast<std::size_t>(i)]; };
-    Micros at_us = ListService::AllAnsweredAt([&](int i) { return backoff_of(i).Within(3'000'000); },
+    Micros at_us = ListService::AllAnsweredAt([&](int i) { return backoff_of(i).RandomBelow(3'000'000); },
                                               [&](int i) { return backoff_of(i).NextWait(); });
     INFO("seed " << seed);
     CHECK(at_us > 0);
@@ -124,7 +126,7 @@
     Micros longest_us = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       Backoff backoff(timeouts.first_backoff_us, timeouts.max_backoff_us, seed);
-      longest_us = std::max(longest_us, backoff.Within(timeouts.initial_delay_us));
+      longest_us = std::max(longest_us, backoff.RandomBelow(timeouts.initial_delay_us));
       for (int failures = 0; failures < 12; ++failures) longest_us = std::max(longest_us, backoff.NextWait());
     }
     INFO("fleet of " << size << ", longest wait " << longest_us << " us");
