--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,7 +1,7 @@
 // Serves administrative requests on a separate address: one request per connection, answered by a callback
 // that must not block. A dedicated thread does all work, so load on the other listeners does not delay it.
-// Connections are limited in number, time and bytes, so clients that send nothing or stop halfway hold few
-// resources.
+// Connections are limited in number, time and bytes, which bounds the resources held by clients that send
+// nothing or stop halfway.
 #ifndef LIFTRUDDER_NET_ADMIN_SERVER_H_
 #define LIFTRUDDER_NET_ADMIN_SERVER_H_
 
--- a/src/net/endpoint_connection_io.cpp
+++ b/src/net/endpoint_connection_io.cpp
@@ -12,8 +12,9 @@
 
 constexpr Micros kWriteTimeoutUs = 1'000'000;
 constexpr std::size_t kMaxIncompleteResponseBytes = 256 * 1024;
-constexpr int kMaxBrokenConnections = 2;  // before an attempt's first byte; then the attempt fails
-constexpr int kMaxReadsPerTurn = 32;      // from one connection, of at most kReadBytes each
+// An attempt fails when this many connections have broken before its first byte was written.
+constexpr int kMaxBrokenConnections = 2;
+constexpr int kMaxReadsPerTurn = 32;  // from one connection, of at most kReadBytes each
 
 }  // namespace
 
@@ -52,6 +53,7 @@
   connection.write_deadline_us = now_us + kWriteTimeoutUs;
   connection.last_used_us = now_us;
   connection.in_flight.push_back({protocol_.AttemptId(attempt.request), key});
+  // Counts as partly written from here on; RemoveFromFrame undoes this while no byte has been written.
   attempt.progress = coordinator::Progress::kPartlyWritten;
   attempt.connection = id;
 }
--- a/src/net/endpoint_connection_pool.h
+++ b/src/net/endpoint_connection_pool.h
@@ -1,6 +1,6 @@
 // The pool of connections to all endpoints: takes attempts from the coordinator, sends them and reports each
-// result exactly once. No call blocks on a socket. Requests are written on the caller's thread as far as
-// the socket accepts them; the pool's single thread writes the rest, reads responses, completes connects and
+// result exactly once. No call blocks on a socket. Requests are written on the caller's thread as far as the
+// socket accepts them; the pool's single thread writes the rest, reads responses, completes connects and
 // enforces time limits, for any number of endpoints.
 //
 // Its parts, all guarded by the pool's lock; each uses only those before it:
@@ -46,8 +46,8 @@
   void CancelAttempt(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint,
                      coordinator::Cause cause) override;
   // An attempt whose request has begun to be written continues until it is answered, its connection closes or
-  // it times out: an endpoint that does not read may never see the cancellation. Any other attempt ends
-  // immediately.
+  // it times out: an endpoint that does not read may never see the cancellation. Any other attempt is ended
+  // before the call returns.
   void RequestCancellation(const coordinator::AttemptKey& key) override;
   void CloseIdle(const coordinator::EndpointId& endpoint) override;
   void ReleaseRemovedEndpoints() override;
--- a/src/net/endpoint_poller.h
+++ b/src/net/endpoint_poller.h
@@ -1,6 +1,6 @@
 // Waits for readiness of the pool's sockets and for the next sweep of their time limits. Identifies
-// connections by id only. Wait is called on the pool's thread without the pool's lock, everything else under
-// it.
+// connections by id only. Wait is called on the pool's thread without the pool's lock, everything else with
+// the lock held.
 #ifndef LIFTRUDDER_NET_ENDPOINT_POLLER_H_
 #define LIFTRUDDER_NET_ENDPOINT_POLLER_H_
 
--- a/src/net/explain_page.h
+++ b/src/net/explain_page.h
@@ -7,7 +7,7 @@
 
 namespace liftrudder::net {
 
-// `explain_service` null: the decision log is off, and the response is 404. May block. Any thread.
+// `explain_service` null: the decision log is off, and the response is 404. May block. Thread-safe.
 HttpResponse ExplainPage(decision_log::ExplainService* explain_service, const HttpMessage& request);
 
 }  // namespace liftrudder::net
--- a/src/net/json.cpp
+++ b/src/net/json.cpp
@@ -76,8 +76,7 @@
 
 bool SkipValue(std::string_view& in, int depth);
 
-// Skips an object or array from its opening to its closing bracket; `consume_item` consumes one member or
-// element.
+// Skips an object or array, including its brackets; `consume_item` consumes one member or element.
 template <typename ConsumeItem>
 bool ForEachItem(std::string_view& in, char close, const ConsumeItem& consume_item) {
   in.remove_prefix(1);
@@ -159,8 +158,8 @@
   text.remove_prefix(std::min(count, text.size()));
 }
 
-// Removes the four digits of a \u escape, and the low surrogate of a pair, from the front; returns the code
-// point.
+// Decodes a \u escape whose `\u` has already been removed: removes its four digits, and the second escape of
+// a surrogate pair, from the front. Returns the code point.
 std::uint32_t TakeCodePoint(std::string_view& text) {
   constexpr std::uint32_t kHighSurrogates = 0xd800;
   constexpr std::uint32_t kLowSurrogates = 0xdc00;
@@ -174,8 +173,8 @@
   return 0x10000 + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
 }
 
-// Removes an escape sequence, whose backslash has already been removed, from the front and appends its
-// character.
+// Removes the escape sequence at the front, whose backslash has already been removed, and appends the
+// character that it stands for.
 void DecodeEscape(std::string_view& text, std::string& out) {
   constexpr std::string_view kEscapes = "bfnrt";
   constexpr std::string_view kUnescaped = "\b\f\n\r\t";
--- a/src/net/lingering_closer.h
+++ b/src/net/lingering_closer.h
@@ -14,7 +14,7 @@
 
 namespace liftrudder::net {
 
-// Any thread; a dedicated thread does the reading.
+// Thread-safe; a dedicated thread does the reading.
 class LingeringCloser {
  public:
   // Holds at most `max_connections`; beyond that the oldest is closed immediately.
--- a/src/net/reply_waiter.h
+++ b/src/net/reply_waiter.h
@@ -15,7 +15,7 @@
 namespace liftrudder::net {
 
 // One per request in progress, shared by its worker, the reader thread and the replies. The reader thread
-// marks a disconnected client immediately, without waiting for the worker to run. Any thread.
+// marks a disconnected client immediately, without waiting for the worker to run. Thread-safe.
 class ReplyWaiter {
  public:
   // `rearm` makes the reader thread watch the connection again after an event that brought neither bytes nor
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -11,8 +11,7 @@
 
 // Total size of the statements in one frame: as much as the body of one query may hold.
 constexpr std::size_t kMaxFrameStatementBytes = 64 * 1024;
-// Connections reserved for each endpoint: one, plus a quarter for replacements of connections that are
-// closing.
+// Connections reserved for each endpoint: one, plus a quarter to replace connections that are closing.
 constexpr double kReservedPerEndpoint = 1.25;
 // The fraction of the connections beyond the reserved ones that may be used to give each request in flight
 // its own connection.
@@ -104,8 +103,7 @@
   io_.Flush(id, connection);
 }
 
-// At capacity an attempt waits as long as its deadline allows, and is not reported as a failure of the
-// endpoint.
+// At capacity an attempt waits as long as its deadline allows and does not count as an endpoint failure.
 void RequestDispatcher::DispatchWaiting() {
   while (!waiting_endpoints_.empty()) {
     auto queue = queues_.find(waiting_endpoints_.front());
@@ -156,8 +154,7 @@
 }
 
 // A connection that breaks fails all requests in flight on it, so each request gets its own connection while
-// there are spare ones. Additional connections to one endpoint must not prevent the first connection to
-// another.
+// there are spare ones. Additional connections to one endpoint must not prevent another's first connection.
 bool RequestDispatcher::MayOpenAnother(const EndpointQueue& queue) const {
   double endpoints = std::max<double>(limits_.endpoints, static_cast<double>(queues_.size()));
   double spare = std::max(0.0, limits_.max_connections - kReservedPerEndpoint * endpoints);
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -1,6 +1,6 @@
 // Queues attempts per endpoint and assigns them to connections. Decides which connection a request uses, when
-// another one is opened, and which endpoint is next when the pool is at capacity. No I/O of its own. Guarded
-// by the pool's lock.
+// another one is opened, and which endpoint is next when the pool is at capacity. Does no I/O of its own.
+// Guarded by the pool's lock.
 #ifndef LIFTRUDDER_NET_REQUEST_DISPATCHER_H_
 #define LIFTRUDDER_NET_REQUEST_DISPATCHER_H_
 
@@ -22,8 +22,7 @@
                     metrics::Counters& counters, AttemptRegistry& attempts,
                     EndpointConnectionTable& connections, EndpointConnectionIo& io);
 
-  // Holds an attempt that is in the registry until EndRound, so that the attempts of one round can share a
-  // frame.
+  // Holds a registered attempt until EndRound, so that the attempts of one round can share a frame.
   void Stage(const coordinator::AttemptKey& key, const coordinator::EndpointId& endpoint);
   void EndRound();
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -82,7 +82,7 @@
   {
     std::unique_lock lock(mutex_);
     bool closed = closed_.wait_for(lock, std::chrono::microseconds(wait_us), [this] {
-      return sessions_.empty() && workers_.NoThreads() && reader_ended_;
+      return sessions_.empty() && workers_.AllThreadsEnded() && reader_ended_;
     });
     if (!closed) return false;
   }
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -38,8 +38,7 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // Applies new limits. Requests beyond a lower limit are still answered; idle connections beyond it are
-  // closed.
+  // Applies new limits. Beyond a lower limit, requests are still answered and idle connections are closed.
   void Resize(const ServerLimits& limits);
   // Called when the process is about to stop: reports not ready, but keeps serving until StopListening.
   void Drain() { draining_ = true; }
@@ -55,8 +54,7 @@
   // to arrive is answered, then its connection is closed.
   void StopListening();
   // Called after StopListening: waits until all connections have ended, each response having been received by
-  // its client or having timed out. The process may then exit. Returns false if that takes longer than
-  // `wait_us`.
+  // its client or having timed out. The process may then exit. Returns false if `wait_us` passes before that.
   bool WaitClosed(Micros wait_us);
 
  private:
--- a/src/net/server_reader.cpp
+++ b/src/net/server_reader.cpp
@@ -1,5 +1,5 @@
-// The reader thread's part of Server: accepts connections, reads requests, closes unused and expired
-// sessions.
+// The reader thread's part of Server: accepts connections, reads requests, and closes sessions that are
+// unused or expired.
 #include <sys/epoll.h>
 
 #include <algorithm>
@@ -40,8 +40,7 @@
     CloseExpired(clock_.Now());
     if (!stopping) continue;
     if (accepting) {
-      // The kernel has already completed the connections in the backlog: closing the listener would reset
-      // them.
+      // Connections in the backlog are already established: closing the listener would reset them.
       while (AcceptSome()) {
       }
       accepting = false;
--- a/src/net/session_eviction.cpp
+++ b/src/net/session_eviction.cpp
@@ -6,8 +6,9 @@
 namespace liftrudder::net {
 namespace {
 
-// Near the connection limit, connections that have been idle or without a complete request for longer than
-// this are evicted; at the limit, any connection that is not busy.
+// From three quarters of the connection limit on, a new connection may evict one that has been idle for
+// longer than kEarlyEvictionIdleUs, or without a complete request for longer than kEarlyEvictionSilenceUs. At
+// the limit it may evict any connection that is not busy and has no bytes to read.
 constexpr Micros kEarlyEvictionIdleUs = 2'000'000;
 constexpr Micros kEarlyEvictionSilenceUs = 500'000;
 // A new connection without a complete request counts as silent after this time.
--- a/src/net/session_eviction.h
+++ b/src/net/session_eviction.h
@@ -11,8 +11,8 @@
 
 namespace liftrudder::net {
 
-// The least time for which an idle connection is kept open before it may be closed early, and a new one while
-// the server stops.
+// FindExpired closes a connection without a request before its deadline only after this time. While the
+// server stops, a new connection has this long to begin a request.
 constexpr Micros kMinIdleUs = 200'000;
 
 // What to do with a new connection.
@@ -37,8 +37,8 @@
 ExpiredSessions FindExpired(SessionList& sessions, const ExpiryRules& rules, Micros now_us);
 
 // The oldest handshakes beyond the fraction of `max_connections` that may be in one. A handshake takes about
-// 50 KB, which an unfinished one must not hold for long; a responsive client completes it in one or two round
-// trips.
+// 50 KB, which an unfinished one must not hold for long. A responsive client completes its handshake in one
+// or two round trips.
 std::vector<SessionRef> FindExcessHandshakes(SessionList& sessions, int max_connections);
 
 }  // namespace liftrudder::net
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -83,7 +83,7 @@
       return "no server certificate is configured";
     case TlsFault::kNoClientCa:
       return "client certificates are required or revocation lists are given, but no issuers of client "
-             "certificates";
+             "certificates are configured";
     case TlsFault::kUnreadableClientCa:
       return "issuers of client certificates: the file contains no PEM certificate";
     case TlsFault::kUnreadableRevocation:
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -66,7 +66,7 @@
   std::vector<std::shared_ptr<x509_st>> chain;  // issuers, as the client sent them
 };
 
-// Immutable; a connection keeps the context that it began with. Any thread.
+// Immutable; a connection keeps the context that it began with. Thread-safe.
 class TlsContext {
  public:
   // Session tickets issued under `previous` stay valid. None are issued if client certificates are requested:
@@ -81,9 +81,8 @@
   std::string Verify(const TlsPeer& peer) const;
   // The earliest expiry of the server's certificates, in seconds of Unix time.
   std::int64_t expires_s() const { return expires_s_; }
-  const std::string& subjects() const {
-    return subjects_;
-  }  // of the server's certificates, for the audit log
+  // The subjects of the server's certificates, for the audit log.
+  const std::string& subjects() const { return subjects_; }
   ssl_ctx_st* raw() const { return contexts_[0].get(); }
 
  private:
@@ -104,7 +103,7 @@
   std::string subjects_;
 };
 
-// Holds the current context, which new connections use. Any thread.
+// Holds the current context, which new connections use. Thread-safe.
 class TlsContextHolder {
  public:
   void Set(std::shared_ptr<const TlsContext> context) {
--- a/src/net/tls_certificate.h
+++ b/src/net/tls_certificate.h
@@ -1,5 +1,5 @@
 // Parses PEM texts and reads the names and dates of certificates with OpenSSL. Also defines the owning
-// handles of OpenSSL types that the TLS files share. No state; any thread.
+// handles of OpenSSL types that the TLS files share. Stateless and thread-safe.
 #ifndef LIFTRUDDER_NET_TLS_CERTIFICATE_H_
 #define LIFTRUDDER_NET_TLS_CERTIFICATE_H_
 
--- a/src/net/tls_channel.h
+++ b/src/net/tls_channel.h
@@ -25,11 +25,9 @@
 
   explicit TlsChannel(std::shared_ptr<const TlsContext> context);
 
-  // Processes received bytes: appends their plaintext to `plain` and the bytes to write, including alerts, to
-  // `wire`.
+  // Processes received bytes. Appends plaintext to `plain`, and bytes to write, including alerts, to `wire`.
   State Feed(std::string_view arrived, std::string& plain, std::string& wire);
-  // Encrypts `plain` and appends it to `wire`; returns false before the handshake is complete and after a
-  // failure.
+  // Encrypts `plain` and appends it to `wire`. Returns false during the handshake and after a failure.
   bool Encrypt(std::string_view plain, std::string& wire);
   // Appends the close_notify.
   void Close(std::string& wire);
--- a/src/net/tls_ticket_keys.h
+++ b/src/net/tls_ticket_keys.h
@@ -13,7 +13,7 @@
 
 namespace liftrudder::net {
 
-// Any thread.
+// Thread-safe.
 class TicketKeys {
  public:
   static constexpr std::size_t kNameBytes = 16;
--- a/src/net/worker_pool.h
+++ b/src/net/worker_pool.h
@@ -1,6 +1,6 @@
 // Threads that answer requests, each one request at a time. A thread is started when there are more requests
-// than waiting threads, and ends after a time without requests. The pool shares the lock of its owner, which
-// bounds the number of requests and thereby of threads.
+// than waiting threads, and ends after a time without requests. The pool shares its owner's lock. The owner
+// bounds the number of requests, and with it the number of threads.
 #ifndef LIFTRUDDER_NET_WORKER_POOL_H_
 #define LIFTRUDDER_NET_WORKER_POOL_H_
 
@@ -16,7 +16,7 @@
 class WorkerPool {
  public:
   // `answer` is called on a worker's thread without the lock. `thread_ended` is notified when a worker ends.
-  // The owner must outlive all threads: it waits for NoThreads before it is destroyed.
+  // The owner must outlive all threads: it waits for AllThreadsEnded before it is destroyed.
   WorkerPool(std::mutex& mutex, std::condition_variable& thread_ended, std::function<void(SessionRef)> answer)
       : mutex_(mutex), thread_ended_(thread_ended), answer_(std::move(answer)) {}
 
@@ -27,7 +27,7 @@
   void Submit(SessionRef session);
   // Ends the threads as soon as no submitted session is left.
   void Stop();
-  bool NoThreads() const { return threads_ == 0; }
+  bool AllThreadsEnded() const { return threads_ == 0; }
 
  private:
   void Run();
--- a/tests/net/endpoint_connection_pool_test.cpp
+++ b/tests/net/endpoint_connection_pool_test.cpp
@@ -124,7 +124,7 @@
   CHECK(pool_fixture.ResultCount() == kEndpoints);
 }
 
-TEST_CASE("an attempt that finds all connections busy waits for one and is not a failure of its endpoint") {
+TEST_CASE("an attempt waits while all connections are busy and does not count as a failure of its endpoint") {
   constexpr int kEndpoints = 6;
   constexpr int kMaxConnections = 4;
   net::ConnectionLimits limits;
@@ -135,7 +135,7 @@
   connections.reserve(kEndpoints);
   for (int i = 0; i < kMaxConnections; ++i) connections.push_back(pool_fixture.AcceptAndRead(i));
   CHECK(pool_fixture.ResultCount() == 0);
-  // After one response its connection is closed for the endpoint that has waited longest.
+  // After one response, its connection is closed to make room for the endpoint that has waited longest.
   net::WriteAll(connections[2], ServedResponse(3), 1'000'000);
   CHECK(pool_fixture.WaitForResult(0).cause == Cause::kServed);
   connections.push_back(pool_fixture.AcceptAndRead(kMaxConnections));
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a rejected request says which part of it is malformed") {
+TEST_CASE("the parser reports which part of a rejected request is malformed") {
   const std::string line = "POST / HTTP/1.1\r\n";
   const std::string chunked = line + "Transfer-Encoding: chunked\r\n\r\n";
   CHECK(ErrorOf(line + "Content-Length: 2\r\n\r\nok") == HttpParseError::kNone);
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -103,9 +103,9 @@
   CHECK(fixture.counters.evicted.Value() >= kAbandoned - kMaxConnections / 4);
 }
 
-TEST_CASE("connections that were silent before their handshake are held to the same share") {
-  constexpr int kMaxConnections = 40,
-                kSilent = 25;  // below the number at which silent connections are evicted for new ones
+TEST_CASE("connections silent before their handshake also hold at most a quarter of the connections") {
+  // kSilent is below the number at which silent connections are evicted for new ones.
+  constexpr int kMaxConnections = 40, kSilent = 25;
   TlsServerFixture fixture(kMaxConnections);
   std::vector<net::Fd> silent;
   std::string at_client;
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -243,7 +243,7 @@
         "revocation lists: the file contains no PEM revocation list");
   CHECK(MessageOf({{KeyPairOf(a)}, "", "", true}) ==
         "client certificates are required or revocation lists are given, but no issuers of client "
-        "certificates");
+        "certificates are configured");
 }
 
 TEST_CASE("a TlsError names its fault and the certificate's position") {
