--- a/src/app/explain_command.cpp
+++ b/src/app/explain_command.cpp
@@ -164,8 +164,10 @@
       "--reason", options->reason,
       fmt::format("Only queries that ended for this reason, such as {}", wire::kExplainReasonExample));
   command->add_option("--since", options->since,
-                      "Only queries received since 2026-12-01T09:30:00Z, Unix seconds, or -90 (seconds ago)");
-  command->add_option("--until", options->until, "Only queries received until then; same formats");
+                      "Only queries received since this time: as 2026-12-01T09:30:00Z, Unix seconds, or -90 "
+                      "(90 seconds ago)");
+  command->add_option("--until", options->until,
+                      "Only queries received until this time; formats as for --since");
   command->add_option("--limit", options->limit, "Maximum number of queries, newest first")
       ->check(CLI::Range(1, kMaxLimit))
       ->capture_default_str();
--- a/src/app/graceful_shutdown.h
+++ b/src/app/graceful_shutdown.h
@@ -16,8 +16,9 @@
   bool listener_is_shared = false;  // another process accepts on the same listener
 };
 
-// 1. The server reports that it is not ready and serves new clients for another 0.7 s, since load balancers
-//    and clients notice the shutdown late. A shared listener is left to the other process at once.
+// 1. The server reports that it is not ready. It accepts new clients for another 0.7 s, since load balancers
+//    and clients notice the shutdown late; if the listener is shared, it stops accepting at once, and the
+//    other process accepts them.
 // 2. It stops listening.
 // 3. It returns when every connection has closed; each request that has begun to arrive is answered.
 // SIGHUP is handled throughout, since open requests still need endpoints; other signals are ignored.
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -34,7 +34,7 @@
     log::Info("reload: discovery address is {}", config.discovery_address);
     targets_.discovery_watch->SetAddress(config.discovery_address);
   } catch (const std::exception& error) {
-    log::Error("reload: {}; keeping the current settings", error.what());
+    log::Error("reload: {}; keeping the current discovery address", error.what());
   }
 }
 
--- a/src/coordinator/action_dispatch.cpp
+++ b/src/coordinator/action_dispatch.cpp
@@ -31,8 +31,9 @@
   auto number = static_cast<std::size_t>(cancel.attempt);
   if (number >= shard_request->attempts.size() || !shard_request->attempts[number].in_flight) return;
   recording_.RecordCancelled(*shard_request, cancel);
-  // The router retries the shard request on another endpoint once this attempt has ended. Where hedging is
-  // not allowed, it stays in flight until its endpoint confirms the cancellation or it ends otherwise.
+  // The router retries the shard request on another endpoint once this attempt has ended. If hedging is
+  // not allowed, the attempt stays in flight until its endpoint confirms the cancellation or the attempt ends
+  // in another way.
   bool will_be_retried = cancel.reason == routing::CancelReason::kEndpointOutlier ||
                          cancel.reason == routing::CancelReason::kDeadConnection;
   AttemptKey key{cancel.shard_request, cancel.attempt};
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -71,7 +71,7 @@
   void Run();
   void Stop() { scheduler_.Stop(); }
 
-  // The number of admitted queries that have neither been answered nor lost their client.
+  // The number of admitted queries that still wait for an answer and whose client is still connected.
   int OpenQueries() const { return open_queries_.load(); }
   // The number of listed endpoints that the router avoided in the last round.
   int AvoidedEndpoints() const { return avoided_endpoints_.load(); }
--- a/src/coordinator/endpoint_registry.cpp
+++ b/src/coordinator/endpoint_registry.cpp
@@ -9,9 +9,9 @@
 // Longer than any query may take, so that no attempt is still in flight to a forgotten endpoint.
 constexpr Micros kForgetRemovedAfterUs = 30'000'000;
 
-// No attempt may start after draining or removal has been notified, although the settings allow a grace
-// period: that period runs from when the source learned of the change, and how long the notification took
-// from there is unknown. The first notification counts.
+// No attempt may start once draining or removal has been notified. The grace period in the settings cannot be
+// used: it begins when the source learns of the change, and the delay from then to the notification is
+// unknown. The first notification counts.
 void StopSending(EndpointAddress& address, Micros notified_us) {
   if (address.drain_notified_us == 0) address.drain_notified_us = notified_us;
 }
--- a/src/coordinator/interfaces.h
+++ b/src/coordinator/interfaces.h
@@ -41,8 +41,8 @@
 struct EndpointAddress {
   std::string id;    // the name in the endpoint list; empty: the endpoint is unknown
   std::string addr;  // "host:port"
-  // When its draining or removal was first notified. No attempt may start from then on, not even within
-  // Settings::drain_grace_us. 0: neither was notified since it was last listed as ready.
+  // When its draining or removal was first notified after it was last listed as ready; 0 if neither has been.
+  // No attempt may start from that time on, not even within Settings::drain_grace_us.
   Micros drain_notified_us = 0;
 };
 
--- a/src/coordinator/messages.h
+++ b/src/coordinator/messages.h
@@ -80,8 +80,8 @@
   Micros retry_after_us = 0;  // for a rejected query; 0: not given
   std::vector<ShardResponse> shard_responses;
   int shard_requests = 0;  // of the query, answered or not
-  bool latency_objective_reached =
-      false;  // partial because the latency objective was reached, not for lack of endpoints
+  // The answer is partial because the latency objective was reached; false if endpoints were lacking.
+  bool latency_objective_reached = false;
 };
 
 // Identifies an attempt; attempts of a shard request are numbered from 0.
@@ -111,7 +111,7 @@
   std::string value;         // the response, if the endpoint gave one
 };
 
-// Returns the outcome of an ended attempt for the router, which shows whether the endpoint may have run it.
+// Returns the outcome of an ended attempt. It tells the router whether the endpoint may have run the attempt.
 AttemptOutcome OutcomeOf(Progress progress, Cause cause);
 
 // A query that a response to a client answers. `status`: the query's own HTTP status where it has one, as in
--- a/src/coordinator/round_scheduler.cpp
+++ b/src/coordinator/round_scheduler.cpp
@@ -10,9 +10,9 @@
 
 // The upper limit of each sleep, independent of the clock.
 constexpr Micros kMaxSleepUs = 1'000'000;
-// While events from fronts are queued, a round begins at most this long after the start of the last round.
-// The queue is checked when a sleep begins or ends, so a sleep that has already begun may delay the
-// round by up to kMaxSleepUs.
+// While events from fronts are queued, a round is due this long after the start of the last round. The queue
+// is checked only when a sleep begins or ends, so a sleep that has already begun may delay the round by up to
+// kMaxSleepUs.
 constexpr Micros kFrontEventWaitUs = 100'000;
 constexpr auto kMaxRefreshWait = std::chrono::milliseconds(200);
 
--- a/src/coordinator/round_scheduler.h
+++ b/src/coordinator/round_scheduler.h
@@ -42,7 +42,7 @@
   // timer is due. `front_events_queued`: whether events from fronts wait to be recorded in the decision log;
   // called again after each wake-up, with the lock held.
   Batch WaitForBatch(Micros next_timer_us, const std::function<bool()>& front_events_queued);
-  // Ends the round whose batch has this refresh number.
+  // Ends the round and completes the refresh requests up to `refresh_number`, which is that of its batch.
   void FinishRound(std::uint64_t refresh_number);
 
  private:
--- a/src/dns/zone_error.h
+++ b/src/dns/zone_error.h
@@ -14,7 +14,7 @@
   kUnsupportedDirective,
   kUnsupportedType,
   kMissingType,
-  kFieldCount,  // a record has more or fewer fields than its type
+  kFieldCount,  // a record has more or fewer fields than its type requires
   kBadNumber,
   kBadName,
   kBadAddress,
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -144,7 +144,8 @@
     line_ = 0;
     if (zone_.origin.empty()) Fail(ZoneErrorCode::kNoSoaRecord, "no SOA record");
     for (const Record& record : zone_.records) {
-      if (!zone_.Contains(record.name)) Fail(ZoneErrorCode::kOutsideZone, "is not in the zone", record.name);
+      if (!zone_.Contains(record.name))
+        Fail(ZoneErrorCode::kOutsideZone, "the name is not in the zone", record.name);
     }
     return std::move(zone_);
   }
@@ -158,8 +159,8 @@
 
   void ApplyDirective(const std::string& directive, const Entry& entry) {
     if (entry.words.size() != 2 || (directive != "$origin" && directive != "$ttl")) {
-      Fail(ZoneErrorCode::kUnsupportedDirective, "is not supported; only $ORIGIN and $TTL with one value are",
-           directive);
+      Fail(ZoneErrorCode::kUnsupportedDirective,
+           "the directive is not supported; use $ORIGIN or $TTL, each with one value", directive);
     }
     if (directive == "$origin") {
       origin_ = AbsoluteName(entry.words[1]);
@@ -208,7 +209,7 @@
     ExpectFields(fields, 1);
     in_addr address{};
     if (inet_pton(AF_INET, fields[0].c_str(), &address) != 1) {
-      Fail(ZoneErrorCode::kBadAddress, "is not an IPv4 address", fields[0]);
+      Fail(ZoneErrorCode::kBadAddress, "the value is not an IPv4 address", fields[0]);
     }
     return {reinterpret_cast<const char*>(&address), sizeof(address)};
   }
@@ -253,7 +254,7 @@
     const char* word_end = word.data() + word.size();
     auto [end, error] = std::from_chars(word.data(), word_end, value);
     if (word.empty() || error != std::errc() || end != word_end) {
-      Fail(ZoneErrorCode::kBadNumber, "is not a number or is out of range", word);
+      Fail(ZoneErrorCode::kBadNumber, "the value is not a number or is out of range", word);
     }
     return value;
   }
@@ -261,7 +262,7 @@
   std::string NameData(const std::string& word) const {
     std::string name = AbsoluteName(word);
     std::optional<std::string> wire = WireName(name);
-    if (!wire) Fail(ZoneErrorCode::kBadName, "is not a domain name", name);
+    if (!wire) Fail(ZoneErrorCode::kBadName, "the value is not a domain name", name);
     return *wire;
   }
 
--- a/src/dns/zone_source.h
+++ b/src/dns/zone_source.h
@@ -54,7 +54,7 @@
   net::Thread thread_;  // last, since it uses the other members
 };
 
-// The zone's settings in the operator's file. `file` is empty if it names no zone.
+// The zone's settings in the operator's file. `file` is empty if the operator's file names no zone.
 struct ZoneOptions {
   std::string file;
   std::string service;
--- a/src/identity/authenticator.cpp
+++ b/src/identity/authenticator.cpp
@@ -49,8 +49,8 @@
   return caller;
 }
 
-// Whether a member changed that only a restart can change: cached tokens were verified with the first three,
-// and the quotas are created once from the other two.
+// Returns whether a member differs whose change needs a restart: cached tokens were verified with the issuer,
+// the audience and the clock skew, and the quotas are created once, from work_per_s and max_open_queries.
 bool NeedsRestart(const PermissionTable& before, const PermissionTable& after) {
   return after.issuer != before.issuer || after.audience != before.audience ||
          after.clock_skew_us != before.clock_skew_us || after.work_per_s != before.work_per_s ||
--- a/src/identity/token.h
+++ b/src/identity/token.h
@@ -64,8 +64,8 @@
 tl::expected<VerifiedToken, TokenError> VerifyToken(std::string_view token, const KeySet& keys,
                                                     const TokenRequirements& requirements, Micros now_us);
 
-// Returns why signatures of this key are not accepted now, by its state alone; nothing if they are. A null
-// key is one that was removed from the set, which withdraws it.
+// Checks the key's state alone: returns why signatures of the key are not accepted now, or nothing if the
+// state allows them. A null `key` means that the key was removed from the set; it counts as withdrawn.
 std::optional<TokenError> CheckKeyState(const Key* key, Micros now_us);
 
 }  // namespace liftrudder::identity
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -18,15 +18,16 @@
 namespace {
 
 constexpr coordinator::Micros kConnectTimeoutUs = 500'000;
-// Discovery sends a heartbeat every 2 s, and assumes 6 s after an update that every watch has received it. A
-// watch that is silent for kSilenceTimeoutUs is replaced, in time to receive the update within those 6 s.
+// Discovery sends a heartbeat every 2 s. From 6 s after an update on, it assumes that every watch has
+// received the update. A watch that is silent for kSilenceTimeoutUs is replaced, in time to receive it within
+// those 6 s.
 constexpr coordinator::Micros kSilenceTimeoutUs = 3'000'000;
 constexpr coordinator::Micros kReadTimeoutUs = 200'000;  // how soon a stop or a new address is noticed
 // Discovery sends pending lists directly after the response header. When nothing arrives for this long, the
 // list in use is current.
 constexpr coordinator::Micros kCatchUpTimeoutUs = 20'000;
-// Bounds the size of a list. It has an entry for each endpoint and, during a rolling replacement, another for
-// the successor; few fleets have more than a thousand endpoints. An entry takes some 130 bytes on one line
+// Bounds the size of a list. It has an entry for each endpoint and, during a rolling replacement, one for
+// each successor; few fleets have more than a thousand endpoints. An entry takes some 130 bytes on one line
 // and twice that when indented; long names add to it.
 constexpr std::size_t kMinListEntries = 1024;
 constexpr std::size_t kListEntriesPerCell = 4;
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -35,8 +35,9 @@
   struct Stream;
   enum class StreamState { kOpen, kEnded };
 
-  // All of these run on the watch's thread. Those that lose the watch throw the reason: WatchError, or
-  // config::EndpointListError for a list that cannot be parsed.
+  // All of these run on the watch's thread. Watch and the functions that it calls throw when the watch fails:
+  // WatchError, or config::EndpointListError for a list that cannot be parsed. Watch returns when the
+  // connection ends, the address changes or the watch stops.
   void Loop();
   void Watch(const std::string& address);
   net::Fd OpenWatch(const std::string& address);
--- a/src/platform/frames.cpp
+++ b/src/platform/frames.cpp
@@ -88,8 +88,8 @@
     return wire::kEndpointFrames.find(type) != std::string_view::npos;
   }
 
-  // Returns false for a malformed frame, and for an error frame, after which the endpoint closes
-  // the connection.
+  // Returns false for a malformed frame, and for an error frame, after which the endpoint closes the
+  // connection.
   bool ParseFrame(std::string_view frame, std::vector<net::EndpointResponse>& out) const {
     const char type = frame.front();
     if (type == wire::kProgressFrame || type == wire::kLoadFrame) return true;
--- a/src/platform/frames.h
+++ b/src/platform/frames.h
@@ -15,7 +15,7 @@
 
 class FrameProtocol : public net::EndpointProtocol {
  public:
-  // `load_names`: the figures of a load report, in the order in which decisions expect them.
+  // `load_names`: the names of the figures in a load report, in the order of the settings.
   explicit FrameProtocol(std::vector<std::string> load_names) : load_names_(std::move(load_names)) {}
 
   std::string AttemptId(const coordinator::AttemptRequest& request) const override;
--- a/src/platform/query_handler.cpp
+++ b/src/platform/query_handler.cpp
@@ -112,7 +112,7 @@
     return RejectAtIntake(request, decision_log::IntakeResult::kMalformed,
                           ErrorResponse(400, kUnreadableText));
   }
-  // Frees the body, which has been copied, for the time until the answer.
+  // The query has its own copy of what it needs, so the body is freed before the wait for the answer.
   request.body = std::string();
   const std::string call_id = query->payload->call_id;
   if (!ReserveCallId(call_id)) {
@@ -123,7 +123,7 @@
   figures_.requests_in_progress.Add();
   auto response = RunQuery(std::move(*query), exchange);
   figures_.requests_in_progress.Add(-1);
-  // Not counted when the client has disconnected, or has sent more bytes before its answer.
+  // The response is counted unless the client has disconnected or has sent more bytes before the answer.
   if (response && !response->close) metrics::OperatorFigures::CountResponse(class_figures, response->status);
   ReleaseCallId(call_id);
   return response;
--- a/src/platform/query_handler.h
+++ b/src/platform/query_handler.h
@@ -42,8 +42,8 @@
   // These return nullopt when the client has disconnected.
   std::optional<net::HttpResponse> HandleQuery(net::HttpMessage& request, const net::Exchange& exchange);
   std::optional<net::HttpResponse> RunQuery(coordinator::QueryRequest query, const net::Exchange& exchange);
-  // Returns false when a query with this call id is in flight. Shard request ids are derived from the call id
-  // and must be unique among queries in flight.
+  // Returns false when a query with this call id is in flight. The attempt ids sent to endpoints are
+  // derived from the call id (FrameProtocol::AttemptId) and must be unique among queries in flight.
   bool ReserveCallId(const std::string& call_id);
   void ReleaseCallId(const std::string& call_id);
   // Counts and records a request that did not become a query; returns `response`.
--- a/tests/identity/identity_test.cpp
+++ b/tests/identity/identity_test.cpp
@@ -262,8 +262,8 @@
 }
 
 // Rotates twelve keys. At step n, key n is active, key n - 1 is retiring, later keys are announced, and
-// earlier ones are withdrawn. `begun_step_` is stored before the key set of a step is in place,
-// `settled_step_` after: between the two, both answers are right.
+// earlier ones are withdrawn. `begun_step_` is set before a step's key set is in place,
+// `settled_step_` afterwards. While the two differ, the key set of either step may be in use.
 class KeyRotation {
  public:
   static constexpr int kKeys = 12;
@@ -294,8 +294,10 @@
     int step_before = settled_step_;
     bool accepted = !ErrorOf(verifier_.Verify(tokens_[static_cast<std::size_t>(key)], kNow));
     int step_after = begun_step_;
-    bool may_be_accepted = key <= step_after && key >= step_before - 1;   // at some step between
-    bool must_be_accepted = key <= step_before && key >= step_after - 1;  // at every step between
+    // At some step from step_before to step_after.
+    bool may_be_accepted = key <= step_after && key >= step_before - 1;
+    // At every step from step_before to step_after.
+    bool must_be_accepted = key <= step_before && key >= step_after - 1;
     if (accepted && !may_be_accepted) ++wrongly_accepted;
     if (!accepted && must_be_accepted) ++wrongly_rejected;
     ++presented;
--- a/tests/scenario/process_statements.cpp
+++ b/tests/scenario/process_statements.cpp
@@ -58,7 +58,7 @@
   if (statement.subject == "bad") {
     WriteConfiguration("{");
     ::kill(child_, SIGHUP);
-    WaitUntil([&] { return log_.find("keeping the current settings") != std::string::npos; },
+    WaitUntil([&] { return log_.find("keeping the current discovery address") != std::string::npos; },
               "the program did not log that it rejected the configuration");
     return;
   }
