--- a/src/app/coordinator_server.cpp
+++ b/src/app/coordinator_server.cpp
@@ -27,7 +27,7 @@
 // Throws when a tenant is identified by a client certificate but TLS does not request one.
 void CheckClientCertificatesRequested(IdentityFiles* identity, const TlsFiles* tls) {
   const bool requests_certificates =
-      tls != nullptr && !tls->context_holder().Get()->config().client_ca.empty();
+      tls != nullptr && !tls->reloadable_context().Get()->config().client_ca.empty();
   if (identity == nullptr || requests_certificates) return;
   if (!identity->authenticator().permission_table()->tenant_by_certificate.empty()) {
     throw StartupError("identity: a tenant has [certificates], but [tls] does not request them from clients");
@@ -129,7 +129,7 @@
 void CoordinatorServer::OpenServer(net::Fd listener) {
   const net::ServerLimits limits{config_.budget.client_connections, config_.budget.client_requests};
   server_.emplace(std::move(listener), *handler_, clock_, runtime_.counters(), limits,
-                  tls_ == nullptr ? nullptr : &tls_->context_holder());
+                  tls_ == nullptr ? nullptr : &tls_->reloadable_context());
   runtime_.connection_budget().Attach(&*server_);
   admin_handler_->Attach(&*server_);
   // The endpoint list may have grown before there was a server to resize.
--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -116,14 +116,14 @@
   if (!paths_.client_issuers.empty()) tls_config.client_ca = ReadBoundedFile(paths_.client_issuers);
   if (!paths_.revocation_list.empty()) tls_config.revocation_lists = ReadBoundedFile(paths_.revocation_list);
   tls_config.client_required = paths_.client_certificate_required;
-  std::shared_ptr<const net::TlsContext> current = context_holder_.Get();
+  std::shared_ptr<const net::TlsContext> current = reloadable_context_.Get();
   if (current != nullptr && current->config() == tls_config) return;
   auto context = net::TlsContext::Create(std::move(tls_config), clock_, current.get());
   if (!context) throw config::ConfigError("tls: " + context.error().Message());
-  context_holder_.Set(*context);
+  reloadable_context_.Set(*context);
   log::Info("audit: tls now presents {}; the first of them expires at {:%Y-%m-%dT%H:%M:%SZ}",
-            context_holder_.Get()->subjects(),
-            fmt::gmtime(static_cast<std::time_t>(context_holder_.Get()->expires_s())));
+            reloadable_context_.Get()->subjects(),
+            fmt::gmtime(static_cast<std::time_t>(reloadable_context_.Get()->expires_s())));
 }
 
 void TlsFiles::Poll() {
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -1,6 +1,6 @@
 // The TLS files that the operator's file names: read at start-up, polled for changes, read again on reload.
 // Files that are unreadable or invalid change nothing; while they remain unusable for the same reason, the
-// error is logged once. Main thread only, except for context_holder(), which is for any thread.
+// error is logged once. Main thread only, except for reloadable_context(), which is for any thread.
 #ifndef LIFTRUDDER_APP_TLS_FILES_H_
 #define LIFTRUDDER_APP_TLS_FILES_H_
 
@@ -21,7 +21,7 @@
   static std::unique_ptr<TlsFiles> Open(const std::string& operator_file, std::string_view text,
                                         const coordinator::Clock& clock);
 
-  const net::TlsContextHolder& context_holder() const { return context_holder_; }
+  const net::ReloadableTlsContext& reloadable_context() const { return reloadable_context_; }
   // Reads the files again if one of them has changed.
   void Poll();
   // Reads the operator's file again, then the files that it names.
@@ -56,7 +56,7 @@
   const coordinator::Clock& clock_;
   Paths paths_;
   std::vector<PathStamp> last_stamps_;
-  net::TlsContextHolder context_holder_;
+  net::ReloadableTlsContext reloadable_context_;
   std::string last_error_;  // already logged; empty on success
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -70,7 +70,7 @@
 VerifiedPeer ClientConnection::Peer(Micros now_us) {
   const TlsPeer* peer = channel_ == nullptr ? nullptr : channel_->peer();
   if (peer == nullptr) return {};
-  std::shared_ptr<const TlsContext> current = context_holder_->Get();
+  std::shared_ptr<const TlsContext> current = reloadable_context_->Get();
   if (current->config().client_ca.empty()) return {};
   if (current != verified_against_ || now_us - verified_us_ >= kReverifyIntervalUs) {
     peer_error_ = current->Verify(*peer);
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -25,8 +25,8 @@
  public:
   ClientConnection() = default;
   // `tls` null: plain TCP. The connection keeps the TLS context that is current at construction.
-  ClientConnection(Fd fd, const TlsContextHolder* tls)
-      : fd_(std::move(fd)), context_holder_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
+  ClientConnection(Fd fd, const ReloadableTlsContext* tls)
+      : fd_(std::move(fd)), reloadable_context_(tls), context_(tls == nullptr ? nullptr : tls->Get()) {}
 
   // Appends a bounded amount of received plaintext without waiting. kTimeout: no plaintext yet, although a
   // handshake may have advanced. kEnd: the client closed its side, under TLS with a close_notify. kError: the
@@ -54,7 +54,7 @@
   static constexpr Micros kReverifyIntervalUs = 1'000'000;
 
   Fd fd_;
-  const TlsContextHolder* context_holder_ = nullptr;
+  const ReloadableTlsContext* reloadable_context_ = nullptr;
   std::shared_ptr<const TlsContext> context_;  // null: plain TCP
   std::unique_ptr<TlsChannel> channel_;        // created at the first byte, so that silent clients need none
   std::string probed_;                         // plaintext that Probe has read
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Server::Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
-               const ServerLimits& limits, const TlsContextHolder* tls)
+               const ServerLimits& limits, const ReloadableTlsContext* tls)
     : listener_(std::move(listener)),
       handler_(handler),
       clock_(clock),
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -32,7 +32,7 @@
  public:
   // `tls` null: plain TCP. All references and `tls` must outlive the server.
   Server(Fd listener, Handler& handler, const coordinator::Clock& clock, metrics::Counters& counters,
-         const ServerLimits& limits, const TlsContextHolder* tls = nullptr);
+         const ServerLimits& limits, const ReloadableTlsContext* tls = nullptr);
   // Drains, stops listening and waits until all connections have ended.
   ~Server();
   Server(const Server&) = delete;
@@ -95,7 +95,7 @@
   metrics::Counters& counters_;
   std::atomic<int> max_connections_;
   std::atomic<int> max_requests_;
-  const TlsContextHolder* tls_;  // null: plain TCP
+  const ReloadableTlsContext* tls_;  // null: plain TCP
   LingeringCloser lingering_closer_;
   Fd epoll_;
   std::atomic<bool> draining_{false};
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -103,8 +103,8 @@
   std::string subjects_;
 };
 
-// Holds the current context, which new connections use. Thread-safe.
-class TlsContextHolder {
+// The current context, which new connections use and a reload replaces. Thread-safe.
+class ReloadableTlsContext {
  public:
   void Set(std::shared_ptr<const TlsContext> context) {
     std::lock_guard lock(mutex_);
--- a/tests/net/tls_server_test.cpp
+++ b/tests/net/tls_server_test.cpp
@@ -40,16 +40,16 @@
 // A TLS server on its own port.
 struct TlsServerFixture {
   explicit TlsServerFixture(int max_connections) {
-    context_holder.Set(
+    reloadable_context.Set(
         MakeContext({{KeyPairOf(issuer.Issue("a", "DNS:a.example", "serverAuth"))}, "", "", false}, clock));
     net::Fd listener = net::Listen("127.0.0.1:0");
     addr = net::LocalAddress(listener);
     server.emplace(std::move(listener), handler, clock, counters,
-                   net::ServerLimits{max_connections, max_connections}, &context_holder);
+                   net::ServerLimits{max_connections, max_connections}, &reloadable_context);
   }
   CertificateIssuer issuer{"issuer"};
   net::SteadyClock clock;
-  net::TlsContextHolder context_holder;
+  net::ReloadableTlsContext reloadable_context;
   metrics::Counters counters;
   EchoHandler handler;
   std::string addr;
@@ -131,7 +131,7 @@
   TlsServerFixture fixture(8);
   net::Fd listener = net::Listen("127.0.0.1:0");
   net::Fd client = net::Connect(net::LocalAddress(listener), kTestTimeoutUs);
-  net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.context_holder);
+  net::ClientConnection connection(net::Accept(listener, kTestTimeoutUs), &fixture.reloadable_context);
   CHECK(connection.Write("HTTP/1.1 503 x\r\n\r\n", 0).status == net::IoStatus::kError);
   connection.Finish();
   TlsClient side;
