--- a/src/app/tls_files.cpp
+++ b/src/app/tls_files.cpp
@@ -80,13 +80,12 @@
   if (const Json* clients = members.Find(wire::kTlsClients)) {
     identity::JsonMembers client_members(*clients, "tls: clients");
     client_members.Read(wire::kTlsClientIssuers, paths.client_issuers);
-    client_members.Read(wire::kTlsClientRevoked, paths.revocation_list);
+    client_members.Read(wire::kTlsClientRevoked, paths.revocations);
     client_members.Read(wire::kTlsClientRequired, paths.client_certificate_required);
     if (paths.client_issuers.empty()) client_members.Fail("must name [issuers]");
     RejectUnknownMembers(client_members);
     paths.client_issuers = ResolvePath(operator_file_, paths.client_issuers);
-    if (!paths.revocation_list.empty())
-      paths.revocation_list = ResolvePath(operator_file_, paths.revocation_list);
+    if (!paths.revocations.empty()) paths.revocations = ResolvePath(operator_file_, paths.revocations);
   }
   RejectUnknownMembers(members);
   return paths;
@@ -102,7 +101,7 @@
     add(pair.key);
   }
   add(paths_.client_issuers);
-  add(paths_.revocation_list);
+  add(paths_.revocations);
   return stamps;
 }
 
@@ -114,7 +113,7 @@
     tls_config.key_pairs.push_back({ReadBoundedFile(pair.certificate), ReadBoundedFile(pair.key)});
   }
   if (!paths_.client_issuers.empty()) tls_config.client_ca = ReadBoundedFile(paths_.client_issuers);
-  if (!paths_.revocation_list.empty()) tls_config.revocation_lists = ReadBoundedFile(paths_.revocation_list);
+  if (!paths_.revocations.empty()) tls_config.revocation_lists = ReadBoundedFile(paths_.revocations);
   tls_config.client_required = paths_.client_certificate_required;
   std::shared_ptr<const net::TlsContext> current = reloadable_context_.Get();
   if (current != nullptr && current->config() == tls_config) return;
--- a/src/app/tls_files.h
+++ b/src/app/tls_files.h
@@ -34,8 +34,8 @@
   };
   struct Paths {
     std::vector<KeyPairPaths> key_pairs;
-    std::string client_issuers;   // empty: clients are not asked for certificates
-    std::string revocation_list;  // empty: no revocation list
+    std::string client_issuers;  // empty: clients are not asked for certificates
+    std::string revocations;     // empty: no revocation list
     bool client_certificate_required = false;
   };
   struct PathStamp {
--- a/src/dns/zone_file.cpp
+++ b/src/dns/zone_file.cpp
@@ -144,8 +144,7 @@
     line_ = 0;
     if (zone_.origin.empty()) Fail(ZoneErrorCode::kNoSoaRecord, "no SOA record");
     for (const Record& record : zone_.records) {
-      if (!zone_.Contains(record.name))
-        Fail(ZoneErrorCode::kOutsideZone, "the name is not in the zone", record.name);
+      if (!zone_.Contains(record.name)) Fail(ZoneErrorCode::kOutsideZone, "outside the zone", record.name);
     }
     return std::move(zone_);
   }
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -173,28 +173,23 @@
     return requests.size();
   }
 
-  void CompareEnd(const std::string& id, const decision_log::AttemptTrace& attempt,
-                  ResponseKind response_kind) {
-    bool fits = true;
-    if (attempt.cause == Cause::kServed)
-      fits = response_kind == ResponseKind::kServe && attempt.outcome == AttemptOutcome::kOk;
-    if (attempt.cause == Cause::kEndpointError) {
-      fits = response_kind == ResponseKind::kError && attempt.outcome == AttemptOutcome::kError;
+  void CompareEnd(const std::string& id, const decision_log::AttemptTrace& end, ResponseKind kind) {
+    bool ok = true;
+    if (end.cause == Cause::kServed) ok = kind == ResponseKind::kServe && end.outcome == AttemptOutcome::kOk;
+    if (end.cause == Cause::kEndpointError) {
+      ok = kind == ResponseKind::kError && end.outcome == AttemptOutcome::kError;
     }
-    if (attempt.cause == Cause::kEndpointRejected) {
-      fits = response_kind == ResponseKind::kReject && attempt.outcome == AttemptOutcome::kOverloaded;
+    if (end.cause == Cause::kEndpointRejected) {
+      ok = kind == ResponseKind::kReject && end.outcome == AttemptOutcome::kOverloaded;
     }
     // A reset for one shard request ends all those on the shared connection.
-    if (attempt.cause == Cause::kConnectionLost) fits = attempt.outcome == AttemptOutcome::kReset;
-    if (attempt.cause == Cause::kInvalidResponse) fits = attempt.outcome == AttemptOutcome::kError;
-    if (!fits)
-      Report(id, fmt::format("the recorded end of the attempt at {} does not match what the endpoint did",
-                             attempt.endpoint.id));
+    if (end.cause == Cause::kConnectionLost) ok = end.outcome == AttemptOutcome::kReset;
+    if (end.cause == Cause::kInvalidResponse) ok = end.outcome == AttemptOutcome::kError;
+    if (!ok) Report(id, fmt::format("the recorded end of the attempt at {} is wrong", end.endpoint.id));
     // Only the coordinator, or the loss of a connection, ends an attempt without a response.
-    if (response_kind == ResponseKind::kSilent && attempt.cause != Cause::kCancelled &&
-        attempt.cause != Cause::kExpired && attempt.cause != Cause::kConnectionLost &&
-        attempt.cause != Cause::kInvalidResponse) {
-      Report(id, fmt::format("{} gave no response", attempt.endpoint.id));
+    if (kind == ResponseKind::kSilent && end.cause != Cause::kCancelled && end.cause != Cause::kExpired &&
+        end.cause != Cause::kConnectionLost && end.cause != Cause::kInvalidResponse) {
+      Report(id, fmt::format("{} gave no response", end.endpoint.id));
     }
   }
 
--- a/tests/decision_log/decision_log_test.cpp
+++ b/tests/decision_log/decision_log_test.cpp
@@ -205,17 +205,16 @@
     question.filter.limit = 500;
     question.json = json;
     test_support::ResetPeakAllocatedBytes();
-    std::size_t before = test_support::AllocatedBytes();
+    std::size_t base = test_support::AllocatedBytes();
     CHECK(decision_log::AnswerFrom(f.recorder.record_file(), question).body.size() > 100'000);
     // The reply, whose capacity doubles as it grows, and one decoded query of the largest kind.
     if (test_support::kAllocationsCounted) {
-      CHECK(test_support::PeakAllocatedBytes() - before < 3 * decision_log::kMaxReplyBytes);
+      CHECK(test_support::PeakAllocatedBytes() - base < 3 * decision_log::kMaxReplyBytes);
     }
     question.filter.id = "wide";
     test_support::ResetPeakAllocatedBytes();
     CHECK(decision_log::AnswerFrom(f.recorder.record_file(), question).status == 200);
-    if (test_support::kAllocationsCounted)
-      CHECK(test_support::PeakAllocatedBytes() - before < 8 * 1024 * 1024);
+    if (test_support::kAllocationsCounted) CHECK(test_support::PeakAllocatedBytes() - base < 8 * 1024 * 1024);
   }
 }
 
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -58,8 +58,7 @@
     CHECK(server.peer() == nullptr);
     // The request arrives byte by byte, the response takes several records.
     std::string at_server, at_client, wire;
-    for (char one : client.Encrypt("GET / HTTP/1.1\r\n\r\n"))
-      server.Feed(std::string(1, one), at_server, wire);
+    for (char c : client.Encrypt("GET / HTTP/1.1\r\n\r\n")) server.Feed(std::string(1, c), at_server, wire);
     CHECK(at_server == "GET / HTTP/1.1\r\n\r\n");
     CHECK(wire.empty());
     std::string answer(100'000, 'x');
--- a/tests/routing/router_harness.h
+++ b/tests/routing/router_harness.h
@@ -150,9 +150,8 @@
   }
 
   EndpointId EndpointOf(Id shard_request, int attempt = 0) const {
-    for (const SentAttempt& sent_attempt : sent) {
-      if (sent_attempt.send.shard_request == shard_request && sent_attempt.attempt == attempt)
-        return sent_attempt.send.endpoint;
+    for (const SentAttempt& entry : sent) {
+      if (entry.send.shard_request == shard_request && entry.attempt == attempt) return entry.send.endpoint;
     }
     ADD_FAILURE() << "attempt " << attempt << " of shard request " << shard_request << " was not sent";
     return {};
--- a/tests/scenario/peer.cpp
+++ b/tests/scenario/peer.cpp
@@ -92,11 +92,9 @@
 }
 
 void ReceiveMessages(Peer& peer, Connection& connection) {
-  std::string wire_bytes;
-  const net::IoStatus status =
-      net::ReadSome(connection.fd, connection.tls ? wire_bytes : connection.received, 0);
-  if (connection.tls)
-    net::WriteAll(connection.fd, connection.tls->ProcessInput(wire_bytes, connection.received), 0);
+  std::string raw;
+  const net::IoStatus status = net::ReadSome(connection.fd, connection.tls ? raw : connection.received, 0);
+  if (connection.tls) net::WriteAll(connection.fd, connection.tls->ProcessInput(raw, connection.received), 0);
   if (status == net::IoStatus::kEnd || status == net::IoStatus::kError) connection.ended = true;
   while (ExtractMessage(peer, connection)) {
   }
--- a/tools/test_support/fake_discovery.cpp
+++ b/tools/test_support/fake_discovery.cpp
@@ -54,8 +54,7 @@
 std::string FakeDiscovery::FormatChunks(const std::string& list) const {
   if (!indented_) return FormatChunk(list + "\n");
   std::string text = "\n" + nlohmann::json::parse(list).dump(4) + "\n\n", out;
-  for (std::size_t at = 0; at < text.size(); at += kChunkBytes)
-    out += FormatChunk(text.substr(at, kChunkBytes));
+  for (std::size_t i = 0; i < text.size(); i += kChunkBytes) out += FormatChunk(text.substr(i, kChunkBytes));
   return out;
 }
 
--- a/tools/test_support/test_fleet.cpp
+++ b/tools/test_support/test_fleet.cpp
@@ -68,9 +68,8 @@
     }
     net::Micros now_us = clock_.Now();
     for (; !replies_.empty() && replies_.front().at_us <= now_us; replies_.pop_front()) {
-      auto found = connections_.find(replies_.front().fd);
-      if (found != connections_.end())
-        net::WriteAll(found->second.fd, replies_.front().frame, kWriteTimeoutUs);
+      auto it = connections_.find(replies_.front().fd);
+      if (it != connections_.end()) net::WriteAll(it->second.fd, replies_.front().frame, kWriteTimeoutUs);
     }
   }
 }
